--- a/src/service/mod.rs
+++ b/src/service/mod.rs
@@ -242,7 +242,11 @@
 
     /// Passes on what the watch brought.
     pub fn tell(&self, changes: &[ReplicaChange]) {
-        let (now, wall) = (Instant::now(), SystemTime::now());
+        self.tell_at(changes, Instant::now(), SystemTime::now());
+    }
+
+    /// The same at a given time, for those who keep their own clocks.
+    pub fn tell_at(&self, changes: &[ReplicaChange], now: Instant, wall: SystemTime) {
         let replica = self.replica.lock();
         let mut leader_changed = false;
         let mut jobs = false;
--- a/tests/common/node.rs
+++ b/tests/common/node.rs
@@ -64,7 +64,13 @@
     }
 
     pub fn start(&self) -> Node {
+        self.start_with(&[])
+    }
+
+    /// Starts the program with further arguments.
+    pub fn start_with(&self, arguments: &[&str]) -> Node {
         let child = Command::new(PROGRAM)
+            .args(arguments)
             .arg("--config")
             .arg(&self.file)
             .stderr(Stdio::null())
--- a/tests/common/play.rs
+++ b/tests/common/play.rs
@@ -2,6 +2,9 @@
 
 #![allow(dead_code)]
 
+use std::fs::OpenOptions;
+use std::io::Write;
+
 use knotlanding::model::{JobSpec, Rank};
 
 use crate::common;
@@ -71,6 +74,7 @@
             "seed {seed}: {unfinished:?}: {why:#?}\n{troubles:?}"
         );
         assert!(world.starts >= count, "seed {seed}: work was done");
+        note_hash(seed, &world);
         world
     }
 
@@ -86,6 +90,21 @@
     }
 }
 
+/// Appends the hash of a run to the file that `KNOTLANDING_RUN_HASHES` names, if it is set: sorted,
+/// the lines of two versions that behave alike are the same.
+fn note_hash(seed: u64, world: &World) {
+    let Some(file) = std::env::var_os("KNOTLANDING_RUN_HASHES") else {
+        return;
+    };
+    let line = format!("{seed} {:016x}\n", world.run_hash());
+    let mut file = OpenOptions::new()
+        .create(true)
+        .append(true)
+        .open(file)
+        .unwrap();
+    file.write_all(line.as_bytes()).unwrap();
+}
+
 /// Seeds of every scene; more are played by `KNOTLANDING_SEEDS` when hunting.
 pub fn drawn() -> std::ops::Range<u64> {
     let more = std::env::var("KNOTLANDING_SEEDS").ok();
--- a/tests/common/world.rs
+++ b/tests/common/world.rs
@@ -20,6 +20,8 @@
 mod invariants;
 #[path = "world/links.rs"]
 mod links;
+#[path = "world/run_hash.rs"]
+mod run_hash;
 #[path = "world/state_service.rs"]
 mod state_service;
 #[path = "world/users.rs"]
@@ -59,6 +61,7 @@
 use forwarding::Forwarded;
 pub use links::CutLink;
 use links::{NodeLinks, RowAnswer};
+use run_hash::RunHash;
 use state_service::{RequestPurpose, Store, StoreRequest, StoreResponse};
 use users::Wanted;
 use workers::{on_machine, task_parts, Task, Worker};
@@ -125,6 +128,7 @@
     pub calm_from: f64,
     /// Since when jobs wait though there is room for them.
     neglected: BTreeMap<String, f64>,
+    run_hash: RunHash,
 }
 
 impl World {
@@ -177,6 +181,7 @@
             peers_refuse: seed % 2 == 1,
             calm_from: f64::INFINITY,
             neglected: BTreeMap::new(),
+            run_hash: RunHash::default(),
             settings,
         };
         for number in 0..3 {
@@ -269,6 +274,7 @@
             let names: Vec<String> = self.workers.keys().cloned().collect();
             names.iter().for_each(|name| self.worker(name));
             self.users();
+            self.hash_step();
             self.check();
             // Once a second is enough for a wait of ninety.
             if t > self.calm_from && ((t / STEP) as u64).is_multiple_of(20) {
--- a/tests/common/world/controllers.rs
+++ b/tests/common/world/controllers.rs
@@ -72,7 +72,7 @@
         why: RequestPurpose,
         sent: f64,
     ) {
-        let now = self.instant();
+        let (now, wall) = (self.instant(), self.wall_of(n));
         let sent_at = self.start + Duration::from_secs_f64(sent);
         let shared = self.nodes[n].shared.clone();
         let failed = match &answered {
@@ -87,7 +87,7 @@
         match (&why, answered) {
             (RequestPurpose::Load, StoreResponse::Rows(rows, revision)) => {
                 let news = shared.replica.lock().load(rows, revision);
-                shared.tell(&news);
+                shared.tell_at(&news, now, wall);
                 shared.replica_complete(sent_at);
                 self.nodes[n].loaded = true;
             }
@@ -96,7 +96,7 @@
                 StoreResponse::Events(events, revision),
             ) => {
                 let news = shared.replica.lock().apply(&events, revision);
-                shared.tell(&news);
+                shared.tell_at(&news, now, wall);
                 shared.replica_complete(sent_at);
             }
             (RequestPurpose::Grant, StoreResponse::Lease(id)) => {
--- /dev/null
+++ b/tests/common/world/run_hash.rs
@@ -0,0 +1,61 @@
+//! A hash of everything that happens in a run of the model: what the key-value store holds, what every
+//! worker runs, and what users were told, step by step. Two versions of the controllers that behave
+//! alike have the same hash for the same seed.
+
+use std::collections::hash_map::DefaultHasher;
+use std::hash::{Hash, Hasher};
+
+use super::*;
+
+/// The hash so far.
+#[derive(Default)]
+pub struct RunHash {
+    hasher: DefaultHasher,
+    events: usize,
+}
+
+impl RunHash {
+    /// The hash of all steps taken in.
+    pub fn value(&self) -> u64 {
+        self.hasher.finish()
+    }
+}
+
+impl World {
+    /// Takes in the state after a step.
+    pub(super) fn hash_step(&mut self) {
+        let mut run = std::mem::take(&mut self.run_hash);
+        let hasher = &mut run.hasher;
+        self.t.to_bits().hash(hasher);
+        self.posted.hash(hasher);
+        self.store.revision.hash(hasher);
+        for (version, event) in &self.store.events[run.events..] {
+            version.hash(hasher);
+            event.put.hash(hasher);
+            event.delete.hash(hasher);
+            event.value.as_ref().map(wire::encode).hash(hasher);
+        }
+        run.events = self.store.events.len();
+        for (name, worker) in &self.workers {
+            name.hash(hasher);
+            (worker.session, worker.seq, worker.token, worker.node).hash(hasher);
+            for ((task, attempt), state) in &worker.tasks {
+                (task, attempt).hash(hasher);
+                wire::encode(&state.phase).hash(hasher);
+                wire::encode(&state.cause).hash(hasher);
+                state.until.to_bits().hash(hasher);
+            }
+        }
+        for (id, job) in &self.jobs {
+            id.hash(hasher);
+            job.told_done.map(f64::to_bits).hash(hasher);
+            job.told_cancelled.map(f64::to_bits).hash(hasher);
+        }
+        self.run_hash = run;
+    }
+
+    /// The hash of the run so far.
+    pub fn run_hash(&self) -> u64 {
+        self.run_hash.value()
+    }
+}
--- /dev/null
+++ b/tests/formats/admin.rs
@@ -0,0 +1,148 @@
+//! The operators' interface: the fields of its JSON, by their paths.
+
+use std::collections::BTreeSet;
+use std::process::{Command, Stdio};
+use std::time::{Duration, Instant};
+
+use serde_json::Value;
+
+use crate::fixture;
+use crate::node::{job, Bench, Node, PROGRAM, TEST_TIMEOUT};
+
+/// Maps whose keys are names of things and not fields.
+const NAMED: [&str; 6] = [
+    "jobs",
+    "machines",
+    "matrix",
+    "peers",
+    "worker_health",
+    "names",
+];
+
+fn add_paths(value: &Value, path: &str, paths: &mut BTreeSet<String>) {
+    match value {
+        Value::Object(fields) => {
+            let named = NAMED.contains(&path.rsplit('.').next().unwrap_or_default());
+            for (name, field) in fields {
+                let name = if named { "*" } else { name };
+                add_paths(field, &format!("{path}.{name}"), paths);
+            }
+        }
+        Value::Array(items) => {
+            for item in items {
+                add_paths(item, &format!("{path}[]"), paths);
+            }
+        }
+        _ => {
+            paths.insert(path.to_owned());
+        }
+    }
+}
+
+/// One line for each field, whatever its value.
+fn paths(root: &str, value: &Value) -> BTreeSet<String> {
+    let mut paths = BTreeSet::new();
+    add_paths(value, root, &mut paths);
+    paths
+}
+
+async fn start(bench: &Bench) -> Node {
+    let features = concat!(env!("CARGO_MANIFEST_DIR"), "/deploy/features.toml");
+    bench.start_with(&["--features", features])
+}
+
+/// Asks until what is told is complete: machines have reported, a job waits, a row is there.
+async fn complete(node: &Node, path: &str, done: impl Fn(&Value) -> bool) -> Value {
+    let began = Instant::now();
+    loop {
+        let (status, body) = node.admin("GET", path, "").await;
+        if status == 200 && done(&body) {
+            return body;
+        }
+        assert!(began.elapsed() < TEST_TIMEOUT, "{path}: {status} {body}");
+        tokio::time::sleep(Duration::from_millis(100)).await;
+    }
+}
+
+fn first_name(status: &Value, map: &str) -> String {
+    let names = status[map].as_object().unwrap().keys();
+    names.min().unwrap().clone()
+}
+
+#[actix_web::test]
+async fn fields_of_the_operators_json_stay() {
+    let bench = Bench::new("formats-admin");
+    let node = start(&bench).await;
+    node.accept(&job("wk-000001", "array", 5000, 16.0)).await;
+    let status = complete(&node, "status", |status| {
+        let machines = status["machines"].as_object().unwrap();
+        let heard = |m: &Value| m["reported_s_ago"].is_number();
+        let waits = status["jobs"]["wk-000001"]["waits_for"].is_string();
+        waits && machines.values().any(heard)
+    })
+    .await;
+    let machine = first_name(&status, "machines");
+    let mut all = BTreeSet::new();
+    let answers = [
+        ("status", "status".to_owned()),
+        ("job", "jobs/wk-000001".to_owned()),
+        ("machine", format!("machines/{machine}")),
+        ("metrics", "metrics".to_owned()),
+        ("settings", "settings".to_owned()),
+        ("links", "links".to_owned()),
+    ];
+    for (name, path) in answers {
+        let (code, body) = node.admin("GET", &path, "").await;
+        assert_eq!(code, 200, "{path}: {body}");
+        all.extend(paths(name, &body));
+    }
+    for (name, path) in [("no-job", "jobs/wk-9"), ("no-machine", "machines/none")] {
+        let (code, body) = node.admin("GET", path, "").await;
+        assert_eq!(code, 404);
+        all.extend(paths(name, &body));
+    }
+    // These come and go with the time at which they are asked for.
+    let at_times = [
+        "status.machines.*.health.lost",
+        "machine.health.lost",
+        "links.decisions[].",
+        "links.suppressed[]",
+    ];
+    all.retain(|path| !at_times.iter().any(|prefix| path.starts_with(prefix)));
+    let lines: Vec<String> = all.into_iter().collect();
+    fixture::assert_text("admin-fields.txt", &(lines.join("\n") + "\n"));
+}
+
+#[test]
+fn commands_and_exit_codes_stay() {
+    let run = |arguments: &[&str]| {
+        let mut command = Command::new(PROGRAM);
+        let status = command.args(arguments).stderr(Stdio::null()).output();
+        let output = status.unwrap();
+        let text = String::from_utf8(output.stdout).unwrap();
+        (output.status.code().unwrap(), text)
+    };
+    let root = env!("CARGO_MANIFEST_DIR");
+    let example = format!("{root}/deploy/example.toml");
+    let features = format!("{root}/deploy/features.toml");
+    let (code, text) = run(&["check", &example, "--features", &features]);
+    assert_eq!(code, 0);
+    assert_eq!(text, format!("{example}: fine, for knot-0\n"));
+    assert_eq!(run(&["check", "/no/such/file"]).0, 2);
+    assert_eq!(run(&["--config", "/no/such/file"]).0, 2);
+    assert_eq!(run(&["--features", &features]).0, 2);
+    assert_eq!(run(&["unknown"]).0, 2);
+    for action in ["status", "metrics", "links", "settings"] {
+        let (code, _) = run(&["admin", "--node", "127.0.0.1:1", action]);
+        assert_eq!(code, 1, "{action}");
+    }
+    for (action, argument) in [
+        ("job", "wk-1"),
+        ("machine", "m"),
+        ("drain", "m"),
+        ("set", "{}"),
+    ] {
+        let (code, _) = run(&["admin", "--node", "127.0.0.1:1", action, argument]);
+        assert_eq!(code, 1, "{action}");
+    }
+}
--- /dev/null
+++ b/tests/formats/fixture.rs
@@ -0,0 +1,43 @@
+//! Files of bytes as hexadecimal digits, and text files.
+
+use std::path::PathBuf;
+
+fn path(name: &str) -> PathBuf {
+    let root = PathBuf::from(env!("CARGO_MANIFEST_DIR"));
+    root.join("tests/formats").join(name)
+}
+
+/// A text file.
+pub fn text(name: &str) -> String {
+    std::fs::read_to_string(path(name)).unwrap_or_else(|error| panic!("{name}: {error}"))
+}
+
+/// A file of hexadecimal digits.
+pub fn bytes(name: &str) -> Vec<u8> {
+    let digits: Vec<u8> = text(name).bytes().filter(u8::is_ascii_hexdigit).collect();
+    let pairs = digits.chunks(2);
+    pairs
+        .map(|pair| u8::from_str_radix(std::str::from_utf8(pair).unwrap(), 16).unwrap())
+        .collect()
+}
+
+/// The same bytes as text, for a failed comparison that can be read.
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+/// The file has just these bytes.
+pub fn assert_bytes(name: &str, actual: &[u8]) {
+    if std::env::var_os("RECORD").is_some() {
+        std::fs::write(path(name), hex(actual) + "\n").unwrap();
+    }
+    assert_eq!(hex(&bytes(name)), hex(actual), "{name}");
+}
+
+/// The file has just this text.
+pub fn assert_text(name: &str, actual: &str) {
+    if std::env::var_os("RECORD").is_some() {
+        std::fs::write(path(name), actual).unwrap();
+    }
+    assert_eq!(text(name), actual, "{name}");
+}
--- /dev/null
+++ b/tests/formats/records.rs
@@ -0,0 +1,184 @@
+//! Records in the state service, and their keys.
+
+use knotlanding::model::{Amount, JobId, JobSpec, Rank, Shape, Term, Verdict};
+use knotlanding::service::operator::OperatorSettings;
+use knotlanding::store::keys::{
+    self, DoneRecord, JobRecord, LeaderRecord, LiveRecord, MisdirectedRecord, ProbeRecord,
+    RosterRecord, SentRecord, TermRecord,
+};
+use knotlanding::store::{from_value, to_value, Value};
+use knotlanding::wire;
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+
+use crate::fixture;
+
+/// The record has these bytes, and the bytes are read as a record that has them again.
+fn assert_record<T: Serialize + DeserializeOwned>(name: &str, record: &T) {
+    fixture::assert_bytes(name, &wire::encode(&to_value(record)));
+    assert_read::<T>(name);
+}
+
+/// The bytes are read, and written again the same.
+fn assert_read<T: Serialize + DeserializeOwned>(name: &str) {
+    let value: Value = wire::decode(&fixture::bytes(name)).unwrap();
+    let read: T = from_value(&value).unwrap_or_else(|| panic!("{name} is not read"));
+    fixture::assert_bytes(name, &wire::encode(&to_value(&read)));
+}
+
+fn id(text: &str) -> JobId {
+    JobId::parse(text).unwrap()
+}
+
+/// A job with a value in every field.
+pub fn full_spec() -> JobSpec {
+    JobSpec {
+        id: id("wk-000412"),
+        class: "train".to_owned(),
+        team: "vision".to_owned(),
+        shape: Shape::Gang,
+        rank: Rank::Urgent,
+        tasks: 16,
+        need: Amount {
+            cpus: 8.0,
+            gpus: 1.5,
+            memory: 64.25,
+        },
+        builds: Some(vec!["g8".to_owned(), "g4".to_owned()]),
+        zone: Some("north".to_owned()),
+        one_zone: true,
+        spread: true,
+        spot: true,
+        image: "img-07".to_owned(),
+        image_gb: 6.2,
+        estimate_s: 240.0,
+        checkpoint_s: 30.0,
+        save_s: 4.0,
+        due_s: Some(900.0),
+    }
+}
+
+fn spec(shape: Shape, rank: Rank) -> JobSpec {
+    JobSpec {
+        shape,
+        rank,
+        builds: None,
+        zone: None,
+        one_zone: false,
+        spread: false,
+        spot: false,
+        due_s: None,
+        ..full_spec()
+    }
+}
+
+fn live(spec: JobSpec) -> LiveRecord {
+    LiveRecord {
+        spec,
+        submitted_ms: 1_800_000_000_123,
+        started: false,
+        hosts: None,
+    }
+}
+
+#[test]
+fn keys_keep_their_form() {
+    let job = id("wk-000412");
+    assert_eq!(keys::ROOT, "kl/");
+    assert_eq!(keys::LEADER, "kl/leader");
+    assert_eq!(keys::TERM, "kl/term");
+    assert_eq!(keys::SETTINGS, "kl/settings");
+    assert_eq!(keys::job(&job), "kl/job/wk-000412");
+    assert_eq!(keys::live(&job), "kl/live/wk-000412");
+    assert_eq!(keys::done(&job, 3), "kl/done/wk-000412/3");
+    assert_eq!(keys::roster(7), "kl/roster/0007");
+    assert_eq!(keys::sent(Term(12), 34), "kl/sent/0000000012-000034");
+    assert_eq!(keys::misdirected("knot-1"), "kl/knocks/knot-1");
+    assert_eq!(keys::probe("knot-1"), "kl/probe/knot-1");
+}
+
+#[test]
+fn records_of_the_election_and_of_operators_keep_their_form() {
+    let leader = LeaderRecord {
+        member: "knot-1".to_owned(),
+        address: "10.0.0.1:8080".to_owned(),
+        term: Term(41),
+        lease: 7,
+    };
+    assert_record("record-leader.hex", &leader);
+    assert_record("record-term.hex", &TermRecord { term: Term(41) });
+    let settings = OperatorSettings {
+        idle_factor: 0.5,
+        spare_factor: 2.0,
+        drained: vec!["m-000231".to_owned()],
+    };
+    assert_record("record-settings.hex", &settings);
+    assert_record("record-misdirected.hex", &MisdirectedRecord { count: 321 });
+    assert_record("record-probe.hex", &ProbeRecord { count: 9 });
+}
+
+#[test]
+fn records_of_jobs_keep_their_form() {
+    for (name, verdict) in [
+        ("record-job-accepted.hex", Verdict::Accepted),
+        ("record-job-done.hex", Verdict::Done),
+        ("record-job-cancelled.hex", Verdict::Cancelled),
+    ] {
+        assert_record(name, &JobRecord::bare(verdict, 16));
+    }
+    for (name, spec) in [
+        ("record-job-gang.hex", full_spec()),
+        ("record-job-array.hex", spec(Shape::Array, Rank::BestEffort)),
+        (
+            "record-job-service.hex",
+            spec(Shape::Service, Rank::Production),
+        ),
+        (
+            "record-job-standard.hex",
+            spec(Shape::Array, Rank::Standard),
+        ),
+    ] {
+        let record = JobRecord {
+            verdict: Verdict::Accepted,
+            tasks: spec.tasks,
+            live: Some(live(spec)),
+        };
+        assert_record(name, &record);
+    }
+}
+
+#[test]
+fn descriptions_of_older_versions_are_read() {
+    let started = LiveRecord {
+        started: true,
+        hosts: Some(vec!["m-000231".to_owned(), "m-000232".to_owned()]),
+        ..live(full_spec())
+    };
+    assert_record("record-live-with-hosts.hex", &started);
+    let anywhere = LiveRecord {
+        started: true,
+        ..live(spec(Shape::Array, Rank::Standard))
+    };
+    assert_record("record-live-anywhere.hex", &anywhere);
+    assert_record("record-live-not-started.hex", &live(full_spec()));
+}
+
+#[test]
+fn records_of_starts_tasks_and_machines_keep_their_form() {
+    let sent = SentRecord {
+        jobs: vec![
+            (id("wk-000412"), Some(vec!["m-000231".to_owned()])),
+            (id("wk-000413"), None),
+            (id("wk-000414"), Some(Vec::new())),
+        ],
+    };
+    assert_record("record-sent.hex", &sent);
+    let done = DoneRecord {
+        bits: "f03".to_owned(),
+    };
+    assert_record("record-done.hex", &done);
+    let roster = RosterRecord {
+        machines: vec!["m-000231".to_owned(), "m-000232".to_owned()],
+    };
+    assert_record("record-roster.hex", &roster);
+}
--- /dev/null
+++ b/tests/formats/requests.rs
@@ -0,0 +1,204 @@
+//! Requests to the state service and to the cloud, and how their answers are read.
+
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+
+use actix_web::{web, App, HttpRequest, HttpResponse, HttpServer};
+use ciborium::{cbor, Value};
+use knotlanding::config::Settings;
+use knotlanding::fleet::client::{CloudClient, CloudError};
+use knotlanding::model::{Amount, MachineId};
+use knotlanding::store::client::StoreClient;
+use knotlanding::store::{Change, Condition, Group, Outcome, StoreError};
+use knotlanding::wire::{self, HireBody};
+
+use crate::common;
+use crate::fixture;
+
+/// A server that notes what it is asked and gives prepared answers.
+#[derive(Clone, Default)]
+struct Recorder {
+    requests: Arc<Mutex<String>>,
+    answer: Arc<Mutex<(u16, Vec<u8>)>>,
+}
+
+impl Recorder {
+    fn answer(&self, status: u16, body: Value) {
+        *self.answer.lock().unwrap() = (status, wire::encode(&body));
+    }
+
+    fn requests(&self) -> String {
+        self.requests.lock().unwrap().clone()
+    }
+
+    /// Starts on a free port; its address.
+    fn start(&self) -> std::net::SocketAddrV4 {
+        let recorder = self.clone();
+        let server = HttpServer::new(move || {
+            App::new()
+                .app_data(web::Data::new(recorder.clone()))
+                .default_service(web::to(record))
+        })
+        .workers(1)
+        .disable_signals()
+        .bind("127.0.0.1:0")
+        .unwrap();
+        let address = server.addrs()[0];
+        actix_web::rt::spawn(server.run());
+        match address {
+            std::net::SocketAddr::V4(address) => address,
+            std::net::SocketAddr::V6(address) => panic!("{address}"),
+        }
+    }
+}
+
+async fn record(
+    recorder: web::Data<Recorder>,
+    request: HttpRequest,
+    body: web::Bytes,
+) -> HttpResponse {
+    let hex: String = body.iter().map(|byte| format!("{byte:02x}")).collect();
+    let kind = request.headers().get("content-type");
+    let kind = kind.map_or("-", |kind| kind.to_str().unwrap());
+    let line = format!("{} {} {kind} {hex}\n", request.method(), request.uri());
+    recorder.requests.lock().unwrap().push_str(&line);
+    let (status, body) = recorder.answer.lock().unwrap().clone();
+    let status = actix_web::http::StatusCode::from_u16(status).unwrap();
+    HttpResponse::build(status)
+        .content_type(wire::CBOR)
+        .body(body)
+}
+
+fn http() -> awc::Client {
+    awc::Client::builder()
+        .timeout(Duration::from_secs(10))
+        .finish()
+}
+
+const LIMIT: Duration = Duration::from_secs(10);
+
+#[actix_web::test]
+async fn requests_to_the_state_service_keep_their_form() {
+    let recorder = Recorder::default();
+    let mut settings = Settings::parse(&common::settings_of_nobody(), "a test").unwrap();
+    settings.external.state = recorder.start();
+    let client = StoreClient::new(&settings, http());
+
+    let group = Group {
+        when: vec![Condition::new("kl/leader", 0), Condition::new("kl/term", 7)],
+        apply: vec![
+            Change::Put {
+                key: "kl/leader".to_owned(),
+                value: cbor!({"member" => "knot-1"}).unwrap(),
+                lease: Some(7),
+            },
+            Change::put("kl/term", cbor!({"term" => 41}).unwrap()),
+            Change::delete("kl/done/wk-000412/0"),
+        ],
+    };
+    recorder.answer(200, cbor!({"epoch" => 432}).unwrap());
+    assert_eq!(client.transact(&group).await, Outcome::Committed(432));
+    let compare = Group {
+        when: vec![Condition::new("kl/job/wk-000412", 0)],
+        apply: Vec::new(),
+    };
+    let failed = cbor!({"failed" => ["kl/job/wk-000412"], "epoch" => 431}).unwrap();
+    recorder.answer(409, failed);
+    assert_eq!(
+        client.transact(&compare).await,
+        Outcome::Conflict {
+            failed: vec!["kl/job/wk-000412".to_owned()],
+            revision: 431,
+        }
+    );
+
+    let row = cbor!({"path" => "kl/term", "v" => {"term" => 41}, "stamp" => 412, "hold" => 7});
+    recorder.answer(200, row.clone().unwrap());
+    let read = client.get("kl/term").await.unwrap().unwrap();
+    assert_eq!((read.key.as_str(), read.version), ("kl/term", 412));
+    recorder.answer(404, cbor!({"epoch" => 431}).unwrap());
+    assert!(client.get("kl/term").await.unwrap().is_none());
+
+    let page = cbor!({"rows" => [row.unwrap()], "more" => true, "epoch" => 431});
+    recorder.answer(200, page.unwrap());
+    let read = client.page("kl/", None).await.unwrap();
+    assert_eq!((read.rows.len(), read.more, read.revision), (1, true, 431));
+    client.page("kl/", Some("kl/term")).await.unwrap();
+
+    let followed = cbor!({"epoch" => 433, "events" => [
+        {"set" => "c/9", "v" => 5, "stamp" => 433}, {"drop" => "c/d", "stamp" => 432}
+    ]});
+    recorder.answer(200, followed.unwrap());
+    let hold = Duration::from_millis(1500);
+    let read = client.follow("kl/", 431, hold, LIMIT).await.unwrap();
+    assert_eq!(read.revision, 433);
+    assert_eq!(read.events[0].put.as_deref(), Some("c/9"));
+    assert_eq!(read.events[0].value, Some(Value::from(5)));
+    assert_eq!(read.events[1].delete.as_deref(), Some("c/d"));
+    assert_eq!(read.events[1].version, 432);
+    recorder.answer(410, cbor!({"error" => "gone"}).unwrap());
+    let read = client.follow("kl/", 1, hold, LIMIT).await;
+    assert_eq!(read.unwrap_err(), StoreError::TooOld);
+
+    recorder.answer(200, cbor!({"hold" => 7}).unwrap());
+    let lease = client.grant(Duration::from_millis(3200)).await.unwrap();
+    assert_eq!(lease, 7);
+    client.renew(lease, LIMIT).await.unwrap();
+    client.end(lease).await.unwrap();
+    recorder.answer(404, cbor!({"error" => "no such lease"}).unwrap());
+    let renewed = client.renew(lease, LIMIT).await;
+    assert_eq!(renewed.unwrap_err(), StoreError::LeaseOver);
+
+    fixture::assert_text("requests-state-service.txt", &recorder.requests());
+}
+
+#[actix_web::test]
+async fn requests_to_the_cloud_keep_their_form() {
+    let recorder = Recorder::default();
+    let client = CloudClient::new(recorder.start(), http());
+
+    let flavor = cbor!({"name" => "g8", "cores" => 96, "cards" => 8, "ramGb" => 768,
+        "localGb" => 200, "pullGbPerS" => 1.0, "rate" => 12.0, "marketPrice" => 4.5,
+        "bootS" => 45, "yards" => ["a", "b"]});
+    let flavors = cbor!({"builds" => [flavor.unwrap()]});
+    recorder.answer(200, flavors.unwrap());
+    let read = client.catalog().await.unwrap().remove(0);
+    let whole = Amount {
+        cpus: 96.0,
+        gpus: 8.0,
+        memory: 768.0,
+    };
+    assert_eq!((read.name.as_str(), read.room), ("g8", whole));
+    assert_eq!((read.price, read.spot_price), (12.0, 4.5));
+    assert_eq!(read.boot, Duration::from_secs(45));
+    assert_eq!((read.cache_gb, read.fetch_rate), (200.0, 1.0));
+    assert_eq!(read.zones, ["a", "b"]);
+
+    let hire = HireBody {
+        request: "kl-41-17".to_owned(),
+        build: "g8".to_owned(),
+        zone: "a".to_owned(),
+        spot: true,
+        count: 12,
+    };
+    recorder.answer(200, cbor!({"hosts" => ["m-000231"]}).unwrap());
+    assert_eq!(client.hire(&hire).await.unwrap(), ["m-000231"]);
+    recorder.answer(503, cbor!({"error" => "no capacity"}).unwrap());
+    let refused = client.hire(&hire).await.unwrap_err();
+    assert!(matches!(refused, CloudError::NoCapacity));
+
+    recorder.answer(200, cbor!({}).unwrap());
+    let machines = [MachineId("m-000231".into()), MachineId("m-000232".into())];
+    client.give_back(&machines).await.unwrap();
+
+    let listed = cbor!({"nameId" => "m-000231", "address" => "10.1.0.232:9000", "build" => "g8",
+        "yard" => "a", "loaners" => true, "status" => "running", "heldS" => 61.5});
+    let page = cbor!({"hosts" => [listed.unwrap()], "more" => true});
+    recorder.answer(200, page.unwrap());
+    let read = client.list_page(None).await.unwrap();
+    assert!(read.more);
+    fixture::assert_bytes("cloud-list-page.hex", &wire::encode(&read));
+    client.list_page(Some("m-000231")).await.unwrap();
+
+    fixture::assert_text("requests-cloud.txt", &recorder.requests());
+}
--- /dev/null
+++ b/tests/formats/wire.rs
@@ -0,0 +1,90 @@
+//! Bodies of users and workers.
+
+use knotlanding::wire::{
+    self, DirectOrders, JobBody, JobState, Order, Problem, Redirect, Report, ReportAnswer,
+};
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+
+use crate::fixture;
+use crate::peers::full_report;
+use crate::records::full_spec;
+
+fn assert_body<T: Serialize + DeserializeOwned>(name: &str, body: &T) {
+    fixture::assert_bytes(name, &wire::encode(body));
+    let read: T = wire::decode(&fixture::bytes(name)).unwrap();
+    fixture::assert_bytes(name, &wire::encode(&read));
+}
+
+#[test]
+fn submissions_are_read_as_before() {
+    let body = ciborium::cbor!({
+        "nameId" => "wk-000412", "lane" => "train", "owner" => "vision", "shape" => "group",
+        "rank" => "urgent", "strands" => 16, "cores" => 8.0, "cards" => 1.5, "ramGb" => 64.25,
+        "bundle" => "img-07", "sizeGb" => 6.2, "builds" => ["g8", "g4"], "yard" => "north",
+        "oneZone" => true, "apart" => true, "loaners" => true, "expectS" => 240.0,
+        "markEveryS" => 30.0, "markCostS" => 4, "dueS" => 900.0
+    });
+    fixture::assert_bytes("body-submission.hex", &wire::encode(&body.unwrap()));
+    let read: JobBody = wire::decode(&fixture::bytes("body-submission.hex")).unwrap();
+    fixture::assert_bytes("body-submission-again.hex", &wire::encode(&read));
+    assert_eq!(read.check().unwrap(), full_spec());
+}
+
+#[test]
+fn answers_to_users_keep_their_form() {
+    let state = JobState {
+        id: "wk-000412".to_owned(),
+        status: "running".to_owned(),
+        done: 3,
+        running: 13,
+    };
+    assert_body("body-job-state.hex", &state);
+    let problem = Problem {
+        error: "no such job".to_owned(),
+    };
+    fixture::assert_bytes("body-problem.hex", &wire::encode(&problem));
+}
+
+#[test]
+fn reports_and_their_answers_keep_their_form() {
+    assert_body("body-report.hex", &full_report());
+    let bare = ciborium::cbor!({
+        "host" => "m-000231", "tenure" => 1, "tally" => 88, "baton" => 41,
+        "strands" => [{"strand" => "wk-000412/3", "try" => 2, "status" => "exited",
+            "cause" => "a cause that is not known"}]
+    });
+    fixture::assert_bytes("body-report-bare.hex", &wire::encode(&bare.unwrap()));
+    let read: Report = wire::decode(&fixture::bytes("body-report-bare.hex")).unwrap();
+    fixture::assert_bytes("body-report-bare-again.hex", &wire::encode(&read));
+    let (task, attempt) = ("wk-000412/3".to_owned(), 0x2900000002);
+    let orders = vec![
+        Order::Run {
+            task: task.clone(),
+            attempt,
+        },
+        Order::Kill {
+            task: task.clone(),
+            attempt,
+            grace_s: 10.0,
+        },
+        Order::Clear { task, attempt },
+    ];
+    let answer = ReportAnswer {
+        token: 41 << 20,
+        orders: orders.clone(),
+    };
+    assert_body("body-report-answer.hex", &answer);
+    let direct = DirectOrders {
+        token: 41 << 20,
+        session: 2,
+        orders,
+    };
+    assert_body("body-direct-orders.hex", &direct);
+    for (name, report_to) in [
+        ("body-redirect.hex", Some("knot-2".to_owned())),
+        ("body-redirect-nowhere.hex", None),
+    ] {
+        assert_body(name, &Redirect { report_to });
+    }
+}
