--- a/tests/formats/admin.rs
+++ b/tests/formats/admin.rs
@@ -1,9 +1,15 @@
 //! The operators' interface: the fields of its JSON, by their paths.
 
 use std::collections::BTreeSet;
+use std::path::PathBuf;
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
+use knotlanding_links::gate::GateRefusal;
+use knotlanding_links::health::{HealthState, LostDirection};
+use knotlanding_links::leadership::{Connectivity, Decision};
+use knotlanding_links::link::LinkState;
+use serde::Serialize;
 use serde_json::Value;
 
 use crate::fixture;
@@ -146,3 +152,89 @@
         assert_eq!(code, 1, "{action}");
     }
 }
+
+/// All Rust sources of the program.
+fn sources() -> String {
+    let mut folders = vec![
+        PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("src"),
+        PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("crates/links/src"),
+    ];
+    let mut text = String::new();
+    while let Some(folder) = folders.pop() {
+        for entry in std::fs::read_dir(folder).unwrap() {
+            let path = entry.unwrap().path();
+            if path.is_dir() {
+                folders.push(path);
+            } else {
+                text.push_str(&std::fs::read_to_string(path).unwrap());
+            }
+        }
+    }
+    text
+}
+
+/// Operators' scripts may look for these.
+#[test]
+fn reasons_told_to_operators_stay() {
+    let sources = sources();
+    for file in ["pending-reasons.txt", "passed-over.txt"] {
+        for reason in fixture::text(file).lines() {
+            assert!(sources.contains(&format!("\"{reason}\"")), "{reason}");
+        }
+    }
+}
+
+fn lines<T: Serialize>(values: &[T]) -> String {
+    let lines = values
+        .iter()
+        .map(|value| serde_json::to_string(value).unwrap() + "\n");
+    lines.collect()
+}
+
+#[test]
+fn words_of_the_operators_json_stay() {
+    let connectivity = Connectivity {
+        store: true,
+        store_proven: false,
+        workers: 17,
+    };
+    let candidate = || "knot-2".to_owned();
+    let decisions = [
+        Decision::StayNobodyBetter,
+        Decision::StayHolding {
+            candidate: candidate(),
+        },
+        Decision::StayLimited {
+            candidate: candidate(),
+        },
+        Decision::HandOver {
+            candidate: candidate(),
+            own: connectivity,
+            theirs: connectivity,
+        },
+    ];
+    let mut text = lines(&decisions);
+    text += &lines(&[
+        GateRefusal::Unreadable,
+        GateRefusal::Unwritable,
+        GateRefusal::Flapping,
+    ]);
+    text += &lines(&[
+        HealthState::Healthy,
+        HealthState::Suspect,
+        HealthState::Unreachable,
+        HealthState::Unknown,
+    ]);
+    text += &lines(&[
+        LostDirection::FromWorker,
+        LostDirection::ToWorker,
+        LostDirection::Both,
+    ]);
+    text += &lines(&[
+        LinkState::Unknown,
+        LinkState::Up,
+        LinkState::Suspect,
+        LinkState::Down,
+    ]);
+    fixture::assert_text("admin-words.txt", &text);
+}
