--- a/src/actors/fleet.rs
+++ b/src/actors/fleet.rs
@@ -8,13 +8,13 @@
 
 use super::round::Shortages;
 use crate::cluster::{Catalog, Machine};
-use crate::config::secs;
 use crate::fleet::client::{CloudClient, CloudError};
 use crate::fleet::listing::MachineListing;
-use crate::fleet::{self, Action, FleetView, Market, Offer, RENTAL_SIZE_MAX};
-use crate::model::{MachineId, Term};
+use crate::fleet::{self, Action, FleetView, Market, RENTAL_SIZE_MAX};
+use crate::model::{MachineId, Offer, Term};
+use crate::rate_limit::Bucket;
 use crate::service::Shared;
-use crate::store::limiter::Bucket;
+use crate::time::secs;
 use crate::wire::HireBody;
 
 /// Time between two looks at the fleet.
--- a/src/actors/forward.rs
+++ b/src/actors/forward.rs
@@ -11,13 +11,13 @@
 use awc::Client;
 use tracing::{debug, info};
 
+use crate::forwarding::messages::{BatchAnswer, ReportBatch, BATCH_BODY_LIMIT, BATCH_VERSION};
+use crate::forwarding::{gather_time, PathFailure, QueuedReport, BATCH_LIMIT};
 use crate::leader::{KnownLeader, Standing};
-use crate::peer::forwarding::{gather_time, PathFailure, QueuedReport, BATCH_LIMIT};
-use crate::peer::reports::{
-    unix_ms, BatchAnswer, ReportBatch, BATCH_BODY_LIMIT, BATCH_VERSION, REPORTS,
-};
+use crate::peer::reports::REPORTS;
 use crate::peer::{self, BINCODE};
 use crate::service::Shared;
+use crate::time::unix_ms;
 
 /// The actor.
 pub struct ForwardActor {
--- a/src/actors/leader.rs
+++ b/src/actors/leader.rs
@@ -12,7 +12,7 @@
 use tracing::{debug, info, warn};
 
 use crate::cluster::Cluster;
-use crate::leader::{lease_time, renew_every, Lead, OwnLease};
+use crate::leader::{Lead, OwnLease};
 use crate::model::Term;
 use crate::service::Shared;
 use crate::store::actor::{Commit, SetLeading, StoreActor};
@@ -20,6 +20,7 @@
 use crate::store::keys::{self, LeaderRecord, TermRecord};
 use crate::store::replica::Versioned;
 use crate::store::{to_value, Change, Condition, Group, StoreError, Urgency};
+use crate::timing::{lease_time, renew_every};
 
 /// Renewals under way at once. One without an answer holds up no other, and an answer that is
 /// taken up late still counts, from the renewal's sending.
@@ -85,7 +86,7 @@
             shared.role.lock().renewed(lease, sent);
             // After a gap the lease may last again, but the replica is old.
             if shared.role.lock().wants_proof(Instant::now()) {
-                shared.wake_reader.notify_one();
+                shared.replica.request_read();
             }
         }
         Err(StoreError::LeaseOver) => {
@@ -288,7 +289,7 @@
         self.shared.metrics.lock().counts.terms += 1;
         self.store.do_send(SetLeading(true));
         // Starts wait for a read that is newer than the election.
-        self.shared.wake_reader.notify_one();
+        self.shared.replica.request_read();
         self.shared.wake_round.notify_one();
     }
 
@@ -425,7 +426,7 @@
         match outcome {
             Ok(crate::store::Outcome::Committed(revision)) => {
                 // The records show it in a moment, and with it all that was written before.
-                let mut changed = self.shared.revision.subscribe();
+                let mut changed = self.shared.replica.subscribe();
                 let shown = changed.wait_for(|reached| *reached >= revision);
                 let _ = actix::clock::timeout(SHOWS_WITHIN, shown).await;
                 Duration::ZERO
--- a/src/actors/peers.rs
+++ b/src/actors/peers.rs
@@ -15,10 +15,9 @@
 use knotlanding_links::contact::PeerContactAnswer;
 use knotlanding_links::misdirected::MANY_MISDIRECTED;
 
+use crate::digest::{Digest, DigestContents, DigestRecipient, DigestReply, DIGEST_LIMIT};
 use crate::model::Term;
-use crate::peer::digest::{
-    Digest, DigestContents, DigestRecipient, DigestReply, DIGEST, DIGEST_LIMIT,
-};
+use crate::peer::digest::DIGEST;
 use crate::peer::{self, cancelled, contact};
 use crate::service::Shared;
 use crate::store::actor::{Commit, StoreActor};
--- a/src/actors/round.rs
+++ b/src/actors/round.rs
@@ -13,9 +13,10 @@
 use tracing::{debug, info};
 
 use crate::cluster::{Direct, RecordWrite, ReportSource, Verified};
+use crate::demand::Short;
 use crate::leader::Lead;
 use crate::model::{Term, Token};
-use crate::sched::{self, Decisions, Short};
+use crate::sched::{self, Decisions};
 use crate::service::Shared;
 use crate::store::actor::{Commit, StoreActor};
 use crate::store::{keys, Condition, Outcome, StoreError};
--- a/src/api/users.rs
+++ b/src/api/users.rs
@@ -11,11 +11,12 @@
 use super::{cbor, later, problem};
 use crate::cluster::Catalog;
 use crate::model::{Amount, JobId, JobSpec, Rank, Shape, Verdict};
-use crate::sched::Policy;
+use crate::policy::Policy;
 use crate::service::Shared;
 use crate::store::actor::{Commit, ReadVerdict, StoreActor};
 use crate::store::keys::{self, JobRecord, LiveRecord};
 use crate::store::{to_value, Change, Condition, Group, Outcome, StoreError, Urgency};
+use crate::time::unix_ms;
 use crate::wire::{self, JobBody, JobState};
 
 /// A submission is answered by then, while its user still waits.
@@ -202,9 +203,7 @@
     let tasks = spec.tasks;
     debug!(job = %id, class = %spec.class, team = %spec.team, rank = ?spec.rank, tasks,
         need = ?spec.need, "submitted");
-    let submitted_ms = SystemTime::now()
-        .duration_since(SystemTime::UNIX_EPOCH)
-        .map_or(0, |since| since.as_millis() as u64);
+    let submitted_ms = unix_ms(SystemTime::now());
     // When more is asked than can be written, what has time waits for what has none.
     let urgency = if spec.rank == Rank::BestEffort {
         Urgency::Low
--- a/src/api/workers.rs
+++ b/src/api/workers.rs
@@ -7,10 +7,10 @@
 use actix_web::{web, HttpRequest, HttpResponse};
 
 use super::{cbor, problem};
+use crate::forwarding::messages::ForwardedAnswer;
+use crate::forwarding::{PendingReport, QueueFull, Route, ANSWER_LIMIT};
 use crate::leader::{KnownLeader, Standing};
 use crate::model::Token;
-use crate::peer::forwarding::{PendingReport, QueueFull, Route, ANSWER_LIMIT};
-use crate::peer::reports::ForwardedAnswer;
 use crate::service::reports::{decide, ReportDecision};
 use crate::service::{OpenConnection, Shared};
 use crate::wire::{self, Redirect, Report};
--- a/src/sched/rooms.rs
+++ b/src/capacity/mod.rs
@@ -1,9 +1,11 @@
 //! Free room by machine, and places about to come free, as one round sees them.
 
+pub mod price_cap;
+
 use std::collections::HashMap;
 use std::time::Instant;
 
-use super::price_cap::too_dear;
+use self::price_cap::too_dear;
 use crate::cluster::{build_named, Cluster, ImageId, Kind, KindId, Machine};
 use crate::model::{Amount, Build, JobSpec};
 
--- a/src/cluster/commands.rs
+++ b/src/cluster/commands.rs
@@ -4,9 +4,9 @@
 use std::time::{Duration, Instant};
 
 use super::{Cluster, Job, Machine, Phase, Slot, SlotId, Timing};
+use crate::digest::{Counts, DigestContents, Hint};
 use crate::model::{JobId, MachineId, Token};
-use crate::peer::digest::{Counts, DigestContents, Hint};
-use crate::store::limiter::Bucket;
+use crate::rate_limit::Bucket;
 use crate::wire::{DirectOrders, Order};
 
 /// A stop is repeated in reports' answers; straight to the machine only after this long.
--- a/src/cluster/job.rs
+++ b/src/cluster/job.rs
@@ -185,7 +185,7 @@
 
     /// When it is due.
     pub fn due(&self) -> Option<Instant> {
-        let after = crate::config::secs(self.spec.due_s?);
+        let after = crate::time::secs(self.spec.due_s?);
         self.submitted.checked_add(after)
     }
 }
--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -32,63 +32,17 @@
 use knotlanding_links::reachability::hears_few;
 
 use self::sent::SentLists;
-use crate::config::{secs, Settings};
-use crate::leader::{keep_alive_time, DRIFT};
+use crate::config::Settings;
+use crate::digest::{DigestView, Hint};
 use crate::model::{Amount, Attempt, Build, JobId, MachineId, TaskId, Term};
-use crate::peer::digest::{DigestView, Hint};
 use crate::store::replica::Replica;
+use crate::timing::Timing;
 
-/// Added to a worker's lease before we count on its end: timers fire late, and the worker
-/// needs a moment to kill its tasks.
-const LEASE_MARGIN: Duration = Duration::from_secs(1);
-/// Reports missed before a machine counts as silent for placement.
-const QUIET_REPORTS: f64 = 2.5;
-/// Reports missed before a machine is given up and returned.
-const LOST_REPORTS: f64 = 3.0;
 /// The longest interval between two reports, in parts of the usual one.
 const LATE_REPORT: f64 = 1.25;
 /// A worker waits that long for an answer before it turns to another node, by the protocol.
 const WORKER_GIVES_UP: Duration = Duration::from_secs(4);
 
-/// The workers' timing as durations.
-#[derive(Clone, Debug)]
-pub struct Timing {
-    /// Time between reports.
-    pub report: Duration,
-    /// A worker's lease, as long as it may last on a slow clock, and a margin.
-    pub lease: Duration,
-    /// No placement on a machine silent for that long.
-    pub quiet: Duration,
-    /// A machine silent for that long is given up.
-    pub lost: Duration,
-    /// When a worker that nobody of this term has answered has lost what an earlier leader let
-    /// start on it, counted from the take-over: the lead before ended then, whoever had it may
-    /// have kept leases alive for its time, and a lease counts from the report answered.
-    pub inherited_lease: Duration,
-    /// How soon members of a gang notice a missing one.
-    pub gang_peer: Duration,
-    /// How long a member waits for the others.
-    pub gang_wait: Duration,
-}
-
-impl Timing {
-    /// From the settings.
-    pub fn new(settings: &Settings) -> Self {
-        let w = &settings.params.workers;
-        Self {
-            report: secs(w.report_s),
-            lease: secs(w.lease_s * (1.0 + DRIFT)) + LEASE_MARGIN,
-            quiet: secs(w.report_s * QUIET_REPORTS),
-            lost: secs(w.report_s * LOST_REPORTS),
-            inherited_lease: secs(w.lease_s * (1.0 + DRIFT))
-                + LEASE_MARGIN
-                + keep_alive_time(settings),
-            gang_peer: secs(w.gang_peer_s),
-            gang_wait: secs(w.gang_wait_s),
-        }
-    }
-}
-
 /// The machine types as last read, shared read-only.
 pub type Catalog = Arc<Vec<Build>>;
 
--- a/src/cluster/report.rs
+++ b/src/cluster/report.rs
@@ -8,8 +8,8 @@
 use super::commands::stop_order;
 use super::machine::{Drain, Machine, Phase, Slot, SlotId};
 use super::{build_named, Cluster, Place};
-use crate::config::secs;
 use crate::model::{Attempt, JobId, MachineId, TaskId, Token};
+use crate::time::secs;
 use crate::wire::{Cause, Order, Report, ReportedTask, TaskPhase};
 
 /// Jobs of which a machine's slowdown is compared with the others'.
--- a/src/cluster/sync.rs
+++ b/src/cluster/sync.rs
@@ -6,11 +6,11 @@
 
 use super::done::DoneSet;
 use super::{Cluster, Durable, Job, Listed, Machine, Sent};
-use crate::config::secs;
-use crate::model::{JobId, MachineId, Verdict};
-use crate::peer::digest::GONE_MACHINES_KEPT;
+use crate::digest::GONE_MACHINES_KEPT;
+use crate::model::{JobId, MachineId, Offer, Verdict};
 use crate::store::keys;
 use crate::store::replica::Replica;
+use crate::time::{secs, unix_ms};
 use crate::wire::ListedMachine;
 
 impl Cluster {
@@ -60,10 +60,8 @@
         if let Some(listed) = listed {
             sent.add(listed);
         }
-        let wall_ms = wall
-            .duration_since(SystemTime::UNIX_EPOCH)
-            .map_or(0, |d| d.as_millis() as u64);
-        let age = Duration::from_millis(wall_ms.saturating_sub(record.submitted_ms));
+        let age_ms = unix_ms(wall).saturating_sub(record.submitted_ms);
+        let age = Duration::from_millis(age_ms);
         let mut done = DoneSet::new(record.spec.tasks, self.chunk);
         for (chunk, digits) in replica.done_chunks(id) {
             done.mark_durable(chunk, &digits.bits);
@@ -140,7 +138,7 @@
     }
 
     /// Takes machines the cloud has given us.
-    pub fn hired(&mut self, names: &[String], offer: &crate::fleet::Offer, now: Instant) {
+    pub fn hired(&mut self, names: &[String], offer: &Offer, now: Instant) {
         for name in names {
             let id = MachineId(name.as_str().into());
             if self.departed.contains(&id) {
--- a/src/config.rs
+++ b/src/config.rs
@@ -4,7 +4,6 @@
 
 use std::net::SocketAddrV4;
 use std::path::Path;
-use std::time::Duration;
 
 use serde::Deserialize;
 use thiserror::Error;
@@ -188,11 +187,6 @@
     pub params: Params,
 }
 
-/// Turns a number of seconds from outside into a duration; nonsense becomes zero.
-pub fn secs(value: f64) -> Duration {
-    Duration::try_from_secs_f64(value).unwrap_or(Duration::ZERO)
-}
-
 impl Settings {
     /// Reads and checks a settings file.
     pub fn load(path: &Path) -> Result<Self, ConfigError> {
--- a/src/peer/digest/tests.rs
+++ b/src/digest/tests.rs
@@ -1,6 +1,7 @@
 //! Tests of [`super`].
 
 use super::*;
+use crate::peer::{decode, encode};
 
 fn news(done: u32) -> DigestContents {
     DigestContents {
--- a/src/fleet/idle.rs
+++ b/src/fleet/idle.rs
@@ -4,10 +4,10 @@
 use std::time::{Duration, Instant};
 
 use super::lost::cut_off;
-use super::{FleetView, Market, Offer};
+use super::{FleetView, Market};
 use crate::cluster::{build_named, Cluster, Kind, KindId, Machine, ARRIVALS_KEPT};
-use crate::model::{Build, JobSpec, MachineId};
-use crate::sched::Policy;
+use crate::model::{Build, JobSpec, MachineId, Offer};
+use crate::policy::Policy;
 
 /// Arrivals needed to say anything about the time between them.
 const ARRIVALS_MIN: usize = 5;
@@ -167,5 +167,5 @@
 fn idle_time_limit(machine: &Machine, build: &Build) -> Duration {
     let images: f64 = machine.images.iter().map(|(_, gb)| gb).sum();
     let fetch = images / build.fetch_rate.max(f64::MIN_POSITIVE);
-    build.boot + crate::config::secs(fetch)
+    build.boot + crate::time::secs(fetch)
 }
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -11,8 +11,9 @@
 use std::time::{Duration, Instant};
 
 use crate::cluster::Cluster;
-use crate::model::MachineId;
-use crate::sched::{Policy, Short};
+use crate::demand::Short;
+use crate::model::{MachineId, Offer};
+use crate::policy::Policy;
 pub use lost::see_cuts;
 use planner::Planner;
 
@@ -25,17 +26,6 @@
 /// How long a refusal counts against the hope to get such a machine again.
 const REFUSAL_REMEMBERED: Duration = Duration::from_secs(120);
 
-/// A kind of machine that can be asked for.
-#[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Offer {
-    /// Type.
-    pub build: String,
-    /// Zone.
-    pub zone: String,
-    /// Spot or ordinary.
-    pub spot: bool,
-}
-
 /// What the fleet decides.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
--- a/src/fleet/planner.rs
+++ b/src/fleet/planner.rs
@@ -5,11 +5,13 @@
 
 use super::idle::Demand;
 use super::lost::cut_off;
-use super::{FleetView, IdlePolicy, Market, Offer};
+use super::{FleetView, IdlePolicy, Market};
+use crate::capacity::price_cap;
+use crate::capacity::{Departures, Rooms};
 use crate::cluster::{Cluster, Kind, Machine};
-use crate::model::{Amount, Build, JobSpec, MachineId};
-use crate::sched::rooms::{Departures, Rooms};
-use crate::sched::{price_cap, Policy, Short};
+use crate::demand::Short;
+use crate::model::{Amount, Build, JobSpec, MachineId, Offer};
+use crate::policy::Policy;
 
 /// A boot of this many times its nominal time no longer counts on as room to come.
 const LATE_BOOT: f64 = 1.8;
--- a/src/peer/forwarding.rs
+++ b/src/forwarding/mod.rs
@@ -5,12 +5,14 @@
 //! of it and sends them. A follower decides nothing about a report: it passes an answer on, once,
 //! to the connection on which the report came, and only while the worker can still be waiting.
 
+pub mod messages;
+
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
 use tokio::sync::oneshot;
 
-use super::reports::{ForwardedAnswer, ForwardedReport};
+use self::messages::{ForwardedAnswer, ForwardedReport};
 use crate::config::Settings;
 use crate::leader::KnownLeader;
 use crate::model::Token;
--- a/src/peer/forwarding/tests.rs
+++ b/src/forwarding/tests.rs
@@ -209,7 +209,7 @@
 #[test]
 fn reports_gather_longer_where_the_processor_is_small() {
     let gather = |cores: f64, nodes: usize| {
-        let text = include_str!("../../../deploy/example.toml");
+        let text = include_str!("../../deploy/example.toml");
         let mut settings = Settings::parse(text, "a test").unwrap();
         settings.params.resources.cores = cores;
         settings.params.count = nodes;
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -5,33 +5,10 @@
 
 use std::time::{Duration, Instant};
 
-use crate::config::{secs, Settings};
+use crate::config::Settings;
 use crate::model::Term;
-use crate::store::actor::{LEADER_WATCH_HOLD, WATCH_GRACE, WATCH_HOLD};
 use crate::store::keys::LeaderRecord;
-
-/// Shortest time of the leader's lease: short enough that a crash is hardly noticed, long enough
-/// that a slow answer of the state service or a late timer costs no leadership.
-pub const LEASE_TIME_MIN: Duration = Duration::from_secs(3);
-/// Processor time that a lease must give: workers come to a new leader all at once, and nothing
-/// of a small machine goes on before it has paid for what they cost.
-const RECONNECT_CPU_S: f64 = 0.12;
-/// A lead that takes longer to be noticed as lost is worse than one lost for slowness.
-const LEASE_TIME_MAX: Duration = Duration::from_secs(8);
-/// Parts of the lease between two renewals: three may fail before the lease does.
-const RENEWALS: f64 = 0.7 / 3.0;
-
-/// Time of the leader's lease on a machine with such a share of a processor.
-pub fn lease_time(settings: &Settings) -> Duration {
-    let cores = settings.params.resources.cores;
-    let reconnects = Duration::try_from_secs_f64(RECONNECT_CPU_S / cores).unwrap_or(LEASE_TIME_MAX);
-    reconnects.clamp(LEASE_TIME_MIN, LEASE_TIME_MAX)
-}
-
-/// Time between two renewals of such a lease.
-pub fn renew_every(lease: Duration) -> Duration {
-    lease.mul_f64(RENEWALS)
-}
+use crate::timing::{answering, keep_alive_time, lease_time, slowness, start_freshness};
 
 /// Taken off our side of the lease: drift of the clocks and the time between looking at the
 /// clock and acting.
@@ -39,37 +16,6 @@
 /// How long a node that gave up its lead lets the others go first. Should none of them be able
 /// to lead, this is what it costs.
 const ELECTION_BACKOFF: Duration = Duration::from_secs(5);
-/// Kept free of a cancellation's time when we answer reports: timers that fire late, and the
-/// moment that a worker takes to kill its tasks.
-const CANCEL_MARGIN: Duration = Duration::from_secs(2);
-/// Clocks of two machines may drift apart by this part.
-pub const DRIFT: f64 = 0.0005;
-/// Oldest replica from which starts are decided and sent: a watch that is answered just before
-/// the next one ends, and one that is answered late.
-fn start_freshness(slowness: f64) -> Duration {
-    LEADER_WATCH_HOLD * 2 + WATCH_GRACE.mul_f64(slowness)
-}
-
-/// How many times as long as on a machine of usual size an answer may take to be taken up.
-pub fn slowness(settings: &Settings) -> f64 {
-    lease_time(settings).as_secs_f64() / LEASE_TIME_MIN.as_secs_f64()
-}
-
-/// How old our replica may be when a report is answered with 200. A job may have been cancelled,
-/// unseen by us, from the moment on up to which the replica is complete; its tasks must be gone
-/// `cancel_s` later, and an answer lets them live for a lease.
-pub fn answering(settings: &Settings) -> Duration {
-    let w = &settings.params.workers;
-    let drift = w.cancel_s * 2.0 * DRIFT;
-    secs(w.cancel_s - w.lease_s - drift).saturating_sub(CANCEL_MARGIN)
-}
-
-/// How long after its lease a leader goes on answering reports at most, however fresh its replica
-/// is. A new leader counts on that for machines that it can't hear.
-pub fn keep_alive_time(settings: &Settings) -> Duration {
-    answering(settings).saturating_sub(WATCH_HOLD + WATCH_GRACE)
-}
-
 /// How complete this process's replica is. The only owner of that fact: whatever was confirmed to
 /// anybody before the newest read that was answered is in the replica, and in the cluster state made from it.
 ///
--- a/src/leader/tests.rs
+++ b/src/leader/tests.rs
@@ -1,6 +1,7 @@
 //! Tests of [`super`].
 
 use super::*;
+use crate::timing::LEASE_TIME_MIN;
 
 fn role(now: Instant) -> Role {
     let mut role = Role {
@@ -125,19 +126,7 @@
 /// Seen on a lean site: three leaders within twelve seconds of a quiet day, each lost to the burst
 /// of workers that came to it.
 #[test]
-fn a_small_machine_has_a_longer_lease_and_late_renewals_count_from_their_sending() {
-    let text = include_str!("../../deploy/example.toml");
-    let mut settings = Settings::parse(text, "the example").unwrap();
-    let mut lease_of = |cores: f64| {
-        settings.params.resources.cores = cores;
-        lease_time(&settings)
-    };
-    assert_eq!(lease_of(1.0), LEASE_TIME_MIN);
-    assert_eq!(lease_of(0.16), LEASE_TIME_MIN);
-    assert!(lease_of(0.029) > LEASE_TIME_MIN);
-    assert!(lease_of(0.02) > lease_of(0.029));
-    assert_eq!(lease_of(0.0001), LEASE_TIME_MAX);
-    assert_eq!(lease_of(0.0), LEASE_TIME_MAX);
+fn late_renewals_count_from_their_sending() {
     let start = Instant::now();
     let mut role = role(start);
     let at = |ms: u64| start + Duration::from_millis(ms);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -7,19 +7,27 @@
 
 pub mod actors;
 pub mod api;
+pub mod capacity;
 pub mod cli;
 pub mod cluster;
 pub mod config;
+pub mod demand;
+pub mod digest;
 pub mod features;
 pub mod fleet;
+pub mod forwarding;
 pub mod http;
 pub mod leader;
 pub mod metrics;
 pub mod model;
 pub mod peer;
+pub mod policy;
+pub mod rate_limit;
 pub mod run;
 pub mod sched;
 pub mod service;
 pub mod sockets;
 pub mod store;
+pub mod time;
+pub mod timing;
 pub mod wire;
--- a/src/model.rs
+++ b/src/model.rs
@@ -285,7 +285,7 @@
 
     /// The owner's estimate as a duration.
     pub fn estimate(&self) -> Duration {
-        crate::config::secs(self.estimate_s)
+        crate::time::secs(self.estimate_s)
     }
 
     /// Most tasks in one zone, where the job asks for spread.
@@ -340,6 +340,17 @@
     }
 }
 
+/// A kind of machine that can be asked for.
+#[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub struct Offer {
+    /// Type.
+    pub build: String,
+    /// Zone.
+    pub zone: String,
+    /// Spot or ordinary.
+    pub spot: bool,
+}
+
 /// What is known for good of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
--- a/src/peer/contact.rs
+++ b/src/peer/contact.rs
@@ -3,7 +3,7 @@
 use actix_web::{web, HttpResponse};
 
 use crate::service::Shared;
-use crate::store::actor::{WATCH_GRACE, WATCH_HOLD};
+use crate::timing::{WATCH_GRACE, WATCH_HOLD};
 
 /// Path of the question. Its name dates from 0.1.0 and stays for the sake of older nodes.
 pub const CONTACT: &str = "/peer/pulse";
--- a/src/peer/links.rs
+++ b/src/peer/links.rs
@@ -7,10 +7,10 @@
 use actix_web::{web, HttpResponse};
 use knotlanding_links::row::{RowMessage, RowRejection, RowReply, ROW_VERSION};
 
-use super::reports::unix_ms;
 use super::{decode, decode_prefix, encode, BINCODE};
 use crate::service::links::ActiveLinks;
 use crate::service::Shared;
+use crate::time::unix_ms;
 
 /// Path of rows.
 pub const LINKS: &str = "/peer/links";
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -2,13 +2,12 @@
 //! [`crate::api::admin`] on the same address.
 //!
 //! [`digest`] is what the leader tells the others once a second, [`cancelled`] what users called
-//! off, [`contact`] whether a node has the state service, [`reports`] and [`forwarding`] how
+//! off, [`contact`] whether a node has the state service, [`reports`] and [`crate::forwarding`] how
 //! workers' reports get from a follower to the leader, [`links`] how well the nodes are connected.
 
 pub mod cancelled;
 pub mod contact;
 pub mod digest;
-pub mod forwarding;
 pub mod links;
 pub mod reports;
 
@@ -22,7 +21,7 @@
 /// Most memory that a decoded message may take. `bincode` counts a list by the size of its items in
 /// memory, which is several times that of the message: with the limit of the body itself, a digest of
 /// 4,000 machines arrived whole and could not be decoded.
-const MESSAGE_LIMIT: usize = 8 * digest::DIGEST_LIMIT;
+const MESSAGE_LIMIT: usize = 8 * crate::digest::DIGEST_LIMIT;
 
 /// Encodes for a peer.
 pub fn encode<T: Serialize>(value: &T) -> Option<Vec<u8>> {
@@ -50,7 +49,7 @@
     config
         .service(
             web::resource(digest::DIGEST)
-                .app_data(web::PayloadConfig::new(digest::DIGEST_LIMIT))
+                .app_data(web::PayloadConfig::new(crate::digest::DIGEST_LIMIT))
                 .route(web::post().to(digest::take_digest)),
         )
         .service(
@@ -60,7 +59,9 @@
         )
         .service(
             web::resource(reports::REPORTS)
-                .app_data(web::PayloadConfig::new(reports::BATCH_BODY_LIMIT))
+                .app_data(web::PayloadConfig::new(
+                    crate::forwarding::messages::BATCH_BODY_LIMIT,
+                ))
                 .route(web::post().to(reports::reports)),
         )
         .service(
--- a/src/peer/reports.rs
+++ b/src/peer/reports.rs
@@ -8,179 +8,23 @@
 
 use actix_web::http::StatusCode;
 use actix_web::{web, HttpResponse};
-use serde::{Deserialize, Serialize};
 use thiserror::Error;
 use tracing::{debug, warn};
 
 use super::BINCODE;
+use crate::forwarding::messages::{BatchAnswer, ForwardedAnswer, ReportBatch, BATCH_VERSION};
 use crate::leader::Standing;
-use crate::model::Term;
 use crate::service::reports::{decide, ReportDecision};
 use crate::service::Shared;
-use crate::wire::{Order, Report, ReportAnswer, ReportedTask};
+use crate::time::unix_ms;
+use crate::wire::Report;
 
 /// Path of forwarded reports.
 pub const REPORTS: &str = "/peer/reports";
-/// Version of [`ReportBatch`] and [`BatchAnswer`].
-pub const BATCH_VERSION: u16 = 1;
-/// Largest body of a batch that is taken. Senders keep well below it, see
-/// [`super::forwarding::BATCH_BYTES_MAX`].
-pub const BATCH_BODY_LIMIT: usize = 1024 * 1024;
 /// A batch that was sent longer ago, by the time of day, is refused: no worker waits for its
 /// answers any more.
 pub const BATCH_AGE_MAX: Duration = Duration::from_secs(4);
 
-/// Reports that arrived at a follower at about the same time.
-#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct ReportBatch {
-    /// [`BATCH_VERSION`]; first, so that it can be read whatever follows.
-    pub version: u16,
-    /// The follower.
-    pub member: String,
-    /// The term that the batch is meant for.
-    pub term: Term,
-    /// Time of day at the sending, in milliseconds since 1970.
-    pub sent_at_ms: u64,
-    /// The reports.
-    pub reports: Vec<ForwardedReport>,
-}
-
-/// A worker's report between nodes. [`Report`] itself takes numbers of any kind, which `bincode`
-/// cannot express.
-#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct ForwardedReport {
-    machine: String,
-    address: String,
-    build: String,
-    zone: String,
-    spot: bool,
-    session: u64,
-    seq: u64,
-    token: u64,
-    notice_s: Option<f64>,
-    tasks: Vec<ReportedTask>,
-}
-
-impl From<Report> for ForwardedReport {
-    fn from(report: Report) -> Self {
-        Self {
-            machine: report.machine,
-            address: report.address,
-            build: report.build,
-            zone: report.zone,
-            spot: report.spot,
-            session: report.session,
-            seq: report.seq,
-            token: report.token,
-            notice_s: report.notice_s,
-            tasks: report.tasks,
-        }
-    }
-}
-
-impl From<ForwardedReport> for Report {
-    fn from(report: ForwardedReport) -> Self {
-        Self {
-            machine: report.machine,
-            address: report.address,
-            build: report.build,
-            zone: report.zone,
-            spot: report.spot,
-            session: report.session,
-            seq: report.seq,
-            token: report.token,
-            notice_s: report.notice_s,
-            tasks: report.tasks,
-        }
-    }
-}
-
-/// A command between nodes. [`Order`] itself is tagged by a field, which `bincode` cannot read.
-#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct ForwardedOrder {
-    /// What to do.
-    pub verb: ForwardedVerb,
-    /// The task.
-    pub task: String,
-    /// The attempt.
-    pub attempt: u64,
-}
-
-/// What a [`ForwardedOrder`] wants.
-#[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub enum ForwardedVerb {
-    /// Start the task.
-    Run,
-    /// Stop it.
-    Kill {
-        /// Time to save.
-        grace_s: f64,
-    },
-    /// Forget it.
-    Clear,
-}
-
-impl From<Order> for ForwardedOrder {
-    fn from(order: Order) -> Self {
-        let (verb, task, attempt) = match order {
-            Order::Run { task, attempt } => (ForwardedVerb::Run, task, attempt),
-            Order::Kill {
-                task,
-                attempt,
-                grace_s,
-            } => (ForwardedVerb::Kill { grace_s }, task, attempt),
-            Order::Clear { task, attempt } => (ForwardedVerb::Clear, task, attempt),
-        };
-        Self {
-            verb,
-            task,
-            attempt,
-        }
-    }
-}
-
-impl From<ForwardedOrder> for Order {
-    fn from(order: ForwardedOrder) -> Self {
-        let (task, attempt) = (order.task, order.attempt);
-        match order.verb {
-            ForwardedVerb::Run => Self::Run { task, attempt },
-            ForwardedVerb::Kill { grace_s } => Self::Kill {
-                task,
-                attempt,
-                grace_s,
-            },
-            ForwardedVerb::Clear => Self::Clear { task, attempt },
-        }
-    }
-}
-
-/// The leader's decision on one report.
-#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum ForwardedAnswer {
-    /// The worker gets 200 with this token and these orders.
-    Accepted {
-        /// The token.
-        token: u64,
-        /// The orders.
-        orders: Vec<ForwardedOrder>,
-    },
-    /// The worker gets 503.
-    Unavailable,
-}
-
-impl ForwardedAnswer {
-    /// The body of the 200, if it is one.
-    pub fn accepted(self) -> Option<ReportAnswer> {
-        match self {
-            Self::Accepted { token, orders } => Some(ReportAnswer {
-                token,
-                orders: orders.into_iter().map(Order::from).collect(),
-            }),
-            Self::Unavailable => None,
-        }
-    }
-}
-
 impl From<ReportDecision> for ForwardedAnswer {
     fn from(decision: ReportDecision) -> Self {
         match decision {
@@ -193,15 +37,6 @@
     }
 }
 
-/// The leader's decisions, in the order of the reports.
-#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct BatchAnswer {
-    /// [`BATCH_VERSION`].
-    pub version: u16,
-    /// The decisions.
-    pub answers: Vec<ForwardedAnswer>,
-}
-
 /// Why a batch is refused whole.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum BatchError {
@@ -237,12 +72,6 @@
     }
 }
 
-/// Milliseconds since 1970; zero for a time before it.
-pub fn unix_ms(time: SystemTime) -> u64 {
-    let since = time.duration_since(SystemTime::UNIX_EPOCH);
-    since.map_or(0, |since| since.as_millis() as u64)
-}
-
 fn decode_batch(bytes: &[u8]) -> Result<ReportBatch, BatchError> {
     let version = super::decode_prefix::<u16>(bytes).ok_or(BatchError::Malformed)?;
     if version != BATCH_VERSION {
--- a/src/peer/reports/tests.rs
+++ b/src/peer/reports/tests.rs
@@ -3,10 +3,11 @@
 use super::*;
 use crate::cluster::Cluster;
 use crate::config::Settings;
+use crate::forwarding::messages::ForwardedReport;
 use crate::leader::{Lead, OwnLease};
-use crate::model::Token;
+use crate::model::{Term, Token};
 use crate::peer::{decode, encode};
-use crate::wire::TaskPhase;
+use crate::wire::{Order, ReportAnswer, ReportedTask, TaskPhase};
 use std::sync::Arc;
 
 const NOW_MS: u64 = 1_800_000_000_000;
--- a/src/run.rs
+++ b/src/run.rs
@@ -56,7 +56,8 @@
     let (for_store, most) = (shared.clone(), sockets.store);
     let store = StoreActor::start_in_arbiter(&records.handle(), move |_| {
         let client = StoreClient::new(&for_store.settings, http_client(most));
-        StoreActor::new(client, for_store)
+        let replica = for_store.replica.clone();
+        StoreActor::new(&for_store.settings.clone(), client, replica, for_store)
     });
     let shortages = Shortages::default();
 
--- a/src/sched/allocate.rs
+++ b/src/sched/allocate.rs
@@ -4,8 +4,8 @@
 use std::collections::{BinaryHeap, HashMap, HashSet};
 
 use super::order::overdue;
-use super::rooms::{Departures, Room, Rooms};
 use super::{zones_of, View};
+use crate::capacity::{Departures, Room, Rooms};
 use crate::cluster::{ImageId, Job, Phase};
 use crate::model::{Amount, JobSpec, MachineId};
 
--- a/src/sched/order.rs
+++ b/src/sched/order.rs
@@ -4,9 +4,9 @@
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
 
-use super::Policy;
 use crate::cluster::{Cluster, Job};
 use crate::model::{Amount, JobId, Rank};
+use crate::policy::Policy;
 
 /// Every job, the largest too, has to begin within this time of its submission.
 const BEGIN_WITHIN: Duration = Duration::from_secs(240);
@@ -44,7 +44,7 @@
 /// The times by which a job should be over, first things first: its deadline, else what the
 /// aims allow its class.
 fn targets(job: &Job, policy: &Policy) -> Vec<Instant> {
-    if let Some(due) = job.spec.due_s.map(crate::config::secs) {
+    if let Some(due) = job.spec.due_s.map(crate::time::secs) {
         let times = policy
             .deadlines
             .get(&job.spec.class)
--- a/src/sched/preempt.rs
+++ b/src/sched/preempt.rs
@@ -6,10 +6,11 @@
 
 use super::allocate;
 use super::order::{Entry, Ordered};
-use super::rooms::{Departures, Rooms};
-use super::{Decisions, Policy, TaskStop, View};
+use super::{Decisions, TaskStop, View};
+use crate::capacity::{Departures, Rooms};
 use crate::cluster::{build_named, Cluster, Drain, Job, Machine, Phase, Slot, SlotId};
 use crate::model::{Amount, JobId, MachineId, TaskId};
+use crate::policy::Policy;
 
 /// Stopping, saving and starting take about this long: room that comes free sooner is waited
 /// for, whatever the aims.
@@ -29,7 +30,7 @@
 fn claims_guarantee(policy: &Policy, claimant: &Entry, now: Instant) -> bool {
     let waited = now.saturating_duration_since(claimant.job.submitted);
     let wait_limit = match policy.guarantee {
-        Some(within) => within.saturating_sub(crate::config::secs(WAIT_FOR_ROOM_MIN_S)),
+        Some(within) => within.saturating_sub(crate::time::secs(WAIT_FOR_ROOM_MIN_S)),
         None => GUARANTEE_WAIT,
     };
     claimant.guaranteed && waited >= wait_limit
@@ -474,7 +475,7 @@
             }
             let not_begun = !matches!(slot.phase, Phase::Running | Phase::Flushing);
             let time = machine.leaves.map(|at| at.saturating_duration_since(now));
-            let grace = crate::config::secs(job.spec.grace()) + STOP_ARRIVES;
+            let grace = crate::time::secs(job.spec.grace()) + STOP_ARRIVES;
             let go = match time {
                 // Saving takes its time; until then the task may still complete.
                 Some(time) if job.spec.saves() && !not_begun => time <= grace + STOP_ARRIVES,
--- a/src/service/links.rs
+++ b/src/service/links.rs
@@ -24,11 +24,12 @@
 use parking_lot::Mutex;
 use tracing::{info, warn};
 
-use crate::config::{secs, Settings};
+use crate::config::Settings;
 use crate::features::LinkFeatures;
-use crate::leader::lease_time;
 use crate::metrics::LinkMetrics;
-use crate::peer::reports::unix_ms;
+use crate::time::secs;
+use crate::time::unix_ms;
+use crate::timing::lease_time;
 use crate::wire::Report;
 
 /// Time between two rows.
--- a/src/service/mod.rs
+++ b/src/service/mod.rs
@@ -13,22 +13,24 @@
 
 use knotlanding_links::table::StoreOperation;
 use parking_lot::Mutex;
-use tokio::sync::{watch, Notify};
+use tokio::sync::Notify;
 use tracing::warn;
 
 use crate::cluster::{Catalog, Cluster, Drain};
 use crate::config::Settings;
+use crate::digest::DigestView;
 use crate::features::Features;
+use crate::forwarding::{Forwarding, QueueLimits};
 use crate::leader::{Lead, Role};
 use crate::metrics::{resident_bytes, Metrics, MetricsView};
 use crate::model::{JobId, MachineId};
-use crate::peer::digest::DigestView;
-use crate::peer::forwarding::{Forwarding, QueueLimits};
-use crate::sched::Policy;
+use crate::policy::Policy;
+use crate::rate_limit::Bucket;
 use crate::sockets::Sockets;
 use crate::store::from_value;
-use crate::store::limiter::Bucket;
+use crate::store::observer::StoreObserver;
 use crate::store::replica::{Replica, ReplicaChange};
+use crate::store::shared_replica::SharedReplica;
 use links::LinkMonitor;
 use operator::OperatorSettings;
 
@@ -69,9 +71,7 @@
     /// What scheduling needs of them.
     pub policy: Policy,
     /// Our records.
-    pub replica: Mutex<Replica>,
-    /// The replica's revision, for those who wait for one.
-    pub revision: watch::Sender<u64>,
+    pub replica: Arc<SharedReplica>,
     /// Who leads.
     pub role: Mutex<Role>,
     /// The cluster state, while we lead.
@@ -104,8 +104,6 @@
     pub wake_peers: Notify,
     /// Wakes the election.
     pub wake_leader: Notify,
-    /// Wakes who reads the records: a question came, or a lead needs its proof.
-    pub wake_reader: Notify,
 }
 
 /// Cancelled jobs that may wait to be told to the other nodes. Their watches bring the rest.
@@ -150,10 +148,9 @@
             sockets,
             policy: Policy::new(&settings),
             role: Mutex::new(Role::new(&settings)),
-            replica: Mutex::new(Replica::keeping(most_verdicts(
+            replica: Arc::new(SharedReplica::new(Replica::keeping(most_verdicts(
                 settings.params.resources.mem_mb,
-            ))),
-            revision: watch::Sender::new(0),
+            )))),
             cluster: Mutex::default(),
             catalog: Mutex::default(),
             digest_view: Mutex::default(),
@@ -169,7 +166,6 @@
             cancelled: Mutex::default(),
             wake_peers: Notify::new(),
             wake_leader: Notify::new(),
-            wake_reader: Notify::new(),
             settings,
         })
     }
@@ -189,7 +185,7 @@
         };
         self.links.store_failed(operation, sent, now);
         if leads {
-            self.wake_reader.notify_one();
+            self.replica.request_read();
         }
     }
 
@@ -315,3 +311,33 @@
         self.wake_round.notify_one();
     }
 }
+
+impl StoreObserver for Shared {
+    fn request_answered(&self, operation: StoreOperation, sent: Instant) {
+        self.store_answered(operation, sent);
+    }
+
+    fn request_failed(&self, operation: StoreOperation, sent: Instant) {
+        self.store_failed(operation, sent);
+    }
+
+    fn events_received(&self, count: usize) {
+        self.metrics.lock().counts.replica_events += count as u64;
+    }
+
+    fn replica_changed(&self, changes: &[ReplicaChange]) {
+        self.tell(changes);
+    }
+
+    fn replica_confirmed(&self, sent: Instant) {
+        self.replica_complete(sent);
+    }
+
+    fn requires_read(&self, now: Instant) -> bool {
+        self.role.lock().wants_proof(now)
+    }
+
+    fn leads(&self) -> bool {
+        self.role.lock().own_term().is_some()
+    }
+}
--- a/src/sockets.rs
+++ b/src/sockets.rs
@@ -8,8 +8,9 @@
 
 use std::time::Duration;
 
-use crate::config::{secs, Settings};
-use crate::peer::forwarding::BATCHES_IN_FLIGHT;
+use crate::config::Settings;
+use crate::forwarding::BATCHES_IN_FLIGHT;
+use crate::time::secs;
 
 /// Connections to the state service at most: transactions under way, a check, the watch, the
 /// lease, with as many again whose answers were given up and that are still open.
--- a/src/store/actor.rs
+++ b/src/store/actor.rs
@@ -16,12 +16,13 @@
 
 use super::client::StoreClient;
 use super::limiter::Limiter;
+use super::observer::StoreObserver;
 use super::reads::{self, PendingReads};
+use super::shared_replica::SharedReplica;
 use super::{Change, Group, Outcome, StoreError, Urgency};
-use crate::config::StateSettings;
-use crate::leader::slowness;
+use crate::config::{Settings, StateSettings};
 use crate::model::{JobId, Verdict};
-use crate::service::Shared;
+use crate::timing::slowness;
 
 /// Transactions under way at once: one slow answer must not hold up all others.
 const TRANSACTIONS_IN_FLIGHT_MAX: usize = 3;
@@ -35,13 +36,6 @@
 const REFUSAL_RETRY_DELAY: Duration = Duration::from_millis(200);
 /// Conditions a transaction may have for every put or delete allowed.
 pub(super) const CONDITIONS_PER_OP: usize = 4;
-/// How long a follower's watch stays open.
-pub const WATCH_HOLD: Duration = Duration::from_secs(4);
-/// How long a leader's does: its answer proves the replica complete up to its sending only, and
-/// starts want that proof to be recent.
-pub const LEADER_WATCH_HOLD: Duration = Duration::from_secs(1);
-/// Time for a watch's answer to arrive after it was due.
-pub const WATCH_GRACE: Duration = Duration::from_millis(1500);
 /// Part of `txn_ops`' byte limit used, as sizes are measured in another form than sent.
 const BATCH_BYTES: usize = 48 * 1024;
 
@@ -129,9 +123,10 @@
 pub(super) struct Inner {
     pub(super) client: StoreClient,
     pub(super) limits: StateSettings,
-    pub(super) shared: Arc<Shared>,
+    pub(super) replica: Arc<SharedReplica>,
+    pub(super) observer: Arc<dyn StoreObserver>,
     pub(super) pending_reads: PendingReads,
-    /// See [`crate::leader::slowness`].
+    /// See [`crate::timing::slowness`].
     pub(super) slowness: f64,
     limiter: RefCell<Limiter>,
     queue: RefCell<Queue>,
@@ -144,16 +139,22 @@
 pub struct StoreActor(Rc<Inner>);
 
 impl StoreActor {
-    /// An actor that talks through `client`.
-    pub fn new(client: StoreClient, shared: Arc<Shared>) -> Self {
-        let limits = shared.settings.params.state.clone();
-        let nodes = shared.settings.params.count;
+    /// An actor that talks through `client`, keeps `replica` up to date and tells `observer` of it.
+    pub fn new(
+        settings: &Settings,
+        client: StoreClient,
+        replica: Arc<SharedReplica>,
+        observer: Arc<dyn StoreObserver>,
+    ) -> Self {
+        let limits = settings.params.state.clone();
+        let nodes = settings.params.count;
         let limiter = Limiter::new(limits.rps, limits.write_rps, nodes, Instant::now());
         Self(Rc::new(Inner {
             client,
             limits,
-            slowness: slowness(&shared.settings),
-            shared,
+            slowness: slowness(settings),
+            replica,
+            observer,
             pending_reads: PendingReads::default(),
             limiter: RefCell::new(limiter),
             queue: RefCell::default(),
@@ -198,7 +199,7 @@
 
     fn handle(&mut self, ReadVerdict(id): ReadVerdict, _: &mut Self::Context) -> Self::Result {
         let answer = self.0.pending_reads.ask(id);
-        self.0.shared.wake_reader.notify_one();
+        self.0.replica.request_read();
         Box::pin(async move { answer.await.unwrap_or(Err(StoreError::Unknown)) })
     }
 }
@@ -239,7 +240,7 @@
         if queue.len() >= COMMITS_QUEUED_MAX {
             return true;
         }
-        let leads = self.shared.role.lock().own_term().is_some();
+        let leads = self.observer.leads();
         if urgency == Urgency::Progress || leads {
             return false;
         }
@@ -278,8 +279,8 @@
         failure: Option<&StoreError>,
     ) {
         match failure {
-            Some(error) if error.contact_lost() => self.shared.store_failed(operation, sent),
-            _ => self.shared.store_answered(operation, sent),
+            Some(error) if error.contact_lost() => self.observer.request_failed(operation, sent),
+            _ => self.observer.request_answered(operation, sent),
         }
     }
 }
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -10,7 +10,7 @@
 use super::{Change, Condition, Follow, Group, Outcome, Page, StoreError};
 use crate::config::Settings;
 use crate::http::{OutgoingRequest, Remote, RequestFailure};
-use crate::leader::slowness;
+use crate::timing::slowness;
 use crate::wire;
 
 /// No answer by then means an unknown outcome. The service answers within a few hundred
--- a/src/store/limiter/tests.rs
+++ b/src/store/limiter/tests.rs
@@ -2,18 +2,6 @@
 
 use super::*;
 
-#[test]
-fn a_bucket_gives_a_second_s_worth_and_then_the_rate() {
-    let start = Instant::now();
-    let mut bucket = Bucket::new(10.0, start);
-    bucket.take(10.0, start);
-    assert_eq!(bucket.wait(5.0, start), Duration::from_millis(500));
-    assert_eq!(bucket.wait_beyond(25.0, start), Duration::from_millis(2500));
-    let later = start + Duration::from_millis(500);
-    assert_eq!(bucket.wait(5.0, later), Duration::ZERO);
-    assert!(bucket.wait(6.0, later) > Duration::ZERO);
-}
-
 #[test]
 fn all_nodes_together_stay_below_the_service_s_limits() {
     let now = Instant::now();
@@ -23,7 +11,7 @@
         assert!(leader + rest <= HEADROOM + 1e-9, "{nodes} nodes");
     }
     let limiter = Limiter::new(80.0, 30.0, 3, now);
-    assert!(limiter.writes.rate < limiter.requests.rate);
+    assert!(limiter.writes.rate() < limiter.requests.rate());
 }
 
 /// Several submissions a second at one of seven nodes waited for its seventh of the limits.
@@ -33,14 +21,14 @@
     let later = start + Duration::from_secs(60);
     for (write_rps, nodes) in [(80.0, 7), (30.0, 5), (100.0, 1)] {
         let mut limiter = Limiter::new(write_rps, write_rps, nodes, start);
-        let rate = limiter.writes.rate;
+        let rate = limiter.writes.rate();
         let saved = limiter.writes.level(later);
         assert!(saved >= rate && saved <= rate * SAVED_UP_S + 1e-9);
         assert!(saved <= (write_rps * SAVED_UP_PART).max(rate) + 1e-9);
         limiter.lead(true, later);
         let level = limiter.writes.level(later + Duration::from_secs(60));
         assert!(
-            level <= limiter.writes.rate + 1e-9,
+            level <= limiter.writes.rate() + 1e-9,
             "the leader has none to spare"
         );
     }
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -5,8 +5,10 @@
 pub mod client;
 pub mod keys;
 pub mod limiter;
+pub mod observer;
 mod reads;
 pub mod replica;
+pub mod shared_replica;
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
--- a/src/store/reads.rs
+++ b/src/store/reads.rs
@@ -15,11 +15,10 @@
 use tokio::sync::oneshot;
 use tracing::{debug, info};
 
-use super::actor::{
-    Inner, VerdictAnswer, CONDITIONS_PER_OP, LEADER_WATCH_HOLD, WATCH_GRACE, WATCH_HOLD,
-};
+use super::actor::{Inner, VerdictAnswer, CONDITIONS_PER_OP};
 use super::{keys, Condition, Follow, Group, Outcome, Row, StoreError};
 use crate::model::JobId;
+use crate::timing::{LEADER_WATCH_HOLD, WATCH_GRACE, WATCH_HOLD};
 
 /// Pause between two reads, so that questions gather instead of costing a request each.
 const READ_INTERVAL: Duration = Duration::from_millis(120);
@@ -91,7 +90,7 @@
 
 /// Whether somebody waits for a read: a question, or a lead that needs its proof.
 fn read_wanted(inner: &Inner) -> bool {
-    inner.pending_reads.any() || inner.shared.role.lock().wants_proof(Instant::now())
+    inner.pending_reads.any() || inner.observer.requires_read(Instant::now())
 }
 
 /// Who asks while the service can't be reached is told so at once.
@@ -104,13 +103,13 @@
 /// Stays open until something changes, with reads in between for those who ask meanwhile.
 async fn wait_for_changes(inner: &Rc<Inner>) -> Result<Duration, StoreError> {
     inner.wait_for_limit(1.0, 0.0).await;
-    let leads = inner.shared.role.lock().own_term().is_some();
+    let leads = inner.observer.leads();
     let hold = if leads { LEADER_WATCH_HOLD } else { WATCH_HOLD };
     let sent = Instant::now();
     let grace = WATCH_GRACE.mul_f64(inner.slowness);
     let mut watch = Box::pin(follow(inner, hold, hold + grace));
     loop {
-        let came = Box::pin(inner.shared.wake_reader.notified());
+        let came = Box::pin(inner.replica.read_requested());
         match select(watch, came).await {
             Either::Left((got, _)) => {
                 match &got {
@@ -152,7 +151,7 @@
     apply_read(inner, &got, sent);
     let mut unknown = BTreeMap::new();
     for (id, replies) in waiting {
-        let known = inner.shared.replica.lock().verdict(&id);
+        let known = inner.replica.lock().verdict(&id);
         match known {
             Some(verdict) => answer(replies, &Ok(verdict)),
             None => {
@@ -243,28 +242,28 @@
     inner.note(StoreOperation::Read, sent, read.as_ref().err());
     let (rows, revision) = read?;
     info!(keys = rows.len(), revision, "records read");
-    let changes = inner.shared.replica.lock().load(rows, revision);
-    inner.shared.revision.send_replace(revision);
-    inner.shared.tell(&changes);
+    let changes = inner.replica.lock().load(rows, revision);
+    inner.replica.publish_revision(revision);
+    inner.observer.replica_changed(&changes);
     // Pages read later are newer than the first; none is older.
-    inner.shared.replica_complete(sent);
+    inner.observer.replica_confirmed(sent);
     Ok(Duration::ZERO)
 }
 
 async fn follow(inner: &Rc<Inner>, hold: Duration, limit: Duration) -> Result<Follow, StoreError> {
-    let after = inner.shared.replica.lock().revision;
+    let after = inner.replica.lock().revision;
     inner.client.follow(keys::ROOT, after, hold, limit).await
 }
 
 /// Takes what a watch or a read that was sent then brought.
 fn apply_read(inner: &Inner, got: &Follow, sent: Instant) {
     let (changes, revision) = {
-        let mut replica = inner.shared.replica.lock();
+        let mut replica = inner.replica.lock();
         let changes = replica.apply(&got.events, got.revision);
         (changes, replica.revision)
     };
-    inner.shared.metrics.lock().counts.replica_events += got.events.len() as u64;
-    inner.shared.revision.send_replace(revision);
-    inner.shared.tell(&changes);
-    inner.shared.replica_complete(sent);
+    inner.observer.events_received(got.events.len());
+    inner.replica.publish_revision(revision);
+    inner.observer.replica_changed(&changes);
+    inner.observer.replica_confirmed(sent);
 }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -422,7 +422,7 @@
                 },
                 price: f.price,
                 spot_price: f.spot_price,
-                boot: crate::config::secs(f.boot_s),
+                boot: crate::time::secs(f.boot_s),
                 cache_gb: f.cache_gb,
                 fetch_rate: f.fetch_rate,
                 zones: f.zones,
--- a/tests/common/scene.rs
+++ b/tests/common/scene.rs
@@ -12,7 +12,8 @@
 use knotlanding::model::{
     Amount, Build, JobId, JobSpec, MachineId, Rank, Shape, Term, Token, Verdict,
 };
-use knotlanding::sched::{self, Decisions, Policy};
+use knotlanding::policy::Policy;
+use knotlanding::sched::{self, Decisions};
 use knotlanding::store::keys::{self, JobRecord, LiveRecord, RosterRecord, SentRecord};
 use knotlanding::store::replica::Replica;
 use knotlanding::store::{to_value, Outcome, Row, StoreError};
--- a/tests/common/world.rs
+++ b/tests/common/world.rs
@@ -38,15 +38,18 @@
 use knotlanding::api::workers::{receive, Reception};
 use knotlanding::cluster::{Cluster, Direct, Machine, RecordKind, ReportSource, Verified};
 use knotlanding::config::{Peer, Settings, WorkerSettings};
-use knotlanding::fleet::{self, Action, FleetView, IdlePolicy, Market, Offer};
-use knotlanding::leader::{renew_every, Lead, OwnLease, LEASE_TIME_MIN};
-use knotlanding::model::{Amount, JobId, JobSpec, MachineId, Shape, Term, Token, Verdict};
-use knotlanding::sched::{self, Decisions, Short};
+use knotlanding::demand::Short;
+use knotlanding::fleet::{self, Action, FleetView, IdlePolicy, Market};
+use knotlanding::leader::{Lead, OwnLease};
+use knotlanding::model::{Amount, JobId, JobSpec, MachineId, Offer, Shape, Term, Token, Verdict};
+use knotlanding::policy::Policy;
+use knotlanding::sched::{self, Decisions};
 use knotlanding::service::Shared;
 use knotlanding::store::keys::{self, JobRecord, LeaderRecord, LiveRecord, TermRecord};
 use knotlanding::store::{
     to_value, Change, Condition, Event, Group, Outcome, Row, StoreError, Value,
 };
+use knotlanding::timing::{renew_every, LEASE_TIME_MIN};
 use knotlanding::wire::{
     self, Cause, ListedMachine, Order, Redirect, Report, ReportAnswer, ReportedTask, TaskPhase,
 };
@@ -81,7 +84,7 @@
     pub t: f64,
     start: Instant,
     settings: Settings,
-    policy: sched::Policy,
+    policy: Policy,
     store: Store,
     out_until: f64,
     slow: (f64, f64),
@@ -144,7 +147,7 @@
             rng: StdRng::seed_from_u64(seed),
             t: 0.0,
             start,
-            policy: sched::Policy::new(&settings),
+            policy: Policy::new(&settings),
             store: Store::default(),
             out_until: 0.0,
             slow: (0.0, 0.0),
--- a/tests/common/world/forwarding.rs
+++ b/tests/common/world/forwarding.rs
@@ -5,14 +5,14 @@
 
 use futures_util::FutureExt;
 use knotlanding::api::workers::{no_answer, pass_on};
-use knotlanding::leader::Standing;
-use knotlanding::peer::forwarding::{
+use knotlanding::forwarding::messages::{BatchAnswer, ReportBatch, BATCH_VERSION};
+use knotlanding::forwarding::{
     gather_time, PathFailure, PendingReport, QueuedReport, ANSWER_LIMIT, BATCH_LIMIT,
 };
-use knotlanding::peer::reports::{
-    answer_batch, unix_ms, BatchAnswer, BatchError, ReportBatch, BATCH_VERSION,
-};
+use knotlanding::leader::Standing;
+use knotlanding::peer::reports::{answer_batch, BatchError};
 use knotlanding::peer::{decode, encode};
+use knotlanding::time::unix_ms;
 use knotlanding_testbed::proxy::Flow;
 use knotlanding_testbed::schedule::LinkId;
 use rand::Rng;
--- a/tests/formats/peers.rs
+++ b/tests/formats/peers.rs
@@ -1,14 +1,15 @@
 //! Messages between controllers.
 
+use knotlanding::digest::{Counts, Digest, DigestContents, DigestReply, Hint};
+use knotlanding::forwarding::messages::{
+    BatchAnswer, ForwardedAnswer, ForwardedOrder, ForwardedVerb, ReportBatch, BATCH_VERSION,
+};
 use knotlanding::model::{JobId, MachineId, Term};
 use knotlanding::peer::cancelled::{Cancelled, CANCELLED};
 use knotlanding::peer::contact::CONTACT;
-use knotlanding::peer::digest::{Counts, Digest, DigestContents, DigestReply, Hint, DIGEST};
+use knotlanding::peer::digest::DIGEST;
 use knotlanding::peer::links::LINKS;
-use knotlanding::peer::reports::{
-    BatchAnswer, ForwardedAnswer, ForwardedOrder, ForwardedVerb, ReportBatch, BATCH_VERSION,
-    REPORTS,
-};
+use knotlanding::peer::reports::REPORTS;
 use knotlanding::peer::{decode, encode, BINCODE};
 use knotlanding::wire::{Cause, Report, ReportedTask, TaskPhase};
 use knotlanding_links::link::LinkState;
--- a/tests/forwarding_service.rs
+++ b/tests/forwarding_service.rs
@@ -14,12 +14,14 @@
 
 use actix_web::{web, App, HttpResponse, HttpServer};
 use ciborium::{cbor, Value};
-use knotlanding::model::{Term, Token};
-use knotlanding::peer::reports::{
-    unix_ms, BatchAnswer, ForwardedAnswer, ForwardedOrder, ForwardedReport, ForwardedVerb,
-    ReportBatch, BATCH_VERSION, REPORTS,
+use knotlanding::forwarding::messages::{
+    BatchAnswer, ForwardedAnswer, ForwardedOrder, ForwardedReport, ForwardedVerb, ReportBatch,
+    BATCH_VERSION,
 };
+use knotlanding::model::{Term, Token};
+use knotlanding::peer::reports::REPORTS;
 use knotlanding::peer::{decode, encode as encode_for_peer};
+use knotlanding::time::unix_ms;
 use knotlanding::wire::Report;
 use knotlanding_testbed::message::{encode, field, number, text};
 use node::{Bench, Node, TEST_TIMEOUT};
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -11,8 +11,8 @@
 use std::collections::BTreeSet;
 
 use knotlanding::cluster::RecordKind;
+use knotlanding::digest::{Digest, DigestView, DIGEST_LIMIT, GONE_MACHINES_KEPT};
 use knotlanding::model::{JobId, MachineId, Term};
-use knotlanding::peer::digest::{Digest, DigestView, DIGEST_LIMIT, GONE_MACHINES_KEPT};
 use knotlanding::store::{Change, Outcome};
 use knotlanding::wire;
 use scene::{array, gang, Scene};
@@ -145,14 +145,14 @@
 
 #[test]
 fn a_digest_of_any_size_is_shortened_to_what_peers_take() {
-    let mut news = knotlanding::peer::digest::DigestContents::default();
+    let mut news = knotlanding::digest::DigestContents::default();
     for number in 0..200_000 {
         let id = JobId::parse(&format!("wk-{number:06}")).unwrap();
         news.over.push(id.clone());
         news.gone.push(MachineId(format!("m-{number:06}").into()));
         let (done, running) = (u32::MAX, u32::MAX);
         news.counts
-            .push(knotlanding::peer::digest::Counts { id, done, running });
+            .push(knotlanding::digest::Counts { id, done, running });
     }
     for limit in [64 * 1024, DIGEST_LIMIT] {
         let mut news = news.clone();
--- a/tests/meetings.rs
+++ b/tests/meetings.rs
@@ -15,12 +15,13 @@
 use knotlanding::api::workers::{receive, Reception};
 use knotlanding::cluster::Cluster;
 use knotlanding::config::Settings;
-use knotlanding::leader::{Lead, OwnLease, LEASE_TIME_MIN};
+use knotlanding::leader::{Lead, OwnLease};
 use knotlanding::model::{Attempt, JobId, MachineId, TaskId, Term, Verdict};
 use knotlanding::service::Shared;
 use knotlanding::store::keys::{self, JobRecord};
 use knotlanding::store::replica::ReplicaChange;
 use knotlanding::store::{to_value, Outcome, Row};
+use knotlanding::timing::LEASE_TIME_MIN;
 use scene::{accepted, array, builds};
 
 /// The answer of a node that has nobody to forward the report to.
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -558,8 +558,9 @@
 #[test]
 fn a_report_is_answered_by_what_holds_after_a_pause_and_not_by_what_held_before() {
     use knotlanding::api::workers::{receive, Reception};
-    use knotlanding::leader::{Lead, OwnLease, LEASE_TIME_MIN};
+    use knotlanding::leader::{Lead, OwnLease};
     use knotlanding::model::Term;
+    use knotlanding::timing::LEASE_TIME_MIN;
     let text = common::settings_of_nobody();
     let settings = Settings::parse(&text, "a test").unwrap();
     let shared = knotlanding::service::Shared::new(settings);
--- a/tests/take_over.rs
+++ b/tests/take_over.rs
@@ -7,8 +7,8 @@
 #[path = "common/scene.rs"]
 mod scene;
 
+use knotlanding::digest::DigestView;
 use knotlanding::model::*;
-use knotlanding::peer::digest::DigestView;
 use knotlanding::wire::Cause;
 use scene::*;
 
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -13,7 +13,7 @@
 use knotlanding::cluster::{Drain, Verified};
 use knotlanding::config::Settings;
 use knotlanding::model::*;
-use knotlanding::sched::Policy;
+use knotlanding::policy::Policy;
 use knotlanding::store::keys::{self, DoneRecord};
 use knotlanding::store::{to_value, Outcome, StoreError};
 use knotlanding::wire::{Cause, TaskPhase};
--- a/tests/waiting.rs
+++ b/tests/waiting.rs
@@ -7,7 +7,7 @@
 #[path = "common/scene.rs"]
 mod scene;
 
-use knotlanding::fleet::Offer;
+use knotlanding::model::Offer;
 use knotlanding::model::*;
 use knotlanding::sched::Decisions;
 use knotlanding::wire::Cause;
