--- a/crates/links/src/leadership.rs
+++ b/crates/links/src/handover.rs
@@ -72,7 +72,7 @@
 
 /// Decides for one controller.
 #[derive(Debug)]
-pub struct Leadership {
+pub struct HandoverPolicy {
     hold: Duration,
     window: Duration,
     handovers_max: usize,
@@ -80,7 +80,7 @@
     handovers: VecDeque<Instant>,
 }
 
-impl Leadership {
+impl HandoverPolicy {
     /// At most `handovers_max` hand-overs within the window of the timing.
     pub fn new(timing: &LinkTiming, handovers_max: usize) -> Self {
         Self {
--- a/crates/links/src/leadership/tests.rs
+++ b/crates/links/src/handover/tests.rs
@@ -12,7 +12,7 @@
 struct Controller {
     table: LinkTable,
     matrix: Matrix,
-    leadership: Leadership,
+    leadership: HandoverPolicy,
     /// Numbers of the workers that report here.
     workers: std::ops::Range<u32>,
     frozen: bool,
@@ -55,7 +55,7 @@
             Controller {
                 table: LinkTable::new(MEMBERS[at], others(), JUDGEMENT, timing(), start),
                 matrix: Matrix::new(others(), timing()),
-                leadership: Leadership::new(&timing(), HANDOVERS_MAX),
+                leadership: HandoverPolicy::new(&timing(), HANDOVERS_MAX),
                 workers,
                 frozen: false,
             }
@@ -75,7 +75,7 @@
 
     fn row(&self, at: usize) -> Row {
         let stamp = RowStamp {
-            life: 1,
+            incarnation: 1,
             sequence: self.second,
             wall_ms: WALL_MS + self.second * 1_000,
             leads_term: (at == self.leader).then_some(1),
@@ -161,7 +161,7 @@
     }
 }
 
-fn spread() -> Cluster {
+fn zone_spread() -> Cluster {
     let mut cluster = Cluster::new([0..100, 100..200, 200..300]);
     cluster.seconds(20, |_| ALL);
     cluster
@@ -169,14 +169,14 @@
 
 #[test]
 fn while_all_is_well_nobody_moves() {
-    let mut cluster = spread();
+    let mut cluster = zone_spread();
     cluster.seconds(600, |_| ALL);
     assert_eq!(cluster.handovers, vec![]);
 }
 
 #[test]
 fn a_leader_without_the_state_service_hands_over_once_and_late() {
-    let mut cluster = spread();
+    let mut cluster = zone_spread();
     let cut = Links {
         store: [false, true, true],
         ..ALL
@@ -192,7 +192,7 @@
 
 #[test]
 fn in_an_outage_that_all_share_nobody_moves() {
-    let mut cluster = spread();
+    let mut cluster = zone_spread();
     let out = Links {
         store: [false; 3],
         ..ALL
@@ -205,7 +205,7 @@
 /// to one that could not be elected.
 #[test]
 fn where_transactions_are_refused_to_all_nobody_moves() {
-    let mut cluster = spread();
+    let mut cluster = zone_spread();
     let unwritable = Links {
         writes: [false; 3],
         ..ALL
@@ -224,7 +224,7 @@
 /// Followers forward reports, so a leader without workers of its own is not cut off from any.
 #[test]
 fn a_leader_that_lost_its_own_workers_stays_while_followers_reach_it() {
-    let mut cluster = spread();
+    let mut cluster = zone_spread();
     let lost = Links {
         workers: [false, true, true],
         ..ALL
@@ -254,7 +254,7 @@
 
 #[test]
 fn a_cut_between_two_controllers_in_one_direction_costs_no_lead() {
-    let mut cluster = spread();
+    let mut cluster = zone_spread();
     let mut one_way = ALL;
     one_way.peers[1][0] = false;
     cluster.seconds(300, |_| one_way);
@@ -302,7 +302,7 @@
 #[test]
 fn two_half_connected_controllers_do_not_pass_the_lead_to_and_fro() {
     // One has the state service every other ten seconds, the other in between.
-    let mut cluster = spread();
+    let mut cluster = zone_spread();
     let halves = |second: u64| Links {
         store: [
             (second / 10).is_multiple_of(2),
@@ -328,7 +328,7 @@
         store: [second % 5 < 3, second % 5 >= 2, true],
         ..ALL
     };
-    let mut cluster = spread();
+    let mut cluster = zone_spread();
     cluster.seconds(900, fast);
     // The third one is steady, and keeps the lead once it has it.
     assert!(
@@ -342,7 +342,7 @@
 /// It wakes with rows from before; they have expired by its own clock.
 #[test]
 fn a_frozen_controller_wakes_with_rows_that_say_nothing() {
-    let mut cluster = spread();
+    let mut cluster = zone_spread();
     cluster.controllers[0].frozen = true;
     cluster.seconds(30, |_| ALL);
     cluster.controllers[0].frozen = false;
@@ -360,11 +360,11 @@
 
 #[test]
 fn an_election_is_left_to_who_is_much_better_connected_and_only_then() {
-    let mut cluster = spread();
+    let mut cluster = zone_spread();
     let now = cluster.now();
     let yields = |cluster: &Cluster, at: usize, now| {
         let own = cluster.row(at);
-        Leadership::should_yield(&own, &cluster.controllers[at].matrix, now)
+        HandoverPolicy::should_yield(&own, &cluster.controllers[at].matrix, now)
     };
     assert!((0..3).all(|at| !yields(&cluster, at, now)));
     let cut = Links {
--- a/crates/links/src/health.rs
+++ b/crates/links/src/health.rs
@@ -38,13 +38,13 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct WorkerEvidence {
     /// When its newest report arrived.
-    pub reported: Option<Instant>,
+    pub last_heartbeat: Option<Instant>,
     /// It has shown that it hears this controller's term.
     pub hears: bool,
     /// Since when something that it was told has not shown.
     pub doubted_since: Option<Instant>,
     /// Commands sent to it without an answer since it last spoke.
-    pub commands_in_vain: u32,
+    pub unanswered_commands: u32,
 }
 
 /// By what a worker is judged.
@@ -82,7 +82,7 @@
 impl HealthJudge {
     /// Judges one worker.
     pub fn judge(&self, evidence: &WorkerEvidence) -> WorkerHealth {
-        let (state, lost) = match evidence.reported {
+        let (state, lost) = match evidence.last_heartbeat {
             Some(reported) if self.hears_workers => {
                 judge_heard(evidence, reported, &self.limits, self.now)
             }
@@ -91,7 +91,7 @@
         WorkerHealth {
             state,
             lost,
-            evidence_at: evidence.reported,
+            evidence_at: evidence.last_heartbeat,
         }
     }
 }
@@ -107,8 +107,8 @@
         .doubted_since
         .map(|since| now.saturating_duration_since(since));
     let no_reports = silent_for > limits.lost;
-    let no_commands =
-        doubted_for.is_some_and(|d| d > limits.lost) || evidence.commands_in_vain >= COMMANDS_LOST;
+    let no_commands = doubted_for.is_some_and(|d| d > limits.lost)
+        || evidence.unanswered_commands >= COMMANDS_LOST;
     let lost = match (no_reports, no_commands) {
         (true, true) => Some(LostDirection::Both),
         (true, false) => Some(LostDirection::FromWorker),
@@ -121,7 +121,7 @@
     let suspect = silent_for > limits.suspect
         || evidence.doubted_since.is_some()
         || !evidence.hears
-        || evidence.commands_in_vain > 0;
+        || evidence.unanswered_commands > 0;
     if suspect {
         (HealthState::Suspect, None)
     } else {
--- a/crates/links/src/health/tests.rs
+++ b/crates/links/src/health/tests.rs
@@ -21,7 +21,7 @@
     let start = Instant::now();
     let ago = |s: u64| Some(start + Duration::from_secs(NOW_S - s));
     let good = WorkerEvidence {
-        reported: ago(2),
+        last_heartbeat: ago(2),
         hears: true,
         ..WorkerEvidence::default()
     };
@@ -34,7 +34,7 @@
         (good, HealthState::Healthy, None),
         (
             WorkerEvidence {
-                reported: ago(6),
+                last_heartbeat: ago(6),
                 ..good
             },
             HealthState::Suspect,
@@ -50,7 +50,7 @@
         ),
         (
             WorkerEvidence {
-                commands_in_vain: 1,
+                unanswered_commands: 1,
                 ..good
             },
             HealthState::Suspect,
@@ -65,7 +65,7 @@
         ),
         (
             WorkerEvidence {
-                commands_in_vain: 2,
+                unanswered_commands: 2,
                 ..good
             },
             HealthState::Unreachable,
@@ -73,7 +73,7 @@
         ),
         (
             WorkerEvidence {
-                reported: ago(10),
+                last_heartbeat: ago(10),
                 ..good
             },
             HealthState::Unreachable,
@@ -81,8 +81,8 @@
         ),
         (
             WorkerEvidence {
-                reported: ago(10),
-                commands_in_vain: 2,
+                last_heartbeat: ago(10),
+                unanswered_commands: 2,
                 ..good
             },
             HealthState::Unreachable,
@@ -93,7 +93,7 @@
     for (evidence, state, lost) in cases {
         let health = judge(evidence, true, start);
         assert_eq!((health.state, health.lost), (state, lost), "{evidence:?}");
-        assert_eq!(health.evidence_at, evidence.reported);
+        assert_eq!(health.evidence_at, evidence.last_heartbeat);
     }
 }
 
@@ -103,7 +103,7 @@
     let start = Instant::now();
     let reported = Some(start + Duration::from_secs(NOW_S - 1));
     let evidence = WorkerEvidence {
-        reported,
+        last_heartbeat: reported,
         hears: true,
         ..WorkerEvidence::default()
     };
--- a/crates/links/src/matrix.rs
+++ b/crates/links/src/matrix.rs
@@ -41,10 +41,10 @@
         };
         if let Some(before) = before {
             let known = &before.row.message;
-            if message.life < known.life {
-                return Err(RowRejection::FormerLife);
+            if message.incarnation < known.incarnation {
+                return Err(RowRejection::FormerIncarnation);
             }
-            if message.life == known.life && message.sequence <= known.sequence {
+            if message.incarnation == known.incarnation && message.sequence <= known.sequence {
                 return Err(RowRejection::NotNewer);
             }
         }
@@ -67,9 +67,9 @@
     }
 
     /// The highest life of a member that was seen; 0 if none was.
-    pub fn newest_life(&self, member: &str) -> u64 {
+    pub fn newest_incarnation(&self, member: &str) -> u64 {
         let received = self.rows.get(member).and_then(Option::as_ref);
-        received.map_or(0, |received| received.row.message.life)
+        received.map_or(0, |received| received.row.message.incarnation)
     }
 
     /// The row of a member, if it is new enough to say anything.
--- a/crates/links/src/matrix/tests.rs
+++ b/crates/links/src/matrix/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::link::LinkState;
-use crate::row::{LinkReport, PeerLinks, RowMessage, ROW_VERSION};
+use crate::row::{LinkStatus, PeerLinks, RowMessage, ROW_VERSION};
 use crate::test_support::timing;
 
 const WALL_MS: u64 = 1_800_000_000_000;
@@ -12,8 +12,8 @@
     Matrix::new(members.into_iter(), timing())
 }
 
-fn row(member: &str, life: u64, sequence: u64, workers: &[&str]) -> Row {
-    let up = LinkReport {
+fn row(member: &str, incarnation: u64, sequence: u64, workers: &[&str]) -> Row {
+    let up = LinkStatus {
         state: LinkState::Up,
         suppressed: false,
         evidence_age_ms: Some(0),
@@ -29,7 +29,7 @@
         message: RowMessage {
             version: ROW_VERSION,
             member: member.to_owned(),
-            life,
+            incarnation,
             sequence,
             sent_at_ms: WALL_MS,
             leads_term: None,
@@ -47,21 +47,28 @@
 #[test]
 fn rows_that_are_old_repeated_or_reordered_change_nothing() {
     let (mut matrix, now) = (matrix(), Instant::now());
-    let take = |matrix: &mut Matrix, life, sequence| {
-        matrix.take(row("knot-1", life, sequence, &["m-000001"]), now, WALL_MS)
+    let take = |matrix: &mut Matrix, incarnation, sequence| {
+        matrix.take(
+            row("knot-1", incarnation, sequence, &["m-000001"]),
+            now,
+            WALL_MS,
+        )
     };
     assert_eq!(take(&mut matrix, 5, 2), Ok(()));
     assert_eq!(take(&mut matrix, 5, 2), Err(RowRejection::NotNewer));
     assert_eq!(take(&mut matrix, 5, 1), Err(RowRejection::NotNewer));
-    assert_eq!(take(&mut matrix, 4, 90), Err(RowRejection::FormerLife));
+    assert_eq!(
+        take(&mut matrix, 4, 90),
+        Err(RowRejection::FormerIncarnation)
+    );
     let kept = matrix.row("knot-1", now).unwrap();
-    assert_eq!((kept.message.life, kept.message.sequence), (5, 2));
+    assert_eq!((kept.message.incarnation, kept.message.sequence), (5, 2));
     assert_eq!(
         take(&mut matrix, 6, 1),
         Ok(()),
         "a new life counts from one"
     );
-    assert_eq!(matrix.newest_life("knot-1"), 6);
+    assert_eq!(matrix.newest_incarnation("knot-1"), 6);
     let stranger = matrix.take(row("knot-9", 1, 1, &[]), now, WALL_MS);
     assert_eq!(stranger, Err(RowRejection::UnknownMember));
 }
--- a/crates/links/src/misdirected.rs
+++ b/crates/links/src/misdirected.rs
@@ -13,12 +13,12 @@
 
 /// Workers that report to other nodes while we lead: they are up and don't get through to us.
 #[derive(Debug, Default)]
-pub struct MisdirectedReports {
+pub struct MisdirectedHeartbeats {
     counts: HashMap<String, u64>,
     last: Option<Instant>,
 }
 
-impl MisdirectedReports {
+impl MisdirectedHeartbeats {
     /// A node says how many workers it has sent elsewhere so far.
     pub fn counted(&mut self, member: &str, count: u64, now: Instant) {
         let before = self.counts.insert(member.to_owned(), count);
--- a/crates/links/src/misdirected/tests.rs
+++ b/crates/links/src/misdirected/tests.rs
@@ -9,7 +9,7 @@
     let start = Instant::now();
     let at = |s: u64| start + Duration::from_secs(s);
     let node = |n: u8| format!("knot-{n}");
-    let mut misdirected_reports = MisdirectedReports::default();
+    let mut misdirected_reports = MisdirectedHeartbeats::default();
     misdirected_reports.counted(&node(1), 900, at(0));
     assert!(
         !misdirected_reports.lately(at(0)),
--- a/crates/links/src/row.rs
+++ b/crates/links/src/row.rs
@@ -15,7 +15,7 @@
 
 /// A link as its owner sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LinkReport {
+pub struct LinkStatus {
     /// Its state.
     pub state: LinkState,
     /// Whether it is suppressed for flapping.
@@ -24,7 +24,7 @@
     pub evidence_age_ms: Option<u64>,
 }
 
-impl LinkReport {
+impl LinkStatus {
     /// A link of which nothing is known.
     pub const UNKNOWN: Self = Self {
         state: LinkState::Unknown,
@@ -49,9 +49,9 @@
     /// The other controller.
     pub member: String,
     /// Requests of the sender are answered by it.
-    pub outbound: LinkReport,
+    pub outbound: LinkStatus,
     /// Its requests arrive at the sender.
-    pub inbound: LinkReport,
+    pub inbound: LinkStatus,
 }
 
 /// A row on its way.
@@ -62,7 +62,7 @@
     /// The sender.
     pub member: String,
     /// The life of the sender's process: a later one has a higher number.
-    pub life: u64,
+    pub incarnation: u64,
     /// Counts the rows of a life.
     pub sequence: u64,
     /// Time of day at the sending, in milliseconds since 1970.
@@ -70,9 +70,9 @@
     /// The term that the sender leads.
     pub leads_term: Option<u64>,
     /// Reads of the state service.
-    pub store_read: LinkReport,
+    pub store_read: LinkStatus,
     /// Transactions at the state service.
-    pub store_write: LinkReport,
+    pub store_write: LinkStatus,
     /// The other controllers.
     pub peers: Vec<PeerLinks>,
     /// Workers whose reports arrive at the sender itself, as [`WorkerSet::to_bytes`] has them.
@@ -86,7 +86,7 @@
 pub struct RowReply {
     /// The highest life of the sender that the receiver knows. A process whose clock is behind that of
     /// its former life takes a higher one.
-    pub newest_life: u64,
+    pub newest_incarnation: u64,
 }
 
 /// Why a row was refused. It changes nothing then.
@@ -106,7 +106,7 @@
     UnknownMember,
     /// Of a former life of the sender.
     #[error("the row is of a former life")]
-    FormerLife,
+    FormerIncarnation,
     /// Not newer than the last row of this life.
     #[error("the row is repeated or was overtaken")]
     NotNewer,
--- a/crates/links/src/row/tests.rs
+++ b/crates/links/src/row/tests.rs
@@ -4,7 +4,7 @@
 
 fn message() -> RowMessage {
     let set = |names: &[&str]| WorkerSet::of(names.iter().copied()).to_bytes();
-    let up = LinkReport {
+    let up = LinkStatus {
         state: LinkState::Up,
         suppressed: false,
         evidence_age_ms: Some(40),
@@ -17,13 +17,13 @@
     RowMessage {
         version: ROW_VERSION,
         member: "knot-1".to_owned(),
-        life: 7,
+        incarnation: 7,
         sequence: 1,
         sent_at_ms: 1_000,
         leads_term: None,
         store_read: up,
-        store_write: LinkReport::UNKNOWN,
-        peers: vec![peer("knot-0", up), peer("knot-2", LinkReport::UNKNOWN)],
+        store_write: LinkStatus::UNKNOWN,
+        peers: vec![peer("knot-0", up), peer("knot-2", LinkStatus::UNKNOWN)],
         workers_heard: set(&["m-000001", "m-000002"]),
         workers_reached: set(&["m-000001"]),
     }
@@ -45,7 +45,7 @@
         Row::check(message).unwrap().store_usable()
     };
     assert!(usable(|_| ()));
-    assert!(!usable(|m| m.store_read = LinkReport::UNKNOWN));
+    assert!(!usable(|m| m.store_read = LinkStatus::UNKNOWN));
     assert!(!usable(|m| m.store_read.suppressed = true));
     assert!(!usable(|m| m.store_write.state = LinkState::Down));
     assert!(!usable(|m| m.store_write.suppressed = true));
--- a/crates/links/src/table.rs
+++ b/crates/links/src/table.rs
@@ -9,7 +9,7 @@
 use crate::detector::PhiAccrual;
 use crate::gate::{GateVerdict, PlacementGate};
 use crate::link::{Judgement, Link, LinkState, Transition};
-use crate::row::{LinkReport, PeerLinks, Row, RowMessage, ROW_VERSION};
+use crate::row::{LinkStatus, PeerLinks, Row, RowMessage, ROW_VERSION};
 use crate::timing::LinkTiming;
 use crate::workers::WorkerSet;
 
@@ -86,7 +86,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct RowStamp {
     /// The life of this process.
-    pub life: u64,
+    pub incarnation: u64,
     /// Number of the row.
     pub sequence: u64,
     /// Time of day in milliseconds.
@@ -306,19 +306,19 @@
         }
         let peers = self.peers.iter().map(|(member, pair)| PeerLinks {
             member: member.clone(),
-            outbound: report(&pair.outbound, now),
-            inbound: report(&pair.inbound, now),
+            outbound: heartbeat(&pair.outbound, now),
+            inbound: heartbeat(&pair.inbound, now),
         });
         Row {
             message: RowMessage {
                 version: ROW_VERSION,
                 member: self.member.clone(),
-                life: stamp.life,
+                incarnation: stamp.incarnation,
                 sequence: stamp.sequence,
                 sent_at_ms: stamp.wall_ms,
                 leads_term: stamp.leads_term,
-                store_read: report(&self.store_read, now),
-                store_write: report(&self.store_write, now),
+                store_read: heartbeat(&self.store_read, now),
+                store_write: heartbeat(&self.store_write, now),
                 peers: peers.collect(),
                 workers_heard: Vec::new(),
                 workers_reached: Vec::new(),
@@ -344,10 +344,10 @@
     transition.map(|transition| LinkChange { link, transition })
 }
 
-fn report(link: &Link, now: Instant) -> LinkReport {
+fn heartbeat(link: &Link, now: Instant) -> LinkStatus {
     let age = link.evidence_at();
     let age = age.map(|at| now.saturating_duration_since(at).as_millis() as u64);
-    LinkReport {
+    LinkStatus {
         state: link.state(),
         suppressed: link.suppressed(),
         evidence_age_ms: age,
--- a/crates/links/src/table/tests.rs
+++ b/crates/links/src/table/tests.rs
@@ -11,7 +11,7 @@
 
 fn row(table: &LinkTable, now: Instant) -> Row {
     let stamp = RowStamp {
-        life: 1,
+        incarnation: 1,
         sequence: 1,
         wall_ms: 0,
         leads_term: None,
--- a/examples/row_cost.rs
+++ b/examples/row_cost.rs
@@ -10,7 +10,7 @@
 use knotlanding::features::{Features, LinkFeatures};
 use knotlanding::peer::links::take_bytes;
 use knotlanding::service::Shared;
-use knotlanding::wire::Report;
+use knotlanding::wire::Heartbeat;
 
 /// Rows of each controller that are measured.
 const ROWS: u32 = 200;
@@ -31,15 +31,15 @@
     Shared::with_features(settings, Features { links })
 }
 
-fn report(number: usize, seq: u64) -> Report {
-    Report {
+fn heartbeat(number: usize, sequence: u64) -> Heartbeat {
+    Heartbeat {
         machine: format!("m-{number:06}"),
         address: String::new(),
-        build: String::new(),
+        machine_type: String::new(),
         zone: String::new(),
         spot: false,
-        session: 1,
-        seq,
+        epoch: 1,
+        sequence,
         token: 0,
         notice_s: None,
         tasks: Vec::new(),
@@ -55,11 +55,11 @@
     let controllers: Vec<_> = (0..count).map(|member| shared(member, count)).collect();
     let start = Instant::now();
     let began = Instant::now();
-    for seq in 1..=2 {
-        let at = start + Duration::from_secs(3 * seq);
+    for sequence in 1..=2 {
+        let at = start + Duration::from_secs(3 * sequence);
         for number in 0..workers {
             let links = &controllers[number % count].links;
-            links.worker_reported(&report(number, seq), at);
+            links.worker_reported(&heartbeat(number, sequence), at);
             links.worker_answered(&format!("m-{number:06}"));
         }
     }
@@ -91,7 +91,7 @@
     }
     let began = Instant::now();
     for _ in 0..ROWS {
-        controllers[0].links.active().unwrap().decide_lead(now);
+        controllers[0].links.active().unwrap().decide_handover(now);
     }
     let decided = began.elapsed();
     println!("{workers} workers, {count} controllers");
--- a/src/actors/leader.rs
+++ b/src/actors/election.rs
@@ -6,20 +6,20 @@
 use std::time::{Duration, Instant, SystemTime};
 
 use actix::prelude::*;
-use knotlanding_links::leadership::Decision;
+use knotlanding_links::handover::Decision;
 use knotlanding_links::table::StoreOperation;
 use rand::Rng;
 use tracing::{debug, info, warn};
 
 use crate::cluster::Cluster;
-use crate::leader::{Lead, OwnLease};
+use crate::leader::{HeldLease, Leadership};
 use crate::model::Term;
 use crate::service::Shared;
 use crate::store::actor::{Commit, SetLeading, StoreActor};
 use crate::store::client::StoreClient;
 use crate::store::keys::{self, LeaderRecord, TermRecord};
 use crate::store::replica::Versioned;
-use crate::store::{to_value, Change, Condition, Group, StoreError, Urgency};
+use crate::store::{to_value, Change, Condition, StoreError, Transaction, WritePriority};
 use crate::timing::{lease_time, renew_every};
 
 /// Renewals under way at once. One without an answer holds up no other, and an answer that is
@@ -35,13 +35,13 @@
 const SHOWS_WITHIN: Duration = Duration::from_millis(1500);
 
 /// The actor.
-pub struct LeaderActor {
+pub struct ElectionActor {
     shared: Arc<Shared>,
     client: StoreClient,
     store: Addr<StoreActor>,
 }
 
-impl LeaderActor {
+impl ElectionActor {
     /// An election through `client`, with writes through `store`.
     pub fn new(shared: Arc<Shared>, client: StoreClient, store: Addr<StoreActor>) -> Self {
         Self {
@@ -52,7 +52,7 @@
     }
 }
 
-impl Actor for LeaderActor {
+impl Actor for ElectionActor {
     type Context = Context<Self>;
 
     fn started(&mut self, _: &mut Self::Context) {
@@ -83,30 +83,30 @@
     match outcome {
         Ok(()) => {
             shared.store_answered(StoreOperation::Lease, sent);
-            shared.role.lock().renewed(lease, sent);
+            shared.election.lock().renewed(lease, sent);
             // After a gap the lease may last again, but the replica is old.
-            if shared.role.lock().wants_proof(Instant::now()) {
+            if shared.election.lock().requires_read(Instant::now()) {
                 shared.replica.request_read();
             }
         }
         Err(StoreError::LeaseOver) => {
-            let ours = shared.role.lock().lease;
+            let ours = shared.election.lock().lease;
             if ours.is_some_and(|ours| ours.id == lease) {
                 warn!("our lease is over");
-                let mut role = shared.role.lock();
-                role.lease = None;
-                role.drop_lead();
+                let mut election = shared.election.lock();
+                election.lease = None;
+                election.step_down();
                 *shared.cluster.lock() = None;
                 store.do_send(SetLeading(false));
             }
-            shared.wake_leader.notify_one();
+            shared.wake_election.notify_one();
         }
         Err(error) => {
             debug!(%error, "renewal failed");
             if error.contact_lost() {
                 shared.store_failed(StoreOperation::Lease, sent);
             }
-            shared.wake_leader.notify_one();
+            shared.wake_election.notify_one();
         }
     }
 }
@@ -131,7 +131,7 @@
     async fn run(self) {
         loop {
             let wait = self.step().await;
-            let woken = self.shared.wake_leader.notified();
+            let woken = self.shared.wake_election.notified();
             let due = Instant::now() + wait;
             // Either way the next step looks at everything again.
             let _ = actix::clock::timeout(wait, woken).await;
@@ -156,10 +156,10 @@
             return self.seek().await;
         };
         self.vacant_since.set(None);
-        let ours = self.shared.role.lock().record_is_ours(&leader.record);
+        let ours = self.shared.election.lock().record_is_ours(&leader.record);
         if ours {
-            if self.shared.role.lock().own_term().is_none() && revision >= leader.version {
-                self.take_over(&leader.record, leader.version);
+            if self.shared.election.lock().own_term().is_none() && revision >= leader.version {
+                self.recover(&leader.record, leader.version);
             }
             if self.cannot_serve() {
                 self.hand_over(leader.record.lease).await;
@@ -208,7 +208,7 @@
     /// Whether we renew our lease and read nothing. Where the others' rows say that none of them has the
     /// state service either, nobody is better.
     fn unread(&self, now: Instant) -> bool {
-        if !self.shared.role.lock().reads_nothing(now) {
+        if !self.shared.election.lock().reads_nothing(now) {
             return false;
         }
         let links = self.shared.links.active();
@@ -230,17 +230,17 @@
         let Some(links) = self.shared.links.active() else {
             return false;
         };
-        if !links.features.leadership || self.shared.role.lock().leading(now).is_none() {
+        if !links.features.leadership || self.shared.election.lock().leadership(now).is_none() {
             return false;
         }
-        matches!(links.decide_lead(now), Decision::HandOver { .. })
+        matches!(links.decide_handover(now), Decision::HandOver { .. })
     }
 
     /// Ends our lease so that another node leads at once.
     async fn hand_over(&self, lease: u64) {
         warn!("workers or the records are out of our reach; another node is to lead");
         let now = Instant::now();
-        self.shared.role.lock().stand_back(now);
+        self.shared.election.lock().back_off(now);
         if let Some(links) = self.shared.links.active() {
             links.handed_over(now);
         }
@@ -250,7 +250,7 @@
         }
     }
 
-    fn take_over(&self, record: &LeaderRecord, version: u64) {
+    fn recover(&self, record: &LeaderRecord, version: u64) {
         let Some(catalog) = self.shared.catalog.lock().clone() else {
             debug!("cannot take over before the machine types are known");
             return;
@@ -262,7 +262,7 @@
         if !replica.leader.as_ref().is_some_and(still) {
             return;
         }
-        let mut cluster = Cluster::take_over(
+        let mut cluster = Cluster::recover(
             record.term,
             &self.shared.settings,
             &replica,
@@ -270,17 +270,17 @@
             now,
             SystemTime::now(),
         );
-        cluster.hint(&self.shared.digest_view.lock());
+        cluster.hint(&self.shared.summary_cache.lock());
         info!(
             term = record.term.0,
             jobs = cluster.jobs.len(),
-            unsettled = cluster.unsettled.len(),
+            unreconciled = cluster.unreconciled.len(),
             "leading"
         );
         {
-            let mut role = self.shared.role.lock();
+            let mut election = self.shared.election.lock();
             *self.shared.cluster.lock() = Some(cluster);
-            role.take(Lead {
+            election.take(Leadership {
                 term: record.term,
                 version,
             });
@@ -290,12 +290,12 @@
         self.store.do_send(SetLeading(true));
         // Starts wait for a read that is newer than the election.
         self.shared.replica.request_read();
-        self.shared.wake_round.notify_one();
+        self.shared.wake_scheduler.notify_one();
     }
 
     /// Sends a renewal if one is due; when to look again.
     fn renew(&self) -> Duration {
-        let Some(lease) = self.shared.role.lock().lease else {
+        let Some(lease) = self.shared.election.lock().lease else {
             return RETRY_DELAY;
         };
         let now = Instant::now();
@@ -328,9 +328,9 @@
 
     fn step_down(&self) {
         {
-            let mut role = self.shared.role.lock();
-            role.lease = None;
-            role.drop_lead();
+            let mut election = self.shared.election.lock();
+            election.lease = None;
+            election.step_down();
             *self.shared.cluster.lock() = None;
         }
         self.store.do_send(SetLeading(false));
@@ -339,10 +339,10 @@
     /// Gives up a lease that brought nothing.
     async fn leave_lease(&self) {
         let lease = {
-            let mut role = self.shared.role.lock();
-            role.drop_lead();
+            let mut election = self.shared.election.lock();
+            election.step_down();
             *self.shared.cluster.lock() = None;
-            role.lease.take()
+            election.lease.take()
         };
         if let Some(lease) = lease {
             self.store.do_send(SetLeading(false));
@@ -376,7 +376,7 @@
             // A leader without machine types could do nothing; let another one try first.
             return self.renew_every;
         }
-        if self.shared.role.lock().stands_back(Instant::now()) {
+        if self.shared.election.lock().in_backoff(Instant::now()) {
             return self.renew_every;
         }
         if self.yields() {
@@ -394,7 +394,7 @@
                 return RETRY_DELAY + RETRY_DELAY.mul_f64(jitter);
             }
         };
-        self.shared.role.lock().lease = Some(OwnLease { id, renewed: sent });
+        self.shared.election.lock().lease = Some(HeldLease { id, renewed: sent });
         let (term, term_version) = {
             let replica = self.shared.replica.lock();
             (replica.term.record, replica.term.version)
@@ -407,12 +407,12 @@
             term,
             lease: id,
         };
-        let group = Group {
-            when: vec![
+        let group = Transaction {
+            conditions: vec![
                 Condition::new(keys::LEADER, 0),
                 Condition::new(keys::TERM, term_version),
             ],
-            apply: vec![
+            changes: vec![
                 Change::Put {
                     key: keys::LEADER.to_owned(),
                     value: to_value(&record),
@@ -421,17 +421,20 @@
                 Change::put(keys::TERM, to_value(&TermRecord { term })),
             ],
         };
-        let outcome = self.store.send(Commit(group, Urgency::Lead)).await;
+        let outcome = self
+            .store
+            .send(Commit(group, WritePriority::Election))
+            .await;
         debug!(term = term.0, ?outcome, "sought the lead");
         match outcome {
-            Ok(crate::store::Outcome::Committed(revision)) => {
+            Ok(crate::store::TransactionOutcome::Committed(revision)) => {
                 // The records show it in a moment, and with it all that was written before.
                 let mut changed = self.shared.replica.subscribe();
                 let shown = changed.wait_for(|reached| *reached >= revision);
                 let _ = actix::clock::timeout(SHOWS_WITHIN, shown).await;
                 Duration::ZERO
             }
-            Ok(crate::store::Outcome::Conflict { .. }) => {
+            Ok(crate::store::TransactionOutcome::Conflict { .. }) => {
                 // Another one was faster; the records will show who.
                 RETRY_DELAY + RETRY_DELAY.mul_f64(jitter)
             }
--- a/src/actors/fleet.rs
+++ b/src/actors/fleet.rs
@@ -6,16 +6,16 @@
 use actix::prelude::*;
 use tracing::{debug, info, warn};
 
-use super::round::Shortages;
+use super::scheduler::SharedDemand;
 use crate::cluster::{Catalog, Machine};
 use crate::fleet::client::{CloudClient, CloudError};
 use crate::fleet::listing::MachineListing;
 use crate::fleet::{self, Action, FleetView, Market, RENTAL_SIZE_MAX};
-use crate::model::{MachineId, Offer, Term};
-use crate::rate_limit::Bucket;
+use crate::model::{MachineId, MachinePool, Term};
+use crate::rate_limit::TokenBucket;
 use crate::service::Shared;
 use crate::time::secs;
-use crate::wire::HireBody;
+use crate::wire::RentalRequest;
 
 /// Time between two looks at the fleet.
 const LOOK_EVERY: Duration = Duration::from_secs(1);
@@ -31,7 +31,7 @@
 const LOOK_AGAIN: Duration = Duration::from_millis(100);
 
 /// What a rental brought.
-enum Hired {
+enum RentalOutcome {
     /// All that was asked for.
     All,
     /// Less.
@@ -44,16 +44,16 @@
 pub struct FleetActor {
     shared: Arc<Shared>,
     cloud: CloudClient,
-    shortages: Shortages,
+    unmet_demand: SharedDemand,
 }
 
 impl FleetActor {
     /// A fleet rented through `cloud`.
-    pub fn new(shared: Arc<Shared>, cloud: CloudClient, shortages: Shortages) -> Self {
+    pub fn new(shared: Arc<Shared>, cloud: CloudClient, unmet_demand: SharedDemand) -> Self {
         Self {
             shared,
             cloud,
-            shortages,
+            unmet_demand,
         }
     }
 }
@@ -66,15 +66,15 @@
         let fleet = Fleet {
             shared: self.shared.clone(),
             cloud: self.cloud.clone(),
-            shortages: self.shortages.clone(),
+            unmet_demand: self.unmet_demand.clone(),
             market: Market::default(),
-            hires: 0,
+            rental_requests: 0,
             unanswered: Vec::new(),
             unreturned: Vec::new(),
             term: Term(0),
             catalog_at: None,
             listing: MachineListing::default(),
-            calls: Bucket::new(rps * RATE_PART, Instant::now()),
+            calls: TokenBucket::new(rps * RATE_PART, Instant::now()),
         };
         actix::spawn(fleet.run());
     }
@@ -83,18 +83,18 @@
 struct Fleet {
     shared: Arc<Shared>,
     cloud: CloudClient,
-    shortages: Shortages,
+    unmet_demand: SharedDemand,
     market: Market,
-    hires: u64,
+    rental_requests: u64,
     /// Rentals without an answer: repeated under the same name until there is one.
-    unanswered: Vec<(HireBody, Offer)>,
+    unanswered: Vec<(RentalRequest, MachinePool)>,
     /// Returns without an answer: they may yet be carried out, so the machines take no tasks
     /// and the return is repeated until there is one.
     unreturned: Vec<(Vec<MachineId>, &'static str)>,
     term: Term,
     catalog_at: Option<Instant>,
     listing: MachineListing,
-    calls: Bucket,
+    calls: TokenBucket,
 }
 
 impl Fleet {
@@ -125,39 +125,45 @@
     /// One look; whether the next one should follow at once, since what was wanted has to be
     /// rented elsewhere.
     async fn look(&mut self) -> bool {
-        let leading = self.shared.role.lock().leading(Instant::now());
+        let leading = self.shared.election.lock().leadership(Instant::now());
         let known = self.shared.catalog.lock().is_some();
         // Followers need the types too, to tell which jobs can never run, but not the prices.
         let wanted = !known || leading.is_some();
         if wanted && Self::due(self.catalog_at, CATALOG_EVERY) {
             self.read_catalog().await;
         }
-        let Some(lead) = leading else {
+        let Some(leadership) = leading else {
             self.unanswered.clear();
             self.unreturned.clear();
             return false;
         };
-        if lead.term != self.term {
-            self.term = lead.term;
+        if leadership.term != self.term {
+            self.term = leadership.term;
             self.unanswered.clear();
             self.unreturned.clear();
             self.listing.reset();
         }
         self.read_list().await;
-        for (hire, offer) in std::mem::take(&mut self.unanswered) {
-            self.hire(hire, offer).await;
+        for (request, pool) in std::mem::take(&mut self.unanswered) {
+            self.request_rental(request, pool).await;
         }
         for (ids, why) in std::mem::take(&mut self.unreturned) {
-            self.give_back(ids, why).await;
+            self.release(ids, why).await;
         }
         let mut more = false;
         for action in self.plan() {
-            if self.shared.role.lock().leading(Instant::now()).is_none() {
+            if self
+                .shared
+                .election
+                .lock()
+                .leadership(Instant::now())
+                .is_none()
+            {
                 return false;
             }
             match action {
-                Action::Rent(offer, count) => more |= self.rent(offer, count).await,
-                Action::Return(ids, why) => self.give_back(ids, why).await,
+                Action::Rent(pool, count) => more |= self.rent(pool, count).await,
+                Action::Return(ids, why) => self.release(ids, why).await,
             }
         }
         more
@@ -165,23 +171,30 @@
 
     /// Rents, in as many requests as it takes while they are filled; whether there was less
     /// to be had.
-    async fn rent(&mut self, offer: Offer, count: u32) -> bool {
+    async fn rent(&mut self, pool: MachinePool, count: u32) -> bool {
         let mut left = count;
-        while left > 0 && self.shared.role.lock().leading(Instant::now()).is_some() {
-            self.hires += 1;
-            let hire = HireBody {
+        while left > 0
+            && self
+                .shared
+                .election
+                .lock()
+                .leadership(Instant::now())
+                .is_some()
+        {
+            self.rental_requests += 1;
+            let request = RentalRequest {
                 // A term has one leader, and a leader counts its rentals.
-                request: format!("kl-{}-{}", self.term.0, self.hires),
-                build: offer.build.clone(),
-                zone: offer.zone.clone(),
-                spot: offer.spot,
+                request: format!("kl-{}-{}", self.term.0, self.rental_requests),
+                machine_type: pool.machine_type.clone(),
+                zone: pool.zone.clone(),
+                spot: pool.spot,
                 count: left.min(RENTAL_SIZE_MAX),
             };
-            left -= hire.count;
-            match self.hire(hire, offer.clone()).await {
-                Hired::All => {}
-                Hired::Fewer => return true,
-                Hired::Unknown => return false,
+            left -= request.count;
+            match self.request_rental(request, pool.clone()).await {
+                RentalOutcome::All => {}
+                RentalOutcome::Fewer => return true,
+                RentalOutcome::Unknown => return false,
             }
         }
         false
@@ -190,14 +203,14 @@
     async fn read_catalog(&mut self) {
         self.wait_for_limit().await;
         match self.cloud.catalog().await {
-            Ok(builds) => {
+            Ok(machine_types) => {
                 self.catalog_at = Some(Instant::now());
-                let catalog: Catalog = Arc::new(builds);
+                let catalog: Catalog = Arc::new(machine_types);
                 *self.shared.catalog.lock() = Some(catalog.clone());
                 if let Some(cluster) = self.shared.cluster.lock().as_mut() {
                     cluster.set_catalog(catalog);
                 }
-                self.shared.wake_leader.notify_one();
+                self.shared.wake_election.notify_one();
             }
             Err(error) => debug!(%error, "cannot read the machine types"),
         }
@@ -235,7 +248,7 @@
 
     fn plan(&mut self) -> Vec<Action> {
         let now = Instant::now();
-        let short = self.shortages.lock().clone();
+        let unmet_demand = self.unmet_demand.lock().clone();
         let idle_policy = self.shared.operator.lock().idle_policy();
         let mut guard = self.shared.cluster.lock();
         let Some(cluster) = guard.as_mut().filter(|c| c.term == self.term) else {
@@ -250,7 +263,7 @@
         let actions = fleet::plan(&FleetView {
             cluster,
             policy,
-            short: &short,
+            unmet_demand: &unmet_demand,
             market: &self.market,
             idle_policy,
             now,
@@ -259,7 +272,7 @@
             if let Action::Return(ids, _) = action {
                 for id in ids {
                     if let Some(machine) = cluster.machines.get_mut(id) {
-                        machine.returning = true;
+                        machine.releasing = true;
                     }
                 }
             }
@@ -270,60 +283,60 @@
     /// Whether the term for which this was decided still lasts. Asked right before each request:
     /// the pace, the one before, or standing still may have taken longer than the lead lasts.
     fn leads(&self) -> bool {
-        let lead = self.shared.role.lock().leading(Instant::now());
-        lead.is_some_and(|lead| lead.term == self.term)
+        let leadership = self.shared.election.lock().leadership(Instant::now());
+        leadership.is_some_and(|leadership| leadership.term == self.term)
     }
 
-    async fn hire(&mut self, hire: HireBody, offer: Offer) -> Hired {
+    async fn request_rental(&mut self, request: RentalRequest, pool: MachinePool) -> RentalOutcome {
         self.wait_for_limit().await;
         if !self.leads() {
-            return Hired::Unknown;
+            return RentalOutcome::Unknown;
         }
-        let outcome = self.cloud.hire(&hire).await;
+        let outcome = self.cloud.rent(&request).await;
         let now = Instant::now();
         match outcome {
             Ok(names) => {
-                info!(request = %hire.request, build = %hire.build, zone = %hire.zone,
-                    spot = hire.spot, wanted = hire.count, got = names.len(), "rented");
-                let fewer = (names.len() as u32) < hire.count;
+                info!(request = %request.request, machine_type = %request.machine_type, zone = %request.zone,
+                    spot = request.spot, wanted = request.count, got = names.len(), "rented");
+                let fewer = (names.len() as u32) < request.count;
                 if fewer {
-                    self.market.exhausted(&offer, now);
+                    self.market.exhausted(&pool, now);
                 }
                 self.shared.metrics.lock().counts.rented += names.len() as u64;
                 if let Some(cluster) = self.shared.cluster.lock().as_mut() {
-                    cluster.hired(&names, &offer, now);
+                    cluster.machines_rented(&names, &pool, now);
                 }
                 if fewer {
-                    Hired::Fewer
+                    RentalOutcome::Fewer
                 } else {
-                    Hired::All
+                    RentalOutcome::All
                 }
             }
             Err(CloudError::NoCapacity) => {
-                info!(build = %hire.build, zone = %hire.zone, spot = hire.spot, "no capacity");
-                self.market.exhausted(&offer, now);
-                Hired::Fewer
+                info!(machine_type = %request.machine_type, zone = %request.zone, spot = request.spot, "no capacity");
+                self.market.exhausted(&pool, now);
+                RentalOutcome::Fewer
             }
             Err(CloudError::Unknown) => {
-                warn!(request = %hire.request, "no answer to a rental; it will be repeated");
-                self.unanswered.push((hire, offer));
-                Hired::Unknown
+                warn!(request = %request.request, "no answer to a rental; it will be repeated");
+                self.unanswered.push((request, pool));
+                RentalOutcome::Unknown
             }
             Err(error) => {
                 debug!(%error, "rental failed");
-                Hired::Unknown
+                RentalOutcome::Unknown
             }
         }
     }
 
-    async fn give_back(&mut self, ids: Vec<MachineId>, why: &'static str) {
+    async fn release(&mut self, ids: Vec<MachineId>, why: &'static str) {
         self.wait_for_limit().await;
         if !self.leads() {
             // Should we lead again in this term, it is still to be done.
             self.unreturned.push((ids, why));
             return;
         }
-        match self.cloud.give_back(&ids).await {
+        match self.cloud.release(&ids).await {
             Ok(()) => {
                 info!(machines = ?ids, why, "returned");
                 self.shared.metrics.lock().counts.returned += ids.len() as u64;
@@ -335,7 +348,7 @@
                 if let Some(cluster) = self.shared.cluster.lock().as_mut() {
                     for id in &ids {
                         if let Some(machine) = cluster.machines.get_mut(id) {
-                            machine.returning = false;
+                            machine.releasing = false;
                         }
                     }
                 }
--- a/src/actors/forward.rs
+++ b/src/actors/forward.rs
@@ -11,10 +11,10 @@
 use awc::Client;
 use tracing::{debug, info};
 
-use crate::forwarding::messages::{BatchAnswer, ReportBatch, BATCH_BODY_LIMIT, BATCH_VERSION};
-use crate::forwarding::{gather_time, PathFailure, QueuedReport, BATCH_LIMIT};
-use crate::leader::{KnownLeader, Standing};
-use crate::peer::reports::REPORTS;
+use crate::forwarding::messages::{BatchAnswer, HeartbeatBatch, BATCH_BODY_LIMIT, BATCH_VERSION};
+use crate::forwarding::{gather_time, PathFailure, QueuedHeartbeat, BATCH_LIMIT};
+use crate::leader::{LeaderHint, Role};
+use crate::peer::heartbeats::HEARTBEATS;
 use crate::peer::{self, BINCODE};
 use crate::service::Shared;
 use crate::time::unix_ms;
@@ -63,9 +63,9 @@
     /// Sends what waits, as far as batches may be under way. The end of a batch wakes the loop.
     fn send_queued(self: &Rc<Self>) {
         let now = Instant::now();
-        let standing = self.shared.role.lock().standing(now);
-        let leader = match standing {
-            Standing::Follow(Some(leader)) => leader,
+        let role = self.shared.election.lock().role(now);
+        let leader = match role {
+            Role::Follower(Some(leader)) => leader,
             _ => return self.shared.forwarding.lock().give_up_queued(),
         };
         let Some(address) = self.shared.settings.peer_address(&leader.member) else {
@@ -82,9 +82,9 @@
 
     async fn forward(
         self: Rc<Self>,
-        leader: KnownLeader,
+        leader: LeaderHint,
         address: SocketAddrV4,
-        batch: Vec<QueuedReport>,
+        batch: Vec<QueuedHeartbeat>,
     ) {
         let count = batch.len();
         let outcome = self.send(&leader, address, &batch).await;
@@ -119,26 +119,29 @@
 
     async fn send(
         &self,
-        leader: &KnownLeader,
+        leader: &LeaderHint,
         address: SocketAddrV4,
-        batch: &[QueuedReport],
+        batch: &[QueuedHeartbeat],
     ) -> Result<BatchAnswer, PathFailure> {
-        let body = peer::encode(&ReportBatch {
+        let body = peer::encode(&HeartbeatBatch {
             version: BATCH_VERSION,
             member: self.shared.settings.member.clone(),
             term: leader.term,
             sent_at_ms: unix_ms(SystemTime::now()),
-            reports: batch.iter().map(|queued| queued.report.clone()).collect(),
+            heartbeats: batch
+                .iter()
+                .map(|queued| queued.heartbeat.clone())
+                .collect(),
         });
         let body = body.ok_or(PathFailure::Unsupported)?;
         {
             let mut metrics = self.shared.metrics.lock();
-            metrics.reports.batches_sent += 1;
-            metrics.reports.forwarded += batch.len() as u64;
+            metrics.heartbeats.batches_sent += 1;
+            metrics.heartbeats.forwarded += batch.len() as u64;
         }
         let sent = self
             .http
-            .post(format!("http://{address}{REPORTS}"))
+            .post(format!("http://{address}{HEARTBEATS}"))
             .timeout(BATCH_LIMIT)
             .content_type(BINCODE)
             .send_body(body);
@@ -163,9 +166,9 @@
 }
 
 /// An answer of another version, or to another number of reports, answers none of them.
-fn decode_answer(bytes: &[u8], reports: usize) -> Result<BatchAnswer, PathFailure> {
+fn decode_answer(bytes: &[u8], heartbeats: usize) -> Result<BatchAnswer, PathFailure> {
     let answer: Option<BatchAnswer> = peer::decode(bytes);
     answer
-        .filter(|answer| answer.version == BATCH_VERSION && answer.answers.len() == reports)
+        .filter(|answer| answer.version == BATCH_VERSION && answer.answers.len() == heartbeats)
         .ok_or(PathFailure::Unsupported)
 }
--- a/src/actors/links.rs
+++ b/src/actors/links.rs
@@ -17,7 +17,7 @@
 use crate::service::Shared;
 use crate::store::actor::{Commit, StoreActor};
 use crate::store::keys::{self, ProbeRecord};
-use crate::store::{to_value, Change, Group, Urgency};
+use crate::store::{to_value, Change, Transaction, WritePriority};
 
 /// A peer that takes longer to answer a row has not answered.
 const ROW_LIMIT: Duration = Duration::from_millis(900);
@@ -78,14 +78,18 @@
             active.stood_still(now);
         }
         active.evaluate(now);
-        let leads = self.shared.role.lock().leading(now);
+        let leads = self.shared.election.lock().leadership(now);
         if active.wants_probe(leads.is_some(), now) {
             self.probe_writes();
         }
         if self.peers.is_empty() {
             return;
         }
-        let row = active.next_row(leads.map(|lead| lead.term.0), now, SystemTime::now());
+        let row = active.next_row(
+            leads.map(|leadership| leadership.term.0),
+            now,
+            SystemTime::now(),
+        );
         let Some(body) = peer::encode(&row.to_message()).map(Bytes::from) else {
             return;
         };
@@ -101,11 +105,8 @@
         self.probes += 1;
         let key = keys::probe(&self.shared.settings.member);
         let record = to_value(&ProbeRecord { count: self.probes });
-        let group = Group {
-            when: Vec::new(),
-            apply: vec![Change::put(key, record)],
-        };
-        self.store.do_send(Commit(group, Urgency::High));
+        let group = Transaction::new(Vec::new(), vec![Change::put(key, record)]);
+        self.store.do_send(Commit(group, WritePriority::High));
     }
 
     fn tell(&self, peer: &Peer, body: Bytes, own: Addr<Self>) {
--- a/src/actors/peers.rs
+++ b/src/actors/peers.rs
@@ -15,14 +15,16 @@
 use knotlanding_links::contact::PeerContactAnswer;
 use knotlanding_links::misdirected::MANY_MISDIRECTED;
 
-use crate::digest::{Digest, DigestContents, DigestRecipient, DigestReply, DIGEST_LIMIT};
 use crate::model::Term;
-use crate::peer::digest::DIGEST;
+use crate::peer::summary::SUMMARY;
 use crate::peer::{self, cancelled, contact};
 use crate::service::Shared;
+use crate::state_summary::{
+    StateSummary, SummaryContents, SummaryRecipient, SummaryReply, SUMMARY_BYTES_MAX,
+};
 use crate::store::actor::{Commit, StoreActor};
 use crate::store::keys::{self, MisdirectedRecord};
-use crate::store::{to_value, Change, Condition, Group, Urgency};
+use crate::store::{to_value, Change, Condition, Transaction, WritePriority};
 
 /// Time between two digests. The counts in them are for display.
 const TELL_EVERY: Duration = Duration::from_secs(1);
@@ -44,7 +46,7 @@
     member: String,
     address: SocketAddrV4,
     /// What it lacks, shared with the requests under way.
-    recipient: Rc<RefCell<DigestRecipient>>,
+    recipient: Rc<RefCell<SummaryRecipient>>,
 }
 
 /// The actor.
@@ -139,38 +141,41 @@
     /// Tells what changed; all of it only to who lacks it. Only a leader has anything to tell.
     fn tell(&mut self) {
         let now = Instant::now();
-        let Some(lead) = self.shared.role.lock().leading(now) else {
+        let Some(leadership) = self.shared.election.lock().leadership(now) else {
             return;
         };
-        if lead.term != self.term {
-            self.term = lead.term;
+        if leadership.term != self.term {
+            self.term = leadership.term;
             self.number = 0;
             for peer in &self.peers {
-                *peer.recipient.borrow_mut() = DigestRecipient::default();
+                *peer.recipient.borrow_mut() = SummaryRecipient::default();
             }
         }
         let wants_full = |peer: &Peer| peer.recipient.borrow().wants_full(now);
         let anyone_lacks = self.peers.iter().any(wants_full);
         let (changes, all) = {
             let mut guard = self.shared.cluster.lock();
-            let Some(cluster) = guard.as_mut().filter(|c| c.term == lead.term) else {
+            let Some(cluster) = guard.as_mut().filter(|c| c.term == leadership.term) else {
                 return;
             };
-            (cluster.news(), anyone_lacks.then(|| cluster.all_news()))
+            (
+                cluster.take_summary_changes(),
+                anyone_lacks.then(|| cluster.full_summary()),
+            )
         };
         self.number += 1;
-        let digest = |mut news: DigestContents, full| {
-            news.shorten(DIGEST_LIMIT);
-            peer::encode(&Digest {
-                term: lead.term,
+        let summary = |mut contents: SummaryContents, full| {
+            contents.shorten(SUMMARY_BYTES_MAX);
+            peer::encode(&StateSummary {
+                term: leadership.term,
                 member: self.shared.settings.member.clone(),
                 number: self.number,
                 full,
-                news,
+                contents,
             })
         };
-        let changes = digest(changes, false);
-        let all = all.and_then(|news| digest(news, true));
+        let changes = summary(changes, false);
+        let all = all.and_then(|contents| summary(contents, true));
         let (changes, all) = (changes.map(Bytes::from), all.map(Bytes::from));
         for peer in &self.peers {
             let full = wants_full(peer);
@@ -181,20 +186,20 @@
             if full {
                 peer.recipient.borrow_mut().full_sent(self.number, now);
             }
-            self.count_digest(full, body.len());
+            self.count_summary(full, body.len());
             self.send(peer, body.clone());
         }
     }
 
-    fn count_digest(&self, full: bool, bytes: usize) {
+    fn count_summary(&self, full: bool, bytes: usize) {
         let mut metrics = self.shared.metrics.lock();
-        let digests = &mut metrics.digests;
+        let summaries = &mut metrics.summaries;
         if full {
-            digests.full += 1;
+            summaries.full += 1;
         } else {
-            digests.changes += 1;
+            summaries.changes += 1;
         }
-        digests.bytes += bytes as u64;
+        summaries.bytes += bytes as u64;
     }
 
     /// Writes down that workers report here in vain, where the leader's digests don't arrive: it may have
@@ -203,13 +208,13 @@
     fn write_misdirected(&mut self, now: Instant) {
         let count = self.shared.misdirected.load(Ordering::Relaxed);
         let (written, at) = self.written;
-        let heard = self.shared.links.digest_heard();
+        let heard = self.shared.links.last_summary();
         let missed = heard.is_none_or(|at| now.saturating_duration_since(at) > DIGESTS_MISSED);
         if !missed {
             self.written = (count, at);
             return;
         }
-        let leads = self.shared.role.lock().own_term().is_some();
+        let leads = self.shared.election.lock().own_term().is_some();
         let known = self.shared.replica.lock().leader.is_some();
         let many = count >= written + MANY_MISDIRECTED;
         let rested = now.saturating_duration_since(at) >= MISDIRECTED_EVERY;
@@ -221,14 +226,14 @@
         let version = self.shared.replica.lock().misdirected_version(member);
         let key = keys::misdirected(member);
         let record = to_value(&MisdirectedRecord { count });
-        let group = Group {
+        let group = Transaction {
             // One that is carried out late must not take a newer count back: the next one would
             // look as if many had come in between.
-            when: vec![Condition::new(key.clone(), version)],
-            apply: vec![Change::put(key, record)],
+            conditions: vec![Condition::new(key.clone(), version)],
+            changes: vec![Change::put(key, record)],
         };
         // Should it be lost, the next one says the same and more.
-        self.store.do_send(Commit(group, Urgency::High));
+        self.store.do_send(Commit(group, WritePriority::High));
     }
 
     /// Asks the others whether they have the state service, while we don't.
@@ -264,7 +269,7 @@
     fn send(&self, peer: &Peer, body: Bytes) {
         let sent = self
             .http
-            .post(format!("http://{}{}", peer.address, DIGEST))
+            .post(format!("http://{}{}", peer.address, SUMMARY))
             .timeout(TELL_LIMIT)
             .content_type(peer::BINCODE)
             .send_body(body);
@@ -277,7 +282,7 @@
                 recipient.borrow_mut().answered(number, lacks);
                 // Read to its end so that the connection can be used again.
                 let body = answer.body().await.unwrap_or_default();
-                if let Some(DigestReply { misdirected }) = peer::decode(&body) {
+                if let Some(SummaryReply { misdirected }) = peer::decode(&body) {
                     let now = Instant::now();
                     shared.links.misdirected_counted(&member, misdirected, now);
                 }
--- a/src/api/admin.rs
+++ b/src/api/admin.rs
@@ -13,13 +13,15 @@
 use serde::{Deserialize, Serialize};
 
 use super::RETRY_AFTER_S;
-use crate::cluster::{Cluster, Job, Machine};
-use crate::leader::Standing;
+use crate::cluster::{Cluster, DrainReason, Job, Machine};
+use crate::leader::Role;
 use crate::model::{JobId, MachineId};
 use crate::service::operator::OperatorSettings;
 use crate::service::Shared;
 use crate::store::actor::{Commit, StoreActor};
-use crate::store::{keys, to_value, Change, Condition, Group, Outcome, Urgency};
+use crate::store::{
+    keys, to_value, Change, Condition, Transaction, TransactionOutcome, WritePriority,
+};
 use crate::wire::Problem;
 
 /// Largest body taken from an operator.
@@ -40,13 +42,15 @@
 
 #[derive(Debug, Serialize)]
 struct MachineStatus {
-    build: String,
+    #[serde(rename = "build")]
+    machine_type: String,
     zone: String,
     spot: bool,
     tasks: usize,
     reported_s_ago: Option<f64>,
-    drain: Option<String>,
-    returning: bool,
+    drain: Option<&'static str>,
+    #[serde(rename = "returning")]
+    releasing: bool,
     /// Why it gets no new tasks.
     passed_over: Option<&'static str>,
     health: MachineHealth,
@@ -77,18 +81,18 @@
 impl MachineStatus {
     fn of(cluster: &Cluster, machine: &Machine, judge: &HealthJudge) -> Self {
         let now = judge.now;
-        let reported = machine.reported.map(|at| now.saturating_duration_since(at));
+        let reported = machine
+            .last_heartbeat
+            .map(|at| now.saturating_duration_since(at));
         Self {
-            build: machine.build.clone(),
+            machine_type: machine.machine_type.clone(),
             zone: machine.zone.clone(),
             spot: machine.spot,
-            tasks: machine.slots.values().filter(|s| s.occupies()).count(),
+            tasks: machine.instances.values().filter(|s| s.occupies()).count(),
             reported_s_ago: reported.map(|d| d.as_secs_f64()),
-            drain: machine
-                .drain
-                .map(|drain| format!("{drain:?}").to_lowercase()),
-            returning: machine.returning,
-            passed_over: machine.passed_over(now, cluster.timing.quiet),
+            drain: machine.drain.map(DrainReason::label),
+            releasing: machine.releasing,
+            passed_over: machine.passed_over(now, cluster.timing.suspect_after),
             health: MachineHealth::of(judge.judge(&machine.evidence()), now),
         }
     }
@@ -103,7 +107,8 @@
     placed: usize,
     age_s: f64,
     /// Why tasks of it don't run.
-    waits_for: Option<&'static str>,
+    #[serde(rename = "waits_for")]
+    pending_reason: Option<&'static str>,
     /// Machines on which tasks of it failed.
     failed_on: usize,
     /// Whether it fails everywhere, as far as can be seen.
@@ -118,9 +123,9 @@
             team: job.spec.team.clone(),
             tasks: job.spec.tasks,
             done: job.done.len(),
-            placed: job.places.len(),
+            placed: job.placements.len(),
             age_s: now.saturating_duration_since(job.submitted).as_secs_f64(),
-            waits_for: waits.then_some(job.waits_for),
+            pending_reason: waits.then_some(job.pending_reason),
             failed_on: job.failed_on.len(),
             suspected: job.suspected(),
         }
@@ -135,6 +140,7 @@
     term: Option<u64>,
     records_revision: u64,
     state_service_answers: bool,
+    #[serde(rename = "unsettled_machines")]
     unsettled_machines: usize,
     /// Machines by their health; none on a node that does not lead and can't tell.
     worker_health: BTreeMap<HealthState, usize>,
@@ -149,13 +155,13 @@
 
 fn view(shared: &Shared) -> Status {
     let now = Instant::now();
-    let standing = shared.role.lock().standing(now);
-    let leading = matches!(standing, Standing::Lead(_));
+    let role = shared.election.lock().role(now);
+    let leading = matches!(role, Role::Leader(_));
     let me = shared.settings.member.clone();
-    let (leader, term) = match standing {
-        Standing::Lead(lead) => (Some(me.clone()), Some(lead.term.0)),
-        Standing::KeepAlive(_) => (None, None),
-        Standing::Follow(leader) => (leader.map(|leader| leader.member), None),
+    let (leader, term) = match role {
+        Role::Leader(leadership) => (Some(me.clone()), Some(leadership.term.0)),
+        Role::KeepAlive(_) => (None, None),
+        Role::Follower(leader) => (leader.map(|leader| leader.member), None),
     };
     let mut status = Status {
         member: me,
@@ -173,7 +179,7 @@
     let Some(cluster) = guard.as_ref() else {
         return status;
     };
-    status.unsettled_machines = cluster.unsettled.len();
+    status.unsettled_machines = cluster.unreconciled.len();
     let judge = cluster.health_judge(now);
     for (id, machine) in &cluster.machines {
         let shown = MachineStatus::of(cluster, machine, &judge);
@@ -193,10 +199,10 @@
     find: impl Fn(&Cluster, Instant) -> Option<T>,
 ) -> HttpResponse {
     let now = Instant::now();
-    let standing = shared.role.lock().standing(now);
-    if !matches!(standing, Standing::Lead(_)) {
-        let error = match standing {
-            Standing::Follow(Some(leader)) => format!("{} leads; ask there", leader.member),
+    let role = shared.election.lock().role(now);
+    if !matches!(role, Role::Leader(_)) {
+        let error = match role {
+            Role::Follower(Some(leader)) => format!("{} leads; ask there", leader.member),
             _ => "nobody is known to lead; try again".to_owned(),
         };
         return refuse(HttpResponse::ServiceUnavailable(), error);
@@ -289,17 +295,19 @@
     if !shared.replica.lock().loaded {
         return unavailable();
     }
-    let group = Group {
-        when: vec![Condition::new(keys::SETTINGS, wanted.version)],
-        apply: vec![Change::put(keys::SETTINGS, to_value(&wanted.settings))],
-    };
-    let sent = actix::clock::timeout(CHANGE_LIMIT, store.send(Commit(group, Urgency::High)));
+    let group = Transaction::new(
+        vec![Condition::new(keys::SETTINGS, wanted.version)],
+        vec![Change::put(keys::SETTINGS, to_value(&wanted.settings))],
+    );
+    let sent = actix::clock::timeout(CHANGE_LIMIT, store.send(Commit(group, WritePriority::High)));
     match sent.await {
-        Ok(Ok(Outcome::Committed(version))) => HttpResponse::Ok().json(VersionedSettings {
-            version,
-            settings: wanted.settings,
-        }),
-        Ok(Ok(Outcome::Conflict { .. })) => {
+        Ok(Ok(TransactionOutcome::Committed(version))) => {
+            HttpResponse::Ok().json(VersionedSettings {
+                version,
+                settings: wanted.settings,
+            })
+        }
+        Ok(Ok(TransactionOutcome::Conflict { .. })) => {
             let error = "the settings have changed since that version; read them again".to_owned();
             refuse(HttpResponse::Conflict(), error)
         }
--- a/src/api/links.rs
+++ b/src/api/links.rs
@@ -6,8 +6,8 @@
 
 use actix_web::{web, HttpResponse};
 use knotlanding_links::gate::GateRefusal;
-use knotlanding_links::leadership::{connectivity, Connectivity, Decision};
-use knotlanding_links::row::{LinkReport, Row};
+use knotlanding_links::handover::{connectivity, Connectivity, Decision};
+use knotlanding_links::row::{LinkStatus, Row};
 use serde::Serialize;
 
 use crate::service::links::ActiveLinks;
@@ -17,21 +17,22 @@
 #[derive(Debug, Serialize)]
 struct PeerLinksView {
     /// Requests to it are answered.
-    outbound: LinkReport,
+    outbound: LinkStatus,
     /// Its requests arrive.
-    inbound: LinkReport,
+    inbound: LinkStatus,
 }
 
 /// One controller's row.
 #[derive(Debug, Serialize)]
 struct RowView {
-    life: u64,
+    #[serde(rename = "life")]
+    incarnation: u64,
     sequence: u64,
     /// Time since the row came; nothing for the row of the controller that was asked.
     received_s_ago: Option<f64>,
     leads_term: Option<u64>,
-    store_read: LinkReport,
-    store_write: LinkReport,
+    store_read: LinkStatus,
+    store_write: LinkStatus,
     peers: BTreeMap<String, PeerLinksView>,
     workers_heard: u64,
     workers_reached: u64,
@@ -50,7 +51,7 @@
             (links.member.clone(), view)
         });
         Self {
-            life: message.life,
+            incarnation: message.incarnation,
             sequence: message.sequence,
             received_s_ago: age.map(|age| age.as_secs_f64()),
             leads_term: message.leads_term,
@@ -92,7 +93,11 @@
 }
 
 fn view(shared: &Shared, active: &ActiveLinks, now: Instant) -> LinksView {
-    let leads = shared.role.lock().leading(now).map(|lead| lead.term.0);
+    let leads = shared
+        .election
+        .lock()
+        .leadership(now)
+        .map(|leadership| leadership.term.0);
     let own = active.own_row(leads, now);
     let snapshot = active.snapshot();
     let me = shared.settings.member.clone();
--- a/src/api/users.rs
+++ b/src/api/users.rs
@@ -10,12 +10,14 @@
 
 use super::{cbor, later, problem};
 use crate::cluster::Catalog;
-use crate::model::{Amount, JobId, JobSpec, Rank, Shape, Verdict};
-use crate::policy::Policy;
+use crate::model::{JobId, JobKind, JobSpec, Priority, Resources, Verdict};
+use crate::policy::SchedulingPolicy;
 use crate::service::Shared;
 use crate::store::actor::{Commit, ReadVerdict, StoreActor};
 use crate::store::keys::{self, JobRecord, LiveRecord};
-use crate::store::{to_value, Change, Condition, Group, Outcome, StoreError, Urgency};
+use crate::store::{
+    to_value, Change, Condition, StoreError, Transaction, TransactionOutcome, WritePriority,
+};
 use crate::time::unix_ms;
 use crate::wire::{self, JobBody, JobState};
 
@@ -69,7 +71,7 @@
     if let Some(cluster) = shared.cluster.lock().as_ref() {
         return cluster.count(id);
     }
-    let told = shared.digest_view.lock();
+    let told = shared.summary_cache.lock();
     told.counts.get(id).copied().unwrap_or((0, 0))
 }
 
@@ -125,21 +127,21 @@
 }
 
 /// Why a job can never run, if that is so.
-fn impossible(spec: &JobSpec, policy: &Policy, catalog: &Catalog) -> Option<String> {
+fn impossible(spec: &JobSpec, policy: &SchedulingPolicy, catalog: &Catalog) -> Option<String> {
     if !policy.teams.contains_key(&spec.team) {
         return Some(format!("unknown team {}", spec.team));
     }
-    let fits_one = catalog.iter().any(|build| {
-        let mut zones = build.zones.iter();
-        let zone = zones.any(|zone| spec.allows(&build.name, zone, false));
-        zone && spec.need.fits(&build.room)
+    let fits_one = catalog.iter().any(|machine_type| {
+        let mut zones = machine_type.zones.iter();
+        let zone = zones.any(|zone| spec.allows(&machine_type.name, zone, false));
+        zone && spec.task_resources.fits(&machine_type.room)
     });
     if !fits_one {
         return Some("a task fits no machine type allowed".to_owned());
     }
-    let most: Amount = match spec.shape {
-        Shape::Array | Shape::Service => spec.need,
-        Shape::Gang => spec.need.times(spec.tasks),
+    let most: Resources = match spec.kind {
+        JobKind::Array | JobKind::Service => spec.task_resources,
+        JobKind::Gang => spec.task_resources.times(spec.tasks),
     };
     if !policy.within_limit(&spec.team, &most) {
         return Some("the job needs more than its team's limit".to_owned());
@@ -201,14 +203,14 @@
         };
     }
     let tasks = spec.tasks;
-    debug!(job = %id, class = %spec.class, team = %spec.team, rank = ?spec.rank, tasks,
-        need = ?spec.need, "submitted");
+    debug!(job = %id, class = %spec.class, team = %spec.team, priority = ?spec.priority, tasks,
+        need = ?spec.task_resources, "submitted");
     let submitted_ms = unix_ms(SystemTime::now());
     // When more is asked than can be written, what has time waits for what has none.
-    let urgency = if spec.rank == Rank::BestEffort {
-        Urgency::Low
+    let urgency = if spec.priority == Priority::BestEffort {
+        WritePriority::Low
     } else {
-        Urgency::High
+        WritePriority::High
     };
     let job = JobRecord {
         verdict: Verdict::Accepted,
@@ -220,19 +222,19 @@
             hosts: None,
         }),
     };
-    let group = Group {
-        when: vec![Condition::new(keys::job(&id), 0)],
-        apply: vec![Change::put(keys::job(&id), to_value(&job))],
-    };
+    let group = Transaction::new(
+        vec![Condition::new(keys::job(&id), 0)],
+        vec![Change::put(keys::job(&id), to_value(&job))],
+    );
     let outcome = store.send(Commit(group, urgency)).await;
-    match outcome.unwrap_or(Outcome::Failed(StoreError::Unknown)) {
-        Outcome::Committed(_) => {
+    match outcome.unwrap_or(TransactionOutcome::Failed(StoreError::Unknown)) {
+        TransactionOutcome::Committed(_) => {
             info!(job = %id, tasks, "accepted");
             let new = state(shared, &id, Verdict::Accepted, tasks);
             cbor(StatusCode::CREATED, &new)
         }
-        Outcome::Conflict { .. } => known_state(shared, store, &id).await,
-        Outcome::Failed(error) => {
+        TransactionOutcome::Conflict { .. } => known_state(shared, store, &id).await,
+        TransactionOutcome::Failed(error) => {
             debug!(job = %id, %error, "not accepted");
             refusal(&error)
         }
@@ -277,7 +279,7 @@
         }
         let (version, live) = {
             let replica = shared.replica.lock();
-            let live = replica.live.get(id).filter(|live| !live.apart);
+            let live = replica.live.get(id).filter(|live| !live.has_own_key);
             (
                 replica.job_version(id),
                 live.map(|live| live.record.clone()),
@@ -289,21 +291,21 @@
             tasks,
             live,
         };
-        let group = Group {
-            when: vec![Condition::new(keys::job(id), version)],
-            apply: vec![Change::put(keys::job(id), to_value(&record))],
-        };
-        let outcome = store.send(Commit(group, Urgency::High)).await;
-        match outcome.unwrap_or(Outcome::Failed(StoreError::Unknown)) {
-            Outcome::Committed(_) => {
+        let group = Transaction::new(
+            vec![Condition::new(keys::job(id), version)],
+            vec![Change::put(keys::job(id), to_value(&record))],
+        );
+        let outcome = store.send(Commit(group, WritePriority::High)).await;
+        match outcome.unwrap_or(TransactionOutcome::Failed(StoreError::Unknown)) {
+            TransactionOutcome::Committed(_) => {
                 info!(job = %id, "cancelled");
                 shared.cancellation_recorded(id);
                 let cancelled = state(shared, id, Verdict::Cancelled, tasks);
                 return cbor(StatusCode::OK, &cancelled);
             }
             // Something else was written first; what stands decides.
-            Outcome::Conflict { .. } => {}
-            Outcome::Failed(error) => return refusal(&error),
+            TransactionOutcome::Conflict { .. } => {}
+            TransactionOutcome::Failed(error) => return refusal(&error),
         }
     }
     refusal(&StoreError::Unknown)
--- a/src/api/workers.rs
+++ b/src/api/workers.rs
@@ -8,12 +8,12 @@
 
 use super::{cbor, problem};
 use crate::forwarding::messages::ForwardedAnswer;
-use crate::forwarding::{PendingReport, QueueFull, Route, ANSWER_LIMIT};
-use crate::leader::{KnownLeader, Standing};
-use crate::model::Token;
-use crate::service::reports::{decide, ReportDecision};
+use crate::forwarding::{PendingHeartbeat, QueueFull, Route, ANSWER_LIMIT};
+use crate::leader::{LeaderHint, Role};
+use crate::model::FencingToken;
+use crate::service::heartbeats::{decide, HeartbeatDecision};
 use crate::service::{OpenConnection, Shared};
-use crate::wire::{self, Redirect, Report};
+use crate::wire::{self, Heartbeat, Redirect};
 
 /// What becomes of a report.
 #[derive(Debug)]
@@ -21,7 +21,7 @@
     /// This node answers it.
     Answered(HttpResponse),
     /// It was queued for the leader.
-    Forwarded(PendingReport),
+    Forwarded(PendingHeartbeat),
 }
 
 /// `POST /hello`
@@ -38,15 +38,15 @@
         .is_some_and(OpenConnection::first_request);
     let mut answer = match receive(&shared, body, &Instant::now) {
         Reception::Answered(answer) => answer,
-        Reception::Forwarded(pending) => wait_for_leader(&shared, pending).await,
+        Reception::Forwarded(pending) => await_leader(&shared, pending).await,
     };
     let status = answer.status().as_u16();
-    shared.metrics.lock().reports.answered(first, status);
+    shared.metrics.lock().heartbeats.answered(first, status);
     let stays = answer.status() == StatusCode::OK;
     if !stays {
         shared.misdirected.fetch_add(1, Ordering::Relaxed);
     }
-    if !stays || shared.open() > shared.sockets.reports_close {
+    if !stays || shared.open() > shared.sockets.heartbeats_close {
         let head = answer.head_mut();
         head.set_connection_type(ConnectionType::Close);
     }
@@ -64,24 +64,24 @@
         let answer = problem(StatusCode::BAD_REQUEST, "body too large or cut off");
         return Reception::Answered(answer);
     };
-    let standing = shared.role.lock().standing(clock());
-    let term = match standing {
-        Standing::Lead(lead) => lead.term,
-        Standing::KeepAlive(term) => term,
-        Standing::Follow(Some(leader)) => return to_leader(shared, &leader, &body, clock()),
-        Standing::Follow(None) => return Reception::Answered(unavailable("nobody leads")),
+    let role = shared.election.lock().role(clock());
+    let term = match role {
+        Role::Leader(leadership) => leadership.term,
+        Role::KeepAlive(term) => term,
+        Role::Follower(Some(leader)) => return to_leader(shared, &leader, &body, clock()),
+        Role::Follower(None) => return Reception::Answered(unavailable("nobody leads")),
     };
-    let report: Report = match wire::decode(&body) {
-        Ok(report) => report,
+    let heartbeat: Heartbeat = match wire::decode(&body) {
+        Ok(heartbeat) => heartbeat,
         Err(error) => return Reception::Answered(malformed(&error)),
     };
-    shared.links.worker_reported(&report, clock());
-    Reception::Answered(match decide(shared, &report, term, clock) {
-        ReportDecision::Accepted(answer) => {
-            shared.links.worker_answered(&report.machine);
+    shared.links.worker_reported(&heartbeat, clock());
+    Reception::Answered(match decide(shared, &heartbeat, term, clock) {
+        HeartbeatDecision::Accepted(answer) => {
+            shared.links.worker_answered(&heartbeat.machine);
             cbor(StatusCode::OK, &answer)
         }
-        ReportDecision::Unavailable(why) => unavailable(why),
+        HeartbeatDecision::Unavailable(why) => unavailable(why),
     })
 }
 
@@ -94,7 +94,7 @@
 }
 
 /// Queues a report for the leader, or says at once why not.
-fn to_leader(shared: &Shared, leader: &KnownLeader, body: &[u8], now: Instant) -> Reception {
+fn to_leader(shared: &Shared, leader: &LeaderHint, body: &[u8], now: Instant) -> Reception {
     let route = match shared.settings.peer_address(&leader.member) {
         Some(_) => shared.forwarding.lock().route(leader, now),
         None => Route::Redirect,
@@ -107,16 +107,16 @@
             return Reception::Answered(answer);
         }
     }
-    let report: Report = match wire::decode(body) {
-        Ok(report) => report,
+    let heartbeat: Heartbeat = match wire::decode(body) {
+        Ok(heartbeat) => heartbeat,
         Err(error) => return Reception::Answered(malformed(&error)),
     };
-    if Token(report.token).term() > leader.term {
+    if FencingToken(heartbeat.token).term() > leader.term {
         let answer = unavailable("the worker knows a newer leader");
         return Reception::Answered(answer);
     }
-    shared.links.worker_reported(&report, now);
-    let queued = shared.forwarding.lock().enqueue(report, body.len(), now);
+    shared.links.worker_reported(&heartbeat, now);
+    let queued = shared.forwarding.lock().enqueue(heartbeat, body.len(), now);
     match queued {
         Ok(pending) => {
             shared.wake_forwarding.notify_one();
@@ -127,7 +127,7 @@
 }
 
 /// Names the leader to a worker, unless more go there than it can take in.
-fn redirect(shared: &Shared, leader: &KnownLeader, now: Instant) -> HttpResponse {
+fn redirect(shared: &Shared, leader: &LeaderHint, now: Instant) -> HttpResponse {
     if !may_redirect(shared, now) {
         return unavailable("too many go to the leader");
     }
@@ -145,7 +145,7 @@
     may
 }
 
-async fn wait_for_leader(shared: &Shared, mut pending: PendingReport) -> HttpResponse {
+async fn await_leader(shared: &Shared, mut pending: PendingHeartbeat) -> HttpResponse {
     let answer = actix::clock::timeout(ANSWER_LIMIT, &mut pending.answer).await;
     let answer = answer.ok().and_then(Result::ok);
     let now = Instant::now();
@@ -162,7 +162,7 @@
 }
 
 /// Passes the leader's answer on, or tells the worker to try another node.
-pub fn pass_on(pending: &PendingReport, answer: ForwardedAnswer, now: Instant) -> HttpResponse {
+pub fn pass_on(pending: &PendingHeartbeat, answer: ForwardedAnswer, now: Instant) -> HttpResponse {
     match pending.passed_on(answer, now) {
         Some(answer) => cbor(StatusCode::OK, &answer),
         None => unavailable("the leader's answer is of no use to the worker"),
@@ -172,8 +172,8 @@
 /// The answer to a worker whose report the leader did not answer: where the nodes can't reach
 /// each other, the worker may reach the leader.
 pub fn no_answer(shared: &Shared, now: Instant) -> HttpResponse {
-    let standing = shared.role.lock().standing(now);
-    if let Standing::Follow(Some(leader)) = standing {
+    let role = shared.election.lock().role(now);
+    if let Role::Follower(Some(leader)) = role {
         let route = shared.forwarding.lock().route(&leader, now);
         if route == Route::Redirect {
             return redirect(shared, &leader, now);
--- a/src/capacity/mod.rs
+++ b/src/capacity/mod.rs
@@ -6,8 +6,8 @@
 use std::time::Instant;
 
 use self::price_cap::too_dear;
-use crate::cluster::{build_named, Cluster, ImageId, Kind, KindId, Machine};
-use crate::model::{Amount, Build, JobSpec};
+use crate::cluster::{find_machine_type, Cluster, ImageId, Machine, PoolId};
+use crate::model::{JobSpec, MachinePool, MachineType, Resources};
 
 /// A task that outlived its estimate is expected to go on for at least this long.
 const REMAINING_TIME_MIN_S: f64 = 3.0;
@@ -17,99 +17,108 @@
 
 /// Free room on one machine.
 #[derive(Debug, Clone)]
-pub struct Room<'a> {
+pub struct MachineCapacity<'a> {
     /// The machine.
     pub machine: &'a Machine,
     /// Its kind.
-    pub kind: KindId,
+    pub pool: PoolId,
     /// What is free.
-    pub free: Amount,
+    pub free: Resources,
 }
 
 /// Free room on all machines that take tasks, by kind.
 #[derive(Debug)]
-pub struct Rooms<'a> {
+pub struct CapacityIndex<'a> {
     /// All of them.
-    pub all: Vec<Room<'a>>,
+    pub all: Vec<MachineCapacity<'a>>,
     /// Which of them are of a kind.
-    by_kind: Vec<Vec<u32>>,
-    kinds: Vec<(&'a Kind, Option<&'a Build>)>,
-    catalog: &'a [Build],
+    by_pool: Vec<Vec<u32>>,
+    pools: Vec<(&'a MachinePool, Option<&'a MachineType>)>,
+    catalog: &'a [MachineType],
 }
 
-impl<'a> Rooms<'a> {
+impl<'a> CapacityIndex<'a> {
     /// As the cluster state has it.
     pub fn of(cluster: &'a Cluster, now: Instant) -> Self {
-        let kinds: Vec<_> = cluster
-            .kinds
+        let pools: Vec<_> = cluster
+            .pools
             .iter()
-            .map(|(_, kind)| (kind, build_named(cluster.catalog(), &kind.build)))
+            .map(|(_, pool)| {
+                (
+                    pool,
+                    find_machine_type(cluster.catalog(), &pool.machine_type),
+                )
+            })
             .collect();
         let mut all = Vec::with_capacity(cluster.machines.len());
-        let mut by_kind = vec![Vec::new(); kinds.len()];
+        let mut by_pool = vec![Vec::new(); pools.len()];
         for machine in cluster.machines.values() {
-            let Some(kind) = machine.kind else { continue };
-            if !machine.takes_tasks(now, cluster.timing.quiet) {
+            let Some(pool) = machine.pool else { continue };
+            if !machine.takes_tasks(now, cluster.timing.suspect_after) {
                 continue;
             }
-            let Some(build) = kinds.get(usize::from(kind.0)).and_then(|(_, build)| *build) else {
+            let Some(machine_type) = pools
+                .get(usize::from(pool.0))
+                .and_then(|(_, machine_type)| *machine_type)
+            else {
                 continue;
             };
-            let mut free = build.room;
+            let mut free = machine_type.room;
             free.sub(&machine.taken());
-            by_kind[usize::from(kind.0)].push(all.len() as u32);
-            all.push(Room {
+            by_pool[usize::from(pool.0)].push(all.len() as u32);
+            all.push(MachineCapacity {
                 machine,
-                kind,
+                pool,
                 free,
             });
         }
         Self {
             all,
-            by_kind,
-            kinds,
+            by_pool,
+            pools,
             catalog: cluster.catalog(),
         }
     }
 
-    /// Kinds that a job may use, in one zone or any, whose machines can hold a task of it and
+    /// MachinePools that a job may use, in one zone or any, whose machines can hold a task of it and
     /// are not too dear for it.
-    pub fn kinds_for(&self, spec: &JobSpec, zone: Option<&str>) -> Vec<KindId> {
-        let mut kinds = self.all_kinds_for(spec, zone);
-        kinds.retain(|id| {
-            let build = self.kinds[usize::from(id.0)].1;
-            build.is_some_and(|build| !too_dear(spec, build, self.catalog))
+    pub fn pools_for(&self, spec: &JobSpec, zone: Option<&str>) -> Vec<PoolId> {
+        let mut pools = self.all_pools_for(spec, zone);
+        pools.retain(|id| {
+            let machine_type = self.pools[usize::from(id.0)].1;
+            machine_type.is_some_and(|machine_type| !too_dear(spec, machine_type, self.catalog))
         });
-        kinds
+        pools
     }
 
     /// The same whatever they cost.
-    pub fn all_kinds_for(&self, spec: &JobSpec, zone: Option<&str>) -> Vec<KindId> {
-        let numbered = self.kinds.iter().enumerate();
+    pub fn all_pools_for(&self, spec: &JobSpec, zone: Option<&str>) -> Vec<PoolId> {
+        let numbered = self.pools.iter().enumerate();
         numbered
-            .filter(|(_, (kind, build))| {
-                zone.is_none_or(|zone| zone == kind.zone)
-                    && spec.allows(&kind.build, &kind.zone, kind.spot)
-                    && build.is_some_and(|build| spec.need.fits(&build.room))
+            .filter(|(_, (pool, machine_type))| {
+                zone.is_none_or(|zone| zone == pool.zone)
+                    && spec.allows(&pool.machine_type, &pool.zone, pool.spot)
+                    && machine_type
+                        .is_some_and(|machine_type| spec.task_resources.fits(&machine_type.room))
             })
-            .map(|(at, _)| KindId(at as u16))
+            .map(|(at, _)| PoolId(at as u16))
             .collect()
     }
 
     /// What machines of a kind have in common.
-    pub fn kind(&self, id: KindId) -> (&'a Kind, Option<&'a Build>) {
-        self.kinds[usize::from(id.0)]
+    pub fn pool(&self, id: PoolId) -> (&'a MachinePool, Option<&'a MachineType>) {
+        self.pools[usize::from(id.0)]
     }
 
-    /// Rooms of some kinds in which a task of this size fits, as places in [`Rooms::all`].
+    /// CapacityIndex of some kinds in which a task of this size fits, as places in [`CapacityIndex::all`].
     pub fn fitting<'b>(
         &'b self,
-        kinds: &'b [KindId],
-        need: &'b Amount,
+        pools: &'b [PoolId],
+        need: &'b Resources,
     ) -> impl Iterator<Item = usize> + 'b {
-        let rooms = kinds
+        let rooms = pools
             .iter()
-            .flat_map(|kind| self.by_kind[usize::from(kind.0)].iter());
+            .flat_map(|pool| self.by_pool[usize::from(pool.0)].iter());
         rooms
             .map(|at| *at as usize)
             .filter(|at| need.fits(&self.all[*at].free))
@@ -117,10 +126,10 @@
 
     /// Zones that have room of any size.
     pub fn zones(&self) -> Vec<String> {
-        let kinds = self.kinds.iter().zip(&self.by_kind);
-        let mut zones: Vec<String> = kinds
+        let pools = self.pools.iter().zip(&self.by_pool);
+        let mut zones: Vec<String> = pools
             .filter(|(_, rooms)| !rooms.is_empty())
-            .map(|((kind, _), _)| kind.zone.clone())
+            .map(|((pool, _), _)| pool.zone.clone())
             .collect();
         zones.sort();
         zones.dedup();
@@ -131,8 +140,8 @@
 /// Places expected to come free, soonest first. A task whose image would take longer to fetch
 /// than such a place takes to come free, on a machine that has the image, waits for it.
 #[derive(Debug)]
-pub struct Departures {
-    places: Vec<Departure>,
+pub struct ExpectedReleases {
+    places: Vec<ExpectedRelease>,
     claimed: Vec<bool>,
     /// Places by the images of their machines, soonest first. Made when it is first asked for:
     /// where images are fetched in no time, nobody waits for a place that has one.
@@ -141,17 +150,17 @@
 
 /// A place that a running task is expected to leave.
 #[derive(Debug, Clone)]
-pub struct Departure {
+pub struct ExpectedRelease {
     /// In so many seconds.
     pub rest_s: f64,
-    /// Where, in [`Rooms::all`].
+    /// Where, in [`CapacityIndex::all`].
     pub room: usize,
     /// What it takes now.
-    pub amount: Amount,
+    pub amount: Resources,
 }
 
-/// See [`Departures`].
-fn by_image(places: &[Departure], rooms: &Rooms) -> HashMap<ImageId, Vec<u32>> {
+/// See [`ExpectedReleases`].
+fn by_image(places: &[ExpectedRelease], rooms: &CapacityIndex) -> HashMap<ImageId, Vec<u32>> {
     let mut by_image: HashMap<ImageId, Vec<u32>> = HashMap::new();
     for (at, place) in places.iter().enumerate() {
         for (image, _) in &rooms.all[place.room].machine.images {
@@ -161,27 +170,27 @@
     by_image
 }
 
-impl Departures {
+impl ExpectedReleases {
     /// From what runs, by the owners' estimates.
-    pub fn of(rooms: &Rooms, now: Instant) -> Self {
+    pub fn of(rooms: &CapacityIndex, now: Instant) -> Self {
         let mut places = Vec::new();
         for (at, room) in rooms.all.iter().enumerate() {
-            for slot in room.machine.slots.values() {
-                let (Some(spec), Some(since)) = (&slot.spec, slot.running_since) else {
+            for instance in room.machine.instances.values() {
+                let (Some(spec), Some(since)) = (&instance.spec, instance.running_since) else {
                     continue;
                 };
-                if slot.occupies() && spec.estimate_s > 0.0 {
+                if instance.occupies() && spec.estimate_s > 0.0 {
                     let ran = now.saturating_duration_since(since).as_secs_f64();
                     let rest = (spec.estimate_s - ran).max(REMAINING_TIME_MIN_S) + TURNOVER_S;
-                    places.push(Departure {
+                    places.push(ExpectedRelease {
                         rest_s: rest,
                         room: at,
-                        amount: spec.need,
+                        amount: spec.task_resources,
                     });
                 }
             }
         }
-        places.sort_by(|a: &Departure, b| a.rest_s.total_cmp(&b.rest_s));
+        places.sort_by(|a: &ExpectedRelease, b| a.rest_s.total_cmp(&b.rest_s));
         Self {
             claimed: vec![false; places.len()],
             places,
@@ -190,25 +199,25 @@
     }
 
     /// All places, soonest first.
-    pub fn places(&self) -> &[Departure] {
+    pub fn places(&self) -> &[ExpectedRelease] {
         &self.places
     }
 
     /// Places that leave room for a task of the job within `limit` seconds, `most` at most.
     fn serving<'a>(
         &'a self,
-        rooms: &'a Rooms,
+        rooms: &'a CapacityIndex,
         (spec, zone): (&'a JobSpec, Option<&str>),
         most: u32,
         limit: f64,
     ) -> impl Iterator<Item = usize> + 'a {
-        let kinds = rooms.kinds_for(spec, zone);
+        let pools = rooms.pools_for(spec, zone);
         let soon = self.places.iter().take_while(move |p| p.rest_s <= limit);
         let fitting = soon.enumerate().filter(move |(at, place)| {
             let room = &rooms.all[place.room];
             let mut free = room.free;
             free.add(&place.amount);
-            !self.claimed[*at] && kinds.contains(&room.kind) && spec.need.fits(&free)
+            !self.claimed[*at] && pools.contains(&room.pool) && spec.task_resources.fits(&free)
         });
         fitting.map(|(at, _)| at).take(most as usize)
     }
@@ -216,7 +225,7 @@
     /// How many such places there are.
     pub fn could_serve(
         &self,
-        rooms: &Rooms,
+        rooms: &CapacityIndex,
         wanted: (&JobSpec, Option<&str>),
         most: u32,
         limit: f64,
@@ -227,7 +236,7 @@
     /// Takes such places; how many there were.
     pub fn serve(
         &mut self,
-        rooms: &Rooms,
+        rooms: &CapacityIndex,
         wanted: (&JobSpec, Option<&str>),
         most: u32,
         limit: f64,
@@ -243,8 +252,8 @@
     /// seconds. `from` is how far earlier calls for the same job have looked.
     pub fn claim(
         &mut self,
-        rooms: &Rooms,
-        (kinds, image): (&[KindId], ImageId),
+        rooms: &CapacityIndex,
+        (pools, image): (&[PoolId], ImageId),
         limit: f64,
         from: &mut usize,
     ) -> bool {
@@ -259,7 +268,7 @@
                 return false;
             }
             *from += 1;
-            if !self.claimed[at] && kinds.contains(&rooms.all[place.room].kind) {
+            if !self.claimed[at] && pools.contains(&rooms.all[place.room].pool) {
                 self.claimed[at] = true;
                 return true;
             }
--- a/src/cluster/commands.rs
+++ b/src/cluster/commands.rs
@@ -3,11 +3,11 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use super::{Cluster, Job, Machine, Phase, Slot, SlotId, Timing};
-use crate::digest::{Counts, DigestContents, Hint};
-use crate::model::{JobId, MachineId, Token};
-use crate::rate_limit::Bucket;
-use crate::wire::{DirectOrders, Order};
+use super::{Cluster, InstanceId, InstancePhase, Job, Machine, TaskInstance, WorkerTiming};
+use crate::model::{FencingToken, JobId, MachineId};
+use crate::rate_limit::TokenBucket;
+use crate::state_summary::{Counts, MachineHint, SummaryContents};
+use crate::wire::{DirectCommand, WorkerCommand};
 
 /// A stop is repeated in reports' answers; straight to the machine only after this long.
 const REPEAT_STOP: Duration = Duration::from_secs(2);
@@ -15,7 +15,7 @@
 const ASK_AGAIN: Duration = Duration::from_secs(3);
 /// Machines asked in one round at least: each costs about as much as a report.
 const QUESTIONS_PER_ROUND_MIN: usize = 40;
-/// Rounds in which all machines of an earlier term are asked once, if more are to be asked.
+/// SchedulerLoop in which all machines of an earlier term are asked once, if more are to be asked.
 const ROUNDS_TO_ASK_ALL: usize = 50;
 /// Processor time that a direct command takes with its connection.
 const COMMAND_CPU_S: f64 = 0.0003;
@@ -25,16 +25,16 @@
 /// How many direct commands may go that can wait, by the processor's share. Seen on a lean site: 767
 /// starts planned in one round, and as many raised tokens kept everything else waiting for seconds.
 #[derive(Debug)]
-pub struct Budget {
-    bucket: Bucket,
+pub struct CommandBudget {
+    bucket: TokenBucket,
 }
 
-impl Budget {
+impl CommandBudget {
     /// For a machine with such a share of a processor.
     pub fn new(cores: f64, now: Instant) -> Self {
         let rate = cores * COMMANDS_PART / COMMAND_CPU_S;
         Self {
-            bucket: Bucket::new(rate, now),
+            bucket: TokenBucket::new(rate, now),
         }
     }
 
@@ -50,35 +50,35 @@
 
 /// Commands for one machine.
 #[derive(Debug)]
-pub struct Direct {
+pub struct AddressedCommand {
     /// The machine.
     pub machine: MachineId,
     /// Where it takes them.
     pub address: String,
     /// The commands.
-    pub body: DirectOrders,
+    pub body: DirectCommand,
 }
 
 impl Cluster {
     /// Commands to be sent straight away: stops, and a raised token where a start waits for
     /// the machine's next report, since a worker reports at once when its token rises. A start
     /// itself never goes this way.
-    pub fn direct_orders(&mut self, now: Instant) -> Vec<Direct> {
+    pub fn direct_commands(&mut self, now: Instant) -> Vec<AddressedCommand> {
         let mut left = self.budget.left(now);
-        let per_round = self.unsettled.len() / ROUNDS_TO_ASK_ALL;
+        let per_round = self.unreconciled.len() / ROUNDS_TO_ASK_ALL;
         let per_round = per_round.max(QUESTIONS_PER_ROUND_MIN);
         let mut all = self.questions(now, left.min(per_round));
         let mut can_wait = all.len();
         left = left.saturating_sub(can_wait);
         for machine in self.machines.values_mut() {
-            let wanted = machine.orders_wanted() && machine.fenced;
+            let wanted = machine.commands_pending() && machine.fenced;
             if !wanted || machine.address.is_empty() {
                 continue;
             }
-            let mut orders = Vec::new();
-            for (id, slot) in &mut machine.slots {
-                if let Some(order) = stop_order(id, slot, now) {
-                    orders.push(order);
+            let mut commands = Vec::new();
+            for (id, instance) in &mut machine.instances {
+                if let Some(command) = stop_command(id, instance, now) {
+                    commands.push(command);
                 }
             }
             let token_raised = left > 0 && raise_token(machine, &self.jobs, &self.timing, now);
@@ -86,14 +86,14 @@
                 left -= 1;
                 can_wait += 1;
             }
-            if token_raised || !orders.is_empty() {
-                all.push(Direct {
+            if token_raised || !commands.is_empty() {
+                all.push(AddressedCommand {
                     machine: machine.id.clone(),
                     address: machine.address.clone(),
-                    body: DirectOrders {
+                    body: DirectCommand {
                         token: machine.token.0,
-                        session: machine.newest.0,
-                        orders,
+                        epoch: machine.newest.0,
+                        commands,
                     },
                 });
             }
@@ -105,113 +105,120 @@
     /// Commands without orders, for the sake of their answers: they fence machines that a new
     /// leader has not heard from, and tell whether what looks like an old report comes from a
     /// machine that has begun again.
-    fn questions(&mut self, now: Instant, most: usize) -> Vec<Direct> {
+    fn questions(&mut self, now: Instant, most: usize) -> Vec<AddressedCommand> {
         let mut all = Vec::new();
-        let first = Token::first(self.term);
+        let first = FencingToken::first(self.term);
         let again = |at: Option<Instant>| {
             at.is_none_or(|at| now.saturating_duration_since(at) >= ASK_AGAIN)
         };
         // Who was never asked comes first, then who was asked longest ago: those that don't answer
         // must not take the turn of those that would.
-        let unsettled = self.unsettled.iter().filter_map(|id| self.machines.get(id));
-        let due = unsettled.filter(|m| !m.fenced && !m.address.is_empty() && again(m.asked));
+        let unreconciled = self
+            .unreconciled
+            .iter()
+            .filter_map(|id| self.machines.get(id));
+        let due =
+            unreconciled.filter(|m| !m.fenced && !m.address.is_empty() && again(m.last_probe));
         let mut due: Vec<(Option<Instant>, MachineId)> = due
-            .map(|machine| (machine.asked, machine.id.clone()))
+            .map(|machine| (machine.last_probe, machine.id.clone()))
             .collect();
         due.sort();
         for (_, id) in due.into_iter().take(most) {
             if let Some(machine) = self.machines.get_mut(&id) {
-                machine.asked = Some(now);
+                machine.last_probe = Some(now);
                 all.push(question(machine, machine.newest.0, first));
             }
         }
         for machine in self.machines.values_mut() {
-            if !machine.reachability.fine() && again(machine.asked) && !machine.address.is_empty() {
+            if !machine.reachability.fine()
+                && again(machine.last_probe)
+                && !machine.address.is_empty()
+            {
                 // If this arrives, its next report comes at once and ends the doubt.
-                machine.asked = Some(now);
+                machine.last_probe = Some(now);
                 all.push(question(machine, machine.newest.0, first));
                 continue;
             }
-            let Some((session, asked)) = &mut machine.probe else {
+            let Some((epoch, asked)) = &mut machine.pending_probe else {
                 continue;
             };
             if !again(*asked) || machine.address.is_empty() || all.len() >= most {
                 continue;
             }
             *asked = Some(now);
-            let session = *session;
-            all.push(question(machine, session, first));
+            let epoch = *epoch;
+            all.push(question(machine, epoch, first));
         }
         all
     }
 
     /// A command sent then was not answered.
-    pub fn in_vain(&mut self, id: &MachineId, asked: Instant) {
+    pub fn command_unanswered(&mut self, id: &MachineId, asked: Instant) {
         if let Some(machine) = self.machines.get_mut(id) {
             // What was heard since shows more than this.
-            if machine.reported.is_none_or(|at| at < asked) {
-                machine.in_vain += 1;
+            if machine.last_heartbeat.is_none_or(|at| at < asked) {
+                machine.unanswered_commands += 1;
             }
         }
     }
 
     /// What changed since this was last asked, for the other nodes.
-    pub fn news(&mut self) -> DigestContents {
+    pub fn take_summary_changes(&mut self) -> SummaryContents {
         let changed = std::mem::take(&mut self.changed);
-        self.news_of(changed.jobs.iter(), changed.machines.iter())
+        self.summary_of(changed.jobs.iter(), changed.machines.iter())
     }
 
     /// All there is to tell, for a node that lacks it.
-    pub fn all_news(&self) -> DigestContents {
-        self.news_of(self.jobs.keys(), self.machines.keys())
+    pub fn full_summary(&self) -> SummaryContents {
+        self.summary_of(self.jobs.keys(), self.machines.keys())
     }
 
-    fn news_of<'a>(
+    fn summary_of<'a>(
         &self,
         jobs: impl Iterator<Item = &'a JobId>,
         machines: impl Iterator<Item = &'a MachineId>,
-    ) -> DigestContents {
-        let mut news = DigestContents::default();
+    ) -> SummaryContents {
+        let mut contents = SummaryContents::default();
         for id in jobs {
             if self.jobs.contains_key(id) {
                 let (done, running) = self.count(id);
                 let id = id.clone();
-                news.counts.push(Counts { id, done, running });
+                contents.counts.push(Counts { id, done, running });
             } else {
-                news.over.push(id.clone());
+                contents.over.push(id.clone());
             }
         }
         for id in machines {
             let Some(machine) = self.machines.get(id) else {
-                news.gone.push(id.clone());
+                contents.gone.push(id.clone());
                 continue;
             };
             let images = machine.images.iter();
-            let hint = Hint {
+            let hint = MachineHint {
                 address: machine.address.clone(),
-                session: machine.newest.0,
+                epoch: machine.newest.0,
                 images: images
                     .map(|(image, gb)| (self.images.name(*image).to_owned(), *gb as f32))
                     .collect(),
             };
-            if machine.reported.is_some() {
-                news.hints.push((id.clone(), hint));
+            if machine.last_heartbeat.is_some() {
+                contents.hints.push((id.clone(), hint));
             }
         }
-        news
+        contents
     }
 }
 
 /// A command without orders.
-fn question(machine: &Machine, session: u64, first: Token) -> Direct {
-    Direct {
+fn question(machine: &Machine, epoch: u64, first: FencingToken) -> AddressedCommand {
+    AddressedCommand {
         machine: machine.id.clone(),
         address: machine.address.clone(),
-        body: DirectOrders {
+        body: DirectCommand {
             token: machine.token.max(first).0,
             // Sessions begin at one.
-            session: session.max(1),
-            orders: Vec::new(),
+            epoch: epoch.max(1),
+            commands: Vec::new(),
         },
     }
 }
@@ -221,19 +228,19 @@
 fn raise_token(
     machine: &mut Machine,
     jobs: &BTreeMap<JobId, Job>,
-    timing: &Timing,
+    timing: &WorkerTiming,
     now: Instant,
 ) -> bool {
     let since = |at: Instant| now.saturating_duration_since(at);
     let heeded = machine
         .token_raised_at
         .is_none_or(|at| since(at) >= timing.lease / 2);
-    if !heeded || !machine.can_start(now, timing.quiet) {
+    if !heeded || !machine.can_start(now, timing.suspect_after) {
         return false;
     }
-    let waits = machine.slots.iter().any(|(slot, state)| {
-        let job = jobs.get(&slot.task.job);
-        state.phase == Phase::Planned
+    let waits = machine.instances.iter().any(|(instance, state)| {
+        let job = jobs.get(&instance.task.job);
+        state.phase == InstancePhase::Planned
             && job.is_some_and(|job| job.open() && job.may_send(&machine.id))
     });
     let Some(raised) = machine.token.raised().filter(|_| waits) else {
@@ -245,10 +252,14 @@
 }
 
 /// The stop to send for a slot now, if one is due.
-pub(super) fn stop_order(id: &SlotId, slot: &mut Slot, now: Instant) -> Option<Order> {
-    let sent = slot.sent() && slot.occupies();
-    let stop = slot.stop.as_mut().filter(|_| sent)?;
-    let saving = slot.phase == Phase::Flushing && stop.grace_s > 0.0;
+pub(super) fn stop_command(
+    id: &InstanceId,
+    instance: &mut TaskInstance,
+    now: Instant,
+) -> Option<WorkerCommand> {
+    let sent = instance.sent() && instance.occupies();
+    let stop = instance.stop.as_mut().filter(|_| sent)?;
+    let saving = instance.phase == InstancePhase::Checkpointing && stop.grace_s > 0.0;
     let recent = stop
         .told
         .is_some_and(|at| now.saturating_duration_since(at) < REPEAT_STOP);
@@ -256,7 +267,7 @@
         return None;
     }
     stop.told = Some(now);
-    Some(Order::Kill {
+    Some(WorkerCommand::Kill {
         task: id.task.to_string(),
         attempt: id.attempt.0,
         grace_s: stop.grace_s,
--- a/src/cluster/done.rs
+++ b/src/cluster/done.rs
@@ -102,8 +102,8 @@
     pub fn encode(&self, chunk: usize) -> String {
         let mut digits = String::new();
         for word in &self.seen[self.words_of(chunk)] {
-            for place in 0..WORD / DIGIT {
-                let digit = (word >> (place * DIGIT) & 0xf) as u32;
+            for placement in 0..WORD / DIGIT {
+                let digit = (word >> (placement * DIGIT) & 0xf) as u32;
                 digits.push(char::from_digit(digit, 16).unwrap_or('0'));
             }
         }
@@ -114,9 +114,9 @@
     /// Takes a chunk that the state service has.
     pub fn mark_durable(&mut self, chunk: usize, digits: &str) {
         let start = self.words_of(chunk).start;
-        for (place, digit) in digits.chars().enumerate() {
+        for (placement, digit) in digits.chars().enumerate() {
             let value = u64::from(digit.to_digit(16).unwrap_or(0));
-            let bit = place * DIGIT;
+            let bit = placement * DIGIT;
             let at = start + bit / WORD;
             let Some(word) = self.durable.get_mut(at) else {
                 return;
--- a/src/cluster/faults.rs
+++ b/src/cluster/faults.rs
@@ -7,7 +7,7 @@
 
 use tracing::{info, warn};
 
-use super::machine::{Drain, Machine};
+use super::machine::{DrainReason, Machine};
 use super::{Cluster, Job};
 use crate::model::{JobId, MachineId};
 
@@ -27,7 +27,7 @@
 
 /// A job that failed on a machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Blame {
+pub struct FaultAttribution {
     /// The job.
     pub job: JobId,
     /// Whether it has completed something elsewhere, so that the fault is not its own.
@@ -36,12 +36,12 @@
 
 /// Trials of a job that fails wherever it is started.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Suspicion {
+pub struct SuspectedJob {
     /// Those that have failed since the job is suspected.
     pub trials: u32,
 }
 
-impl Suspicion {
+impl SuspectedJob {
     fn rest(&self) -> Duration {
         let doubled = JOB_RESTS.saturating_mul(1 << self.trials.min(8));
         doubled.min(JOB_RESTS_AT_MOST)
@@ -62,7 +62,7 @@
         let guilty = proven >= PROVEN_JOBS || self.blame.len() >= ANY_JOBS;
         if guilty && self.drain.is_none() {
             warn!(machine = %self.id, blame = ?self.blame, "tasks of several jobs fail here");
-            self.drain = Some(Drain::Sick);
+            self.drain = Some(DrainReason::Faulty);
         }
     }
 
@@ -70,8 +70,8 @@
     fn exonerate(&mut self, job: &JobId) {
         self.blame.retain(|blame| blame.job != *job);
         if self.blame.is_empty() {
-            self.rests_until = None;
-            if self.drain == Some(Drain::Sick) {
+            self.backoff_until = None;
+            if self.drain == Some(DrainReason::Faulty) {
                 self.drain = None;
             }
         }
@@ -87,16 +87,16 @@
         job.failed_on.insert(id.clone());
         if let Some(suspicion) = &mut job.suspicion {
             // Several tasks of one trial fail together.
-            if job.rests_until.is_none_or(|until| now >= until) {
+            if job.backoff_until.is_none_or(|until| now >= until) {
                 suspicion.trials += 1;
-                job.rests_until = Some(now + suspicion.rest());
+                job.backoff_until = Some(now + suspicion.rest());
             }
             return;
         }
         if job.done.is_empty() && job.failed_on.len() >= MACHINES_TO_SUSPECT {
-            let suspicion = Suspicion::default();
+            let suspicion = SuspectedJob::default();
             info!(job = %job_id, machines = job.failed_on.len(), "fails everywhere");
-            job.rests_until = Some(now + suspicion.rest());
+            job.backoff_until = Some(now + suspicion.rest());
             job.suspicion = Some(suspicion);
             for machine in job.failed_on.clone() {
                 if let Some(machine) = self.machines.get_mut(&machine) {
@@ -111,12 +111,12 @@
         };
         match machine.blame.iter_mut().find(|blame| blame.job == *job_id) {
             Some(blame) => blame.proven |= proven,
-            None => machine.blame.push(Blame {
+            None => machine.blame.push(FaultAttribution {
                 job: job_id.clone(),
                 proven,
             }),
         }
-        machine.rests_until = Some(now + MACHINE_RESTS);
+        machine.backoff_until = Some(now + MACHINE_RESTS);
         machine.judge();
     }
 
@@ -131,7 +131,7 @@
         };
         if job.suspicion.take().is_some() {
             info!(job = %job_id, "completes after all");
-            job.rests_until = None;
+            job.backoff_until = None;
         }
         self.prove(job_id);
     }
--- a/src/cluster/report.rs
+++ b/src/cluster/heartbeat.rs
@@ -5,12 +5,12 @@
 use knotlanding_links::reachability::Reachability;
 use tracing::{debug, info, warn};
 
-use super::commands::stop_order;
-use super::machine::{Drain, Machine, Phase, Slot, SlotId};
-use super::{build_named, Cluster, Place};
-use crate::model::{Attempt, JobId, MachineId, TaskId, Token};
+use super::commands::stop_command;
+use super::machine::{DrainReason, InstanceId, InstancePhase, Machine, TaskInstance};
+use super::{find_machine_type, Cluster, Placement};
+use crate::model::{Attempt, FencingToken, JobId, MachineId, TaskId};
 use crate::time::secs;
-use crate::wire::{Cause, Order, Report, ReportedTask, TaskPhase};
+use crate::wire::{ExitCause, Heartbeat, TaskPhase, TaskStatus, WorkerCommand};
 
 /// Jobs of which a machine's slowdown is compared with the others'.
 const JOBS_TO_COMPARE: usize = 3;
@@ -24,7 +24,7 @@
 
 /// What made a worker report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReportSource {
+pub enum HeartbeatSource {
     /// The worker sent it by itself.
     Worker,
     /// In answer to a direct command sent then.
@@ -43,13 +43,13 @@
 }
 
 /// Where a reported task stands.
-fn phase_of(reported: &ReportedTask) -> Phase {
+fn phase_of(reported: &TaskStatus) -> InstancePhase {
     match reported.phase {
-        TaskPhase::Pulling => Phase::Pulling,
-        TaskPhase::Gathering => Phase::Gathering,
-        TaskPhase::Running => Phase::Running,
-        TaskPhase::Flushing => Phase::Flushing,
-        TaskPhase::Exited => Phase::Exited(reported.cause.unwrap_or(Cause::Other)),
+        TaskPhase::PullingImage => InstancePhase::PullingImage,
+        TaskPhase::AwaitingGang => InstancePhase::AwaitingGang,
+        TaskPhase::Running => InstancePhase::Running,
+        TaskPhase::Checkpointing => InstancePhase::Checkpointing,
+        TaskPhase::Exited => InstancePhase::Exited(reported.cause.unwrap_or(ExitCause::Other)),
     }
 }
 
@@ -57,24 +57,29 @@
     /// Takes a report. One that the worker sent by itself shows what became of starts sent in
     /// the answer to the one before, but may be a late copy; one that answers a command of ours
     /// is as fresh as the command.
-    pub fn report(&mut self, report: &Report, source: ReportSource, now: Instant) -> Verified {
-        let own = source == ReportSource::Worker;
-        let token = Token(report.token);
+    pub fn apply_heartbeat(
+        &mut self,
+        heartbeat: &Heartbeat,
+        source: HeartbeatSource,
+        now: Instant,
+    ) -> Verified {
+        let own = source == HeartbeatSource::Worker;
+        let token = FencingToken(heartbeat.token);
         if token.term() > self.term {
             return Verified::Deposed;
         }
-        let id = MachineId(report.machine.as_str().into());
+        let id = MachineId(heartbeat.machine.as_str().into());
         if self.departed.contains(&id) {
             return Verified::Older;
         }
-        if !self.is_news(&id, report, source, now) {
+        if !self.is_news(&id, heartbeat, source, now) {
             return Verified::Older;
         }
-        let newest = (report.session, report.seq);
-        let Some(was_busy) = self.take_header(&id, report, now) else {
+        let newest = (heartbeat.epoch, heartbeat.sequence);
+        let Some(was_busy) = self.take_header(&id, heartbeat, now) else {
             return Verified::Older;
         };
-        let listed = self.take_tasks(&id, report, now);
+        let listed = self.take_tasks(&id, heartbeat, now);
         let Some(machine) = self.machines.get_mut(&id) else {
             return Verified::Older;
         };
@@ -96,29 +101,31 @@
     fn is_news(
         &mut self,
         id: &MachineId,
-        report: &Report,
-        source: ReportSource,
+        heartbeat: &Heartbeat,
+        source: HeartbeatSource,
         now: Instant,
     ) -> bool {
         let machine = self
             .machines
             .entry(id.clone())
             .or_insert_with(|| Machine::new(id.clone(), now));
-        let number = (report.session, report.seq);
+        let number = (heartbeat.epoch, heartbeat.sequence);
         // After a new beginning, copies of what the former life said may have higher numbers.
-        let own = source == ReportSource::Worker;
-        let former = own && Token(report.token) < machine.life;
-        if machine.reported.is_none() || !(former || number <= machine.newest) {
+        let own = source == HeartbeatSource::Worker;
+        let former = own && FencingToken(heartbeat.token) < machine.incarnation;
+        if machine.last_heartbeat.is_none() || !(former || number <= machine.newest) {
             return true;
         }
         let asked_since = match source {
-            ReportSource::Worker => false,
-            ReportSource::Command(at) => machine.reported.is_some_and(|reported| at > reported),
+            HeartbeatSource::Worker => false,
+            HeartbeatSource::Command(at) => {
+                machine.last_heartbeat.is_some_and(|reported| at > reported)
+            }
         };
         if !asked_since || number == machine.newest {
             // A late copy, or a machine that begins again at one: asking it tells.
-            if number < machine.newest && machine.probe.is_none() {
-                machine.probe = Some((report.session, None));
+            if number < machine.newest && machine.pending_probe.is_none() {
+                machine.pending_probe = Some((heartbeat.epoch, None));
             }
             return false;
         }
@@ -129,9 +136,9 @@
     }
 
     /// Takes all of a newer report but its tasks; whether the machine was busy before it.
-    fn take_header(&mut self, id: &MachineId, report: &Report, now: Instant) -> Option<bool> {
+    fn take_header(&mut self, id: &MachineId, heartbeat: &Heartbeat, now: Instant) -> Option<bool> {
         let machine = self.machines.get_mut(id)?;
-        let rose = machine.reported.is_some() && report.session > machine.newest.0;
+        let rose = machine.last_heartbeat.is_some() && heartbeat.epoch > machine.newest.0;
         let held = machine
             .answered
             .is_some_and(|at| now.saturating_duration_since(at) < self.timing.lease);
@@ -140,11 +147,11 @@
             warn!(machine = %id, "its lease ended though we answered");
             machine.doubt(now);
         }
-        machine.newest = (report.session, report.seq);
-        machine.probe = None;
-        machine.in_vain = 0;
-        machine.met.get_or_insert(now);
-        if machine.reported.is_none() {
+        machine.newest = (heartbeat.epoch, heartbeat.sequence);
+        machine.pending_probe = None;
+        machine.unanswered_commands = 0;
+        machine.first_heartbeat.get_or_insert(now);
+        if machine.last_heartbeat.is_none() {
             self.dirty = true;
             machine.idle_since = now;
             if let Some(hint) = self.hints.remove(id) {
@@ -154,89 +161,104 @@
             }
             self.changed.machines.insert(id.clone());
         }
-        machine.reported = Some(now);
-        self.take_description(id, report);
-        self.take_standing(id, report, now)
+        machine.last_heartbeat = Some(now);
+        self.take_description(id, heartbeat);
+        self.take_standing(id, heartbeat, now)
     }
 
     /// Takes what the machine is: its address, type, zone and kind.
-    fn take_description(&mut self, id: &MachineId, report: &Report) {
+    fn take_description(&mut self, id: &MachineId, heartbeat: &Heartbeat) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        machine.address.clone_from(&report.address);
-        let known = machine.kind.and_then(|kind| self.kinds.get(kind));
-        let same = known.is_some_and(|kind| {
-            kind.build == report.build && kind.zone == report.zone && kind.spot == report.spot
+        machine.address.clone_from(&heartbeat.address);
+        let known = machine.pool.and_then(|pool| self.pools.get(pool));
+        let same = known.is_some_and(|pool| {
+            pool.machine_type == heartbeat.machine_type
+                && pool.zone == heartbeat.zone
+                && pool.spot == heartbeat.spot
         });
         if !same {
-            machine.build.clone_from(&report.build);
-            machine.zone.clone_from(&report.zone);
-            machine.spot = report.spot;
-            let kind = self.kinds.id(&report.build, &report.zone, report.spot);
-            machine.kind = Some(kind);
+            machine.machine_type.clone_from(&heartbeat.machine_type);
+            machine.zone.clone_from(&heartbeat.zone);
+            machine.spot = heartbeat.spot;
+            let pool = self
+                .pools
+                .id(&heartbeat.machine_type, &heartbeat.zone, heartbeat.spot);
+            machine.pool = Some(pool);
         }
     }
 
     /// Takes how the machine stands: its notice, the token it has seen, whether it holds nothing;
     /// whether it was busy before.
-    fn take_standing(&mut self, id: &MachineId, report: &Report, now: Instant) -> Option<bool> {
+    fn take_standing(
+        &mut self,
+        id: &MachineId,
+        heartbeat: &Heartbeat,
+        now: Instant,
+    ) -> Option<bool> {
         let machine = self.machines.get_mut(id)?;
-        let leaves = report.notice_s.map(|s| now + secs(s));
-        if machine.leaves.is_some() != leaves.is_some() {
-            info!(machine = %id, notice_s = ?report.notice_s, "spot notice");
+        let spot_deadline = heartbeat.notice_s.map(|s| now + secs(s));
+        if machine.spot_deadline.is_some() != spot_deadline.is_some() {
+            info!(machine = %id, notice_s = ?heartbeat.notice_s, "spot notice");
             self.dirty = true;
         }
-        machine.leaves = leaves;
-        let token = Token(report.token);
+        machine.spot_deadline = spot_deadline;
+        let token = FencingToken(heartbeat.token);
         machine.fenced = token.term() == self.term;
         machine.reachability.heard(token.0);
-        machine.token = machine.token.max(token).max(Token::first(self.term));
+        machine.token = machine.token.max(token).max(FencingToken::first(self.term));
         let was_fresh = machine.fresh;
-        machine.fresh = report.token == 0 && report.tasks.is_empty() && machine.known_to_cloud;
+        machine.fresh =
+            heartbeat.token == 0 && heartbeat.tasks.is_empty() && machine.known_to_cloud;
         let was_busy = machine.busy();
-        if was_fresh && !report.tasks.is_empty() {
+        if was_fresh && !heartbeat.tasks.is_empty() {
             // What made it look fresh was a late copy: its room is not what it seemed.
-            let plans = machine.slots.iter().filter(|(_, state)| !state.sent());
-            let plans: Vec<SlotId> = plans.map(|(slot, _)| slot.clone()).collect();
-            for slot in plans {
-                self.drop_slot(id, &slot);
+            let plans = machine.instances.iter().filter(|(_, state)| !state.sent());
+            let plans: Vec<InstanceId> = plans.map(|(instance, _)| instance.clone()).collect();
+            for instance in plans {
+                self.remove_instance(id, &instance);
             }
         }
         Some(was_busy)
     }
 
     /// Takes the tasks of a report; all that could be read.
-    fn take_tasks(&mut self, id: &MachineId, report: &Report, now: Instant) -> Vec<SlotId> {
-        let mut listed = Vec::with_capacity(report.tasks.len());
-        for reported in &report.tasks {
+    fn take_tasks(
+        &mut self,
+        id: &MachineId,
+        heartbeat: &Heartbeat,
+        now: Instant,
+    ) -> Vec<InstanceId> {
+        let mut listed = Vec::with_capacity(heartbeat.tasks.len());
+        for reported in &heartbeat.tasks {
             let Some(task) = TaskId::parse(&reported.task) else {
                 continue;
             };
-            let slot = SlotId {
+            let instance = InstanceId {
                 task,
                 attempt: Attempt(reported.attempt),
             };
-            self.see(id, &slot, phase_of(reported), now);
-            listed.push(slot);
+            self.see(id, &instance, phase_of(reported), now);
+            listed.push(instance);
         }
         listed
     }
 
     /// The machine is not waited for any longer.
     pub(super) fn settled(&mut self, id: &MachineId) {
-        if !self.unsettled.remove(id) {
+        if !self.unreconciled.remove(id) {
             return;
         }
         self.dirty = true;
-        if self.unsettled.is_empty() {
+        if self.unreconciled.is_empty() {
             info!(term = self.term.0, "all machines settled");
         }
     }
 
     /// How long after the take-over all machines were settled, told once.
     pub fn take_settled_after(&mut self, now: Instant) -> Option<Duration> {
-        if self.settled_told || !self.unsettled.is_empty() {
+        if self.settled_told || !self.unreconciled.is_empty() {
             return None;
         }
         self.settled_told = true;
@@ -253,14 +275,14 @@
         if let Some(raised) = machine.token.raised() {
             // The former life never had this one; the new one gets it with the next answer.
             machine.token = raised;
-            machine.life = raised;
+            machine.incarnation = raised;
         }
         machine.token_raised_at = None;
         machine.reachability = Reachability::default();
         machine.images.clear();
-        let slots: Vec<SlotId> = machine.slots.keys().cloned().collect();
-        for slot in slots {
-            self.drop_slot(id, &slot);
+        let instances: Vec<InstanceId> = machine.instances.keys().cloned().collect();
+        for instance in instances {
+            self.remove_instance(id, &instance);
         }
         self.dirty = true;
     }
@@ -271,32 +293,32 @@
         id: &MachineId,
         newest: (u64, u64),
         (own, now): (bool, Instant),
-        listed: &[SlotId],
+        listed: &[InstanceId],
     ) {
         let Some(machine) = self.machines.get(id) else {
             return;
         };
-        let gone: Vec<SlotId> = machine
-            .slots
+        let gone: Vec<InstanceId> = machine
+            .instances
             .iter()
-            .filter(|(slot, _)| !listed.contains(slot))
+            .filter(|(instance, _)| !listed.contains(instance))
             .filter(|(_, state)| match state.phase {
-                Phase::Planned => false,
+                InstancePhase::Planned => false,
                 // A direct command's answer may overtake the answer that carried the start.
-                Phase::Sent { session, seq } => {
-                    newest.0 > session || (own && newest > (session, seq))
+                InstancePhase::Dispatched { epoch, sequence } => {
+                    newest.0 > epoch || (own && newest > (epoch, sequence))
                 }
                 _ => true,
             })
-            .map(|(slot, _)| slot.clone())
+            .map(|(instance, _)| instance.clone())
             .collect();
-        let lost = gone.iter().any(|slot| {
-            let state = machine.slots.get(slot);
-            state.is_some_and(|state| matches!(state.phase, Phase::Sent { .. }))
+        let lost = gone.iter().any(|instance| {
+            let state = machine.instances.get(instance);
+            state.is_some_and(|state| matches!(state.phase, InstancePhase::Dispatched { .. }))
         });
-        for slot in gone {
-            debug!(machine = %id, task = %slot.task, "gone");
-            self.drop_slot(id, &slot);
+        for instance in gone {
+            debug!(machine = %id, task = %instance.task, "gone");
+            self.remove_instance(id, &instance);
         }
         if let Some(machine) = self.machines.get_mut(id).filter(|_| lost) {
             // An answer of ours did not arrive: the next may not either.
@@ -305,30 +327,39 @@
     }
 
     /// Takes one task of a report.
-    fn see(&mut self, id: &MachineId, slot: &SlotId, phase: Phase, now: Instant) {
-        let job = self.jobs.get(&slot.task.job);
+    fn see(&mut self, id: &MachineId, instance: &InstanceId, phase: InstancePhase, now: Instant) {
+        let job = self.jobs.get(&instance.task.job);
         let (spec, image) = job.map(|job| (job.spec.clone(), job.image)).unzip();
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        let known = machine.slots.contains_key(slot);
-        let state = machine.slots.entry(slot.clone()).or_insert_with(|| Slot {
-            spec,
-            phase: Phase::Pulling,
-            since: now,
-            running_since: None,
-            stop: None,
-            image,
-        });
+        let known = machine.instances.contains_key(instance);
+        let state = machine
+            .instances
+            .entry(instance.clone())
+            .or_insert_with(|| TaskInstance {
+                spec,
+                phase: InstancePhase::PullingImage,
+                since: now,
+                running_since: None,
+                stop: None,
+                image,
+            });
         let before = state.phase;
-        let first_seen = !known || matches!(before, Phase::Planned | Phase::Sent { .. });
+        let first_seen = !known
+            || matches!(
+                before,
+                InstancePhase::Planned | InstancePhase::Dispatched { .. }
+            );
         state.phase = phase;
-        if phase == Phase::Running && state.running_since.is_none() {
+        if phase == InstancePhase::Running && state.running_since.is_none() {
             state.running_since = Some(now);
         }
         let has_image = matches!(
             phase,
-            Phase::Gathering | Phase::Running | Phase::Exited(Cause::Done)
+            InstancePhase::AwaitingGang
+                | InstancePhase::Running
+                | InstancePhase::Exited(ExitCause::Done)
         );
         if before == phase && known {
             return;
@@ -337,58 +368,59 @@
             .image
             .zip(state.spec.as_ref().map(|spec| spec.image_gb));
         if let (true, Some((image, gb))) = (has_image, needs) {
-            let cache = build_named(&self.catalog, &machine.build).map_or(0.0, |b| b.cache_gb);
+            let cache =
+                find_machine_type(&self.catalog, &machine.machine_type).map_or(0.0, |b| b.cache_gb);
             let known = machine.has_image(image);
             machine.used_image(image, gb, cache);
             if !known {
                 self.changed.machines.insert(id.clone());
             }
         }
-        self.changed.jobs.insert(slot.task.job.clone());
+        self.changed.jobs.insert(instance.task.job.clone());
         self.dirty = true;
-        debug!(machine = %id, task = %slot.task, ?phase, "task");
+        debug!(machine = %id, task = %instance.task, ?phase, "task");
         match phase {
-            Phase::Exited(cause) => {
-                self.exited(id, slot, cause, first_seen || before != phase, now)
+            InstancePhase::Exited(cause) => {
+                self.exited(id, instance, cause, first_seen || before != phase, now)
             }
             _ => {
                 if !known {
-                    self.adopt(id, slot);
+                    self.adopt(id, instance);
                 }
-                if phase == Phase::Running {
-                    self.runs(slot, now);
+                if phase == InstancePhase::Running {
+                    self.runs(instance, now);
                 }
             }
         }
     }
 
     /// A task that we did not plan is on the machine: an earlier leader's.
-    fn adopt(&mut self, id: &MachineId, slot: &SlotId) {
-        let Some(job) = self.jobs.get_mut(&slot.task.job) else {
+    fn adopt(&mut self, id: &MachineId, instance: &InstanceId) {
+        let Some(job) = self.jobs.get_mut(&instance.task.job) else {
             return;
         };
-        if slot.task.index >= job.spec.tasks {
+        if instance.task.index >= job.spec.tasks {
             return;
         }
-        let place = Place {
+        let placement = Placement {
             machine: id.clone(),
-            attempt: slot.attempt,
+            attempt: instance.attempt,
         };
-        let places = job.places.entry(slot.task.index).or_default();
-        if !places.contains(&place) {
-            places.push(place);
+        let placements = job.placements.entry(instance.task.index).or_default();
+        if !placements.contains(&placement) {
+            placements.push(placement);
         }
-        if job.gang() && job.attempt.is_none_or(|attempt| attempt < slot.attempt) {
-            job.attempt = Some(slot.attempt);
+        if job.gang() && job.attempt.is_none_or(|attempt| attempt < instance.attempt) {
+            job.attempt = Some(instance.attempt);
         }
     }
 
-    fn runs(&mut self, slot: &SlotId, now: Instant) {
-        let Some(job) = self.jobs.get_mut(&slot.task.job) else {
+    fn runs(&mut self, instance: &InstanceId, now: Instant) {
+        let Some(job) = self.jobs.get_mut(&instance.task.job) else {
             return;
         };
-        if job.attempt == Some(slot.attempt) {
-            job.begun = true;
+        if job.attempt == Some(instance.attempt) {
+            job.seen_running = true;
         }
         if job.first_run.is_none() {
             job.first_run = Some(now);
@@ -398,33 +430,42 @@
     }
 
     /// A task has ended.
-    fn exited(&mut self, id: &MachineId, slot: &SlotId, cause: Cause, new: bool, now: Instant) {
-        self.leave(id, slot);
+    fn exited(
+        &mut self,
+        id: &MachineId,
+        instance: &InstanceId,
+        cause: ExitCause,
+        new: bool,
+        now: Instant,
+    ) {
+        self.leave(id, instance);
         if !new {
             return;
         }
-        let job_id = &slot.task.job;
+        let job_id = &instance.task.job;
         match cause {
-            Cause::Done => {
+            ExitCause::Done => {
                 if let Some(job) = self.jobs.get_mut(job_id) {
-                    if slot.task.index < job.spec.tasks {
-                        job.done.insert(slot.task.index);
+                    if instance.task.index < job.spec.tasks {
+                        job.done.insert(instance.task.index);
                     }
                 }
-                self.drop_plans(&slot.task);
+                self.drop_plans(&instance.task);
                 self.succeeded(id, job_id);
-                self.note_slowdown(id, slot, now);
+                self.note_slowdown(id, instance, now);
             }
-            Cause::Error => self.failed(id, job_id, now),
-            Cause::NoRoom | Cause::InUse | Cause::Unknown => {
-                warn!(machine = %id, task = %slot.task, ?cause, "start refused");
+            ExitCause::Error => self.failed(id, job_id, now),
+            ExitCause::InsufficientCapacity
+            | ExitCause::AlreadyPresent
+            | ExitCause::UnknownTask => {
+                warn!(machine = %id, task = %instance.task, ?cause, "start refused");
                 if let Some(job) = self.jobs.get_mut(job_id) {
-                    job.rests_until = Some(now + secs(REST_AFTER_REFUSAL_S));
+                    job.backoff_until = Some(now + secs(REST_AFTER_REFUSAL_S));
                 }
             }
             // Of a gang that can never succeed every member fails; what only goes with another was fine.
-            Cause::MatesGone => self.prove(job_id),
-            Cause::Stopped | Cause::Alone | Cause::Other => {}
+            ExitCause::GangMemberLost => self.prove(job_id),
+            ExitCause::Stopped | ExitCause::GangBarrierTimeout | ExitCause::Other => {}
         }
     }
 
@@ -434,33 +475,33 @@
         let Some(job) = self.jobs.get(&task.job) else {
             return;
         };
-        let places = job.places.get(&task.index).into_iter().flatten();
-        let plans: Vec<(MachineId, SlotId)> = places
-            .map(|place| {
-                let slot = SlotId {
+        let placements = job.placements.get(&task.index).into_iter().flatten();
+        let plans: Vec<(MachineId, InstanceId)> = placements
+            .map(|placement| {
+                let instance = InstanceId {
                     task: task.clone(),
-                    attempt: place.attempt,
+                    attempt: placement.attempt,
                 };
-                (place.machine.clone(), slot)
+                (placement.machine.clone(), instance)
             })
-            .filter(|(machine, slot)| {
+            .filter(|(machine, instance)| {
                 let machine = self.machines.get(machine);
-                let state = machine.and_then(|machine| machine.slots.get(slot));
+                let state = machine.and_then(|machine| machine.instances.get(instance));
                 state.is_some_and(|state| !state.sent())
             })
             .collect();
-        for (machine, slot) in plans {
-            self.drop_slot(&machine, &slot);
+        for (machine, instance) in plans {
+            self.remove_instance(&machine, &instance);
         }
     }
 
     /// Compares how long a task ran with its estimate, and the machine's record with that of
     /// all: estimates are often wrong by half, but not for several jobs on one machine only.
-    fn note_slowdown(&mut self, id: &MachineId, slot: &SlotId, now: Instant) {
+    fn note_slowdown(&mut self, id: &MachineId, instance: &InstanceId, now: Instant) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        let state = machine.slots.get(slot);
+        let state = machine.instances.get(instance);
         let Some((spec, since)) = state.and_then(|s| Some((s.spec.clone()?, s.running_since?)))
         else {
             return;
@@ -474,8 +515,12 @@
         if self.slowdowns.len() > SLOWDOWNS_KEPT {
             self.slowdowns.pop_front();
         }
-        machine.slowdowns.retain(|(job, _)| *job != slot.task.job);
-        machine.slowdowns.push((slot.task.job.clone(), slowdown));
+        machine
+            .slowdowns
+            .retain(|(job, _)| *job != instance.task.job);
+        machine
+            .slowdowns
+            .push((instance.task.job.clone(), slowdown));
         if machine.slowdowns.len() > JOBS_TO_COMPARE {
             machine.slowdowns.remove(0);
         }
@@ -487,14 +532,14 @@
             machine.slowdowns.len() == JOBS_TO_COMPARE && sorted.len() >= SLOWDOWNS_TO_JUDGE;
         if enough && machine.slowdowns.iter().all(slow) && machine.drain.is_none() {
             warn!(machine = %id, median, slowdowns = ?machine.slowdowns, "slow for several jobs");
-            machine.drain = Some(Drain::Slow);
+            machine.drain = Some(DrainReason::Slow);
         }
     }
 
     /// Notes that a machine gets a 200 of ours, whatever it is told: its lease may be renewed.
     /// The token it is answered with.
-    pub fn mark_answered(&mut self, id: &MachineId, now: Instant) -> Token {
-        let first = Token::first(self.term);
+    pub fn mark_answered(&mut self, id: &MachineId, now: Instant) -> FencingToken {
+        let first = FencingToken::first(self.term);
         self.machines.get_mut(id).map_or(first, |machine| {
             machine.answered = Some(now);
             machine.token.max(first)
@@ -504,30 +549,33 @@
     /// What a machine is told in the answer to its newest report. Starts go out here only:
     /// the worker drops an answer that comes late, so nothing sent here is executed late. Without
     /// `starts` they wait: the replica may lack a cancellation.
-    pub fn answer(&mut self, id: &MachineId, now: Instant, starts: bool) -> Vec<Order> {
-        let mut orders = Vec::new();
+    pub fn answer(&mut self, id: &MachineId, now: Instant, starts: bool) -> Vec<WorkerCommand> {
+        let mut commands = Vec::new();
         let Some(machine) = self.machines.get_mut(id) else {
-            return orders;
+            return commands;
         };
         machine.answered = Some(now);
-        let (session, seq) = machine.newest;
-        let can_start = starts && machine.can_start(now, self.timing.quiet);
-        for (slot, state) in &mut machine.slots {
-            let job = self.jobs.get(&slot.task.job);
-            if let Phase::Exited(cause) = state.phase {
-                let keep = cause == Cause::Done
-                    && job.is_some_and(|job| job.wanted() && !job.done.is_durable(slot.task.index));
+        let (epoch, sequence) = machine.newest;
+        let can_start = starts && machine.can_start(now, self.timing.suspect_after);
+        for (instance, state) in &mut machine.instances {
+            let job = self.jobs.get(&instance.task.job);
+            if let InstancePhase::Exited(cause) = state.phase {
+                let keep = cause == ExitCause::Done
+                    && job.is_some_and(|job| {
+                        job.wanted() && !job.done.is_durable(instance.task.index)
+                    });
                 if !keep {
-                    orders.push(Order::Clear {
-                        task: slot.task.to_string(),
-                        attempt: slot.attempt.0,
+                    commands.push(WorkerCommand::Clear {
+                        task: instance.task.to_string(),
+                        attempt: instance.attempt.0,
                     });
                 }
                 continue;
             }
-            let wanted = job.is_some_and(|job| job.wanted() && !job.done.contains(slot.task.index));
+            let wanted =
+                job.is_some_and(|job| job.wanted() && !job.done.contains(instance.task.index));
             if !wanted && state.sent() && state.stop.is_none_or(|stop| stop.grace_s > 0.0) {
-                state.stop = Some(super::Stop {
+                state.stop = Some(super::Termination {
                     grace_s: 0.0,
                     told: None,
                 });
@@ -536,19 +584,19 @@
                 // Every report of the machine's shows whether the stop has arrived.
                 stop.told = None;
             }
-            if let Some(order) = stop_order(slot, state, now) {
-                orders.push(order);
+            if let Some(command) = stop_command(instance, state, now) {
+                commands.push(command);
             }
             let durable = job.is_some_and(|job| job.may_send(id));
-            if state.phase == Phase::Planned && wanted && durable && can_start {
-                state.phase = Phase::Sent { session, seq };
-                orders.push(Order::Run {
-                    task: slot.task.to_string(),
-                    attempt: slot.attempt.0,
+            if state.phase == InstancePhase::Planned && wanted && durable && can_start {
+                state.phase = InstancePhase::Dispatched { epoch, sequence };
+                commands.push(WorkerCommand::Run {
+                    task: instance.task.to_string(),
+                    attempt: instance.attempt.0,
                 });
             }
         }
         machine.recount();
-        orders
+        commands
     }
 }
--- a/src/cluster/intern.rs
+++ b/src/cluster/intern.rs
@@ -4,6 +4,8 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
+use crate::model::MachinePool;
+
 /// An image.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ImageId(u32);
@@ -36,47 +38,37 @@
 
 /// A type of machine in a zone, spot or ordinary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct KindId(pub u16);
-
-/// What machines of a kind have in common.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Kind {
-    /// Type.
-    pub build: String,
-    /// Zone.
-    pub zone: String,
-    /// Spot or ordinary.
-    pub spot: bool,
-}
+pub struct PoolId(pub u16);
 
-/// Kinds met so far: a handful, so that a look through all of them is the fastest.
+/// MachinePools met so far: a handful, so that a look through all of them is the fastest.
 #[derive(Clone, Debug, Default)]
-pub struct Kinds(Vec<Kind>);
+pub struct MachinePools(Vec<MachinePool>);
 
-impl Kinds {
+impl MachinePools {
     /// A kind's number.
-    pub fn id(&mut self, build: &str, zone: &str, spot: bool) -> KindId {
-        let same = |k: &Kind| k.spot == spot && k.zone == zone && k.build == build;
+    pub fn id(&mut self, machine_type: &str, zone: &str, spot: bool) -> PoolId {
+        let same =
+            |k: &MachinePool| k.spot == spot && k.zone == zone && k.machine_type == machine_type;
         if let Some(at) = self.0.iter().position(same) {
-            return KindId(at as u16);
+            return PoolId(at as u16);
         }
-        self.0.push(Kind {
-            build: build.to_owned(),
+        self.0.push(MachinePool {
+            machine_type: machine_type.to_owned(),
             zone: zone.to_owned(),
             spot,
         });
-        KindId((self.0.len() - 1) as u16)
+        PoolId((self.0.len() - 1) as u16)
     }
 
     /// A kind.
-    pub fn get(&self, id: KindId) -> Option<&Kind> {
+    pub fn get(&self, id: PoolId) -> Option<&MachinePool> {
         self.0.get(usize::from(id.0))
     }
 
     /// All kinds with their numbers.
-    pub fn iter(&self) -> impl Iterator<Item = (KindId, &Kind)> {
+    pub fn iter(&self) -> impl Iterator<Item = (PoolId, &MachinePool)> {
         let numbered = self.0.iter().enumerate();
-        numbered.map(|(at, kind)| (KindId(at as u16), kind))
+        numbered.map(|(at, pool)| (PoolId(at as u16), pool))
     }
 
     /// How many there are.
--- a/src/cluster/job.rs
+++ b/src/cluster/job.rs
@@ -5,14 +5,14 @@
 use std::time::Instant;
 
 use super::done::DoneSet;
-use super::faults::Suspicion;
-use super::machine::Durable;
+use super::faults::SuspectedJob;
+use super::machine::Persistence;
 use super::ImageId;
-use crate::model::{Attempt, JobSpec, MachineId, Shape, Verdict};
+use crate::model::{Attempt, JobKind, JobSpec, MachineId, Verdict};
 
 /// A place where a task may be.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct Placement {
     /// The machine.
     pub machine: MachineId,
     /// The attempt.
@@ -82,9 +82,9 @@
     /// Its verdict.
     pub verdict: Verdict,
     /// Cancelled for good, though our replica does not show it yet.
-    pub called_off: bool,
+    pub cancellation_requested: bool,
     /// Whether the record says that starts may have been sent.
-    pub started: Durable,
+    pub started: Persistence,
     /// Started in an earlier term: until all machines of that time are settled, tasks of it
     /// may be anywhere.
     pub inherited: bool,
@@ -95,39 +95,44 @@
     /// Completed tasks.
     pub done: DoneSet,
     /// Where each task may be. Normally one place a task.
-    pub places: BTreeMap<u32, Vec<Place>>,
+    pub placements: BTreeMap<u32, Vec<Placement>>,
     /// A gang's present attempt.
     pub attempt: Option<Attempt>,
     /// Whether the present attempt was seen running.
-    pub begun: bool,
+    pub seen_running: bool,
     /// The present attempt is being stopped, all members of it.
     pub stopping: bool,
     /// Other work was stopped for it, in this zone or anywhere: the room that this frees is
     /// its own until then.
     pub claim: Option<(Option<String>, Instant)>,
     /// Takes no new starts until then.
-    pub rests_until: Option<Instant>,
+    pub backoff_until: Option<Instant>,
     /// Machines on which its tasks failed.
     pub failed_on: BTreeSet<MachineId>,
     /// It fails everywhere, as far as can be seen, and is tried now and then only.
-    pub suspicion: Option<Suspicion>,
+    pub suspicion: Option<SuspectedJob>,
     /// A write of its records is under way.
     pub writing: bool,
     /// Whether versions up to 0.3.0 wrote it down, with a key for its description.
-    pub apart: bool,
+    pub has_own_key: bool,
     /// When its completed tasks were last written down.
     pub progress_at: Option<Instant>,
     /// When a task of it was first seen running, for the metrics.
     pub first_run: Option<Instant>,
     /// Why it waits, for the status page.
-    pub waits_for: &'static str,
+    pub pending_reason: &'static str,
 }
 
 impl Job {
     /// What the records should say besides of where starts were sent, if they do not cover the
     /// places planned.
     pub fn sent_due(&self) -> Option<Sent> {
-        let planned = || self.places.values().flatten().map(|place| &place.machine);
+        let planned = || {
+            self.placements
+                .values()
+                .flatten()
+                .map(|placement| &placement.machine)
+        };
         if planned().all(|machine| self.sent.covers(machine)) {
             return None;
         }
@@ -148,12 +153,12 @@
 
     /// Whether a start may be sent to a machine, by the records.
     pub fn may_send(&self, machine: &MachineId) -> bool {
-        self.started == Durable::Yes && self.sent.covers(machine)
+        self.started == Persistence::Written && self.sent.covers(machine)
     }
 
     /// Whether anybody wants it to run.
     pub fn wanted(&self) -> bool {
-        self.verdict == Verdict::Accepted && !self.called_off
+        self.verdict == Verdict::Accepted && !self.cancellation_requested
     }
 
     /// Whether tasks of it may still be started.
@@ -163,29 +168,29 @@
 
     /// Whether it is a gang.
     pub fn gang(&self) -> bool {
-        self.spec.shape == Shape::Gang
+        self.spec.kind == JobKind::Gang
     }
 
     /// Whether any task of it may be anywhere we know of.
-    pub fn placed(&self) -> bool {
-        !self.places.is_empty()
+    pub fn has_placements(&self) -> bool {
+        !self.placements.is_empty()
     }
 
     /// Unfinished tasks without a place, in order.
     pub fn pending(&self) -> impl Iterator<Item = u32> + '_ {
         (0..self.spec.tasks)
-            .filter(|index| !self.done.contains(*index) && !self.places.contains_key(index))
+            .filter(|index| !self.done.contains(*index) && !self.placements.contains_key(index))
     }
 
     /// Number of unfinished tasks without a place.
     pub fn pending_count(&self) -> u32 {
-        let placed = self.places.keys().filter(|i| !self.done.contains(**i));
+        let placed = self.placements.keys().filter(|i| !self.done.contains(**i));
         (self.spec.tasks - self.done.len()).saturating_sub(placed.count() as u32)
     }
 
     /// When it is due.
     pub fn due(&self) -> Option<Instant> {
-        let after = crate::time::secs(self.spec.due_s?);
+        let after = crate::time::secs(self.spec.deadline_s?);
         self.submitted.checked_add(after)
     }
 }
--- a/src/cluster/machine.rs
+++ b/src/cluster/machine.rs
@@ -7,10 +7,10 @@
 use knotlanding_links::health::WorkerEvidence;
 use knotlanding_links::reachability::Reachability;
 
-use super::faults::Blame;
-use super::{ImageId, KindId};
-use crate::model::{Amount, Attempt, JobId, JobSpec, MachineId, TaskId, Token};
-use crate::wire::{Cause, BODY_LIMIT};
+use super::faults::FaultAttribution;
+use super::{ImageId, PoolId};
+use crate::model::{Attempt, FencingToken, JobId, JobSpec, MachineId, Resources, TaskId};
+use crate::wire::{ExitCause, BODY_LIMIT};
 
 /// Bytes that a task takes in a report, in the form by which its size is measured.
 const REPORTED_BYTES: usize = 80;
@@ -21,7 +21,7 @@
 
 /// A start of a task on a machine.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct SlotId {
+pub struct InstanceId {
     /// The task.
     pub task: TaskId,
     /// The attempt.
@@ -30,32 +30,32 @@
 
 /// Where a start stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Phase {
+pub enum InstancePhase {
     /// Decided, not sent: nothing can have happened yet.
     Planned,
     /// Sent in the answer to that report. The next report of the worker's own shows whether
     /// it took.
-    Sent {
+    Dispatched {
         /// The session answered.
-        session: u64,
+        epoch: u64,
         /// The report answered.
-        seq: u64,
+        sequence: u64,
     },
     /// Waits for its image.
-    Pulling,
+    PullingImage,
     /// Waits for its gang.
-    Gathering,
+    AwaitingGang,
     /// Runs.
     Running,
     /// Saves.
-    Flushing,
+    Checkpointing,
     /// Ended; off the machine, but still in its reports.
-    Exited(Cause),
+    Exited(ExitCause),
 }
 
 /// A stop we want.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Stop {
+pub struct Termination {
     /// Time to save.
     pub grace_s: f64,
     /// When the machine was last told.
@@ -64,30 +64,30 @@
 
 /// A start with all that is known of it.
 #[derive(Clone, Debug)]
-pub struct Slot {
+pub struct TaskInstance {
     /// The job, if it is known.
     pub spec: Option<Arc<JobSpec>>,
     /// Where it stands.
-    pub phase: Phase,
+    pub phase: InstancePhase,
     /// When it was planned or first seen.
     pub since: Instant,
     /// When it was first seen running.
     pub running_since: Option<Instant>,
     /// Whether it is to stop.
-    pub stop: Option<Stop>,
+    pub stop: Option<Termination>,
     /// The image it needs, if the job is known.
     pub image: Option<ImageId>,
 }
 
-impl Slot {
+impl TaskInstance {
     /// Whether the task may be on the machine.
     pub fn occupies(&self) -> bool {
-        !matches!(self.phase, Phase::Exited(_))
+        !matches!(self.phase, InstancePhase::Exited(_))
     }
 
     /// Whether a worker may know of it.
     pub fn sent(&self) -> bool {
-        self.phase != Phase::Planned
+        self.phase != InstancePhase::Planned
     }
 }
 
@@ -95,37 +95,48 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
     /// What is taken.
-    pub taken: Amount,
+    pub taken: Resources,
     /// Tasks that may be on it.
     pub tasks: usize,
     /// Something of unknown size is on it.
     pub unknown_amount: bool,
     /// A start is planned or a stop wanted.
-    pub orders_wanted: bool,
+    pub commands_pending: bool,
 }
 
 /// Whether a record is in the state service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Durable {
+pub enum Persistence {
     /// Not there, or not known to be.
-    No,
+    NotWritten,
     /// Being written.
     Writing,
     /// There.
-    Yes,
+    Written,
 }
 
 /// Why a machine takes no new tasks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Drain {
+pub enum DrainReason {
     /// Tasks of several jobs failed on it.
-    Sick,
+    Faulty,
     /// It is much slower than others of its type.
     Slow,
     /// An operator asked.
     Operator,
 }
 
+impl DrainReason {
+    /// The word by which operators see it.
+    pub fn label(self) -> &'static str {
+        match self {
+            Self::Faulty => "sick",
+            Self::Slow => "slow",
+            Self::Operator => "operator",
+        }
+    }
+}
+
 /// Where a machine stands with the cloud and with us.
 #[derive(Clone, Debug)]
 pub struct Machine {
@@ -134,21 +145,21 @@
     /// Where it takes direct commands.
     pub address: String,
     /// Its type.
-    pub build: String,
+    pub machine_type: String,
     /// Its zone.
     pub zone: String,
     /// Spot or ordinary.
     pub spot: bool,
-    /// Type, zone and kind as one number, see [`super::Kinds`].
-    pub kind: Option<KindId>,
+    /// Type, zone and kind as one number, see [`super::MachinePools`].
+    pub pool: Option<PoolId>,
     /// When we first knew of it.
     pub since: Instant,
     /// When it was rented, as far as known.
-    pub rented: Instant,
+    pub rented_at: Instant,
     /// Newest report's session and number.
     pub newest: (u64, u64),
     /// Highest token it has reported or we have used for it.
-    pub token: Token,
+    pub token: FencingToken,
     /// It has reported our term: no older leader can command it any more.
     pub fenced: bool,
     /// It has never seen any term and holds nothing: a start may be planned for it, and is
@@ -163,37 +174,37 @@
     pub reachability: Reachability,
     /// A report that looks old may come from a new life of the machine: the session to ask in,
     /// and when it was last asked.
-    pub probe: Option<(u64, Option<Instant>)>,
+    pub pending_probe: Option<(u64, Option<Instant>)>,
     /// When it was last asked for a report that fences it.
-    pub asked: Option<Instant>,
+    pub last_probe: Option<Instant>,
     /// Commands sent to it directly, without an answer, since it last spoke.
-    pub in_vain: u32,
+    pub unanswered_commands: u32,
     /// The token that tells its present life from a former one whose reports may yet come.
-    pub life: Token,
+    pub incarnation: FencingToken,
     /// When it was first heard in this term.
-    pub met: Option<Instant>,
+    pub first_heartbeat: Option<Instant>,
     /// When the newest report arrived.
-    pub reported: Option<Instant>,
+    pub last_heartbeat: Option<Instant>,
     /// When we last answered 200; its lease can't end before that plus the lease's time.
     pub answered: Option<Instant>,
     /// When the cloud takes it away.
-    pub leaves: Option<Instant>,
+    pub spot_deadline: Option<Instant>,
     /// All starts that may be on it, and exited ones in its reports.
-    pub slots: BTreeMap<SlotId, Slot>,
+    pub instances: BTreeMap<InstanceId, TaskInstance>,
     /// Whether the roster in the state service names it.
-    pub rostered: Durable,
+    pub inventory_record: Persistence,
     /// Images it has fetched with their sizes in GB, most recently used last.
     pub images: Vec<(ImageId, f64)>,
     /// Takes no new tasks.
-    pub drain: Option<Drain>,
+    pub drain: Option<DrainReason>,
     /// A return is under way.
-    pub returning: bool,
+    pub releasing: bool,
     /// Jobs whose tasks failed on it since the last that completed.
-    pub blame: Vec<Blame>,
+    pub blame: Vec<FaultAttribution>,
     /// Run time over estimate of the last task of each of the last few jobs on it.
     pub slowdowns: Vec<(JobId, f64)>,
     /// Takes no new tasks until then.
-    pub rests_until: Option<Instant>,
+    pub backoff_until: Option<Instant>,
     /// Since when it has had nothing to do.
     pub idle_since: Instant,
     /// What its slots add up to; see [`Machine::recount`].
@@ -223,35 +234,35 @@
         Self {
             id,
             address: String::new(),
-            build: String::new(),
+            machine_type: String::new(),
             zone: String::new(),
             spot: false,
-            kind: None,
+            pool: None,
             since: now,
-            rented: now,
+            rented_at: now,
             newest: (0, 0),
-            token: Token::default(),
+            token: FencingToken::default(),
             fenced: false,
             fresh: false,
             known_to_cloud: false,
             token_raised_at: None,
             reachability: Reachability::default(),
-            probe: None,
-            asked: None,
-            in_vain: 0,
-            life: Token::default(),
-            met: None,
-            reported: None,
+            pending_probe: None,
+            last_probe: None,
+            unanswered_commands: 0,
+            incarnation: FencingToken::default(),
+            first_heartbeat: None,
+            last_heartbeat: None,
             answered: None,
-            leaves: None,
-            slots: BTreeMap::new(),
-            rostered: Durable::No,
+            spot_deadline: None,
+            instances: BTreeMap::new(),
+            inventory_record: Persistence::NotWritten,
             images: Vec::new(),
             drain: None,
-            returning: false,
+            releasing: false,
             blame: Vec::new(),
             slowdowns: Vec::new(),
-            rests_until: None,
+            backoff_until: None,
             idle_since: now,
             load: Load::default(),
             listed: Listed::No,
@@ -266,12 +277,12 @@
 
     /// Whether it should be up but has not reported in this term.
     pub fn expected(&self) -> bool {
-        let up = self.listed == Listed::Running || self.rostered == Durable::Yes;
-        self.reported.is_none() && up
+        let up = self.listed == Listed::Running || self.inventory_record == Persistence::Written;
+        self.last_heartbeat.is_none() && up
     }
 
     /// What is taken of it, starts not yet confirmed and stops not yet finished included.
-    pub fn taken(&self) -> Amount {
+    pub fn taken(&self) -> Resources {
         self.load.taken
     }
 
@@ -281,11 +292,11 @@
     }
 
     /// Whether commands are due to it, or a start waits for its report.
-    pub fn orders_wanted(&self) -> bool {
-        self.load.orders_wanted
+    pub fn commands_pending(&self) -> bool {
+        self.load.commands_pending
     }
 
-    /// Adds up its slots again. Rounds ask every machine for the sums, but only few machines'
+    /// Adds up its slots again. SchedulerLoop ask every machine for the sums, but only few machines'
     /// slots change between two rounds.
     pub fn recount(&mut self) {
         self.load = self.counted();
@@ -294,15 +305,15 @@
     /// The sums as its slots have them now.
     pub fn counted(&self) -> Load {
         let mut load = Load::default();
-        for slot in self.slots.values() {
-            let occupies = slot.occupies();
-            load.orders_wanted |= occupies && (!slot.sent() || slot.stop.is_some());
+        for instance in self.instances.values() {
+            let occupies = instance.occupies();
+            load.commands_pending |= occupies && (!instance.sent() || instance.stop.is_some());
             if !occupies {
                 continue;
             }
             load.tasks += 1;
-            match &slot.spec {
-                Some(spec) => load.taken.add(&spec.need),
+            match &instance.spec {
+                Some(spec) => load.taken.add(&spec.task_resources),
                 None => load.unknown_amount = true,
             }
         }
@@ -316,48 +327,54 @@
 
     /// Whether it was up in this term and has been silent for longer than `limit`.
     pub fn silent(&self, now: Instant, limit: Duration) -> bool {
-        self.reported
+        self.last_heartbeat
             .is_some_and(|at| now.saturating_duration_since(at) > limit)
     }
 
     /// What speaks for and against its health.
     pub fn evidence(&self) -> WorkerEvidence {
         WorkerEvidence {
-            reported: self.reported,
+            last_heartbeat: self.last_heartbeat,
             hears: self.fenced && self.reachability.fine(),
             doubted_since: self.reachability.doubted_since(),
-            commands_in_vain: self.in_vain,
+            unanswered_commands: self.unanswered_commands,
         }
     }
 
     /// Why it gets no new tasks, if that is so.
     pub fn passed_over(&self, now: Instant, silence: Duration) -> Option<&'static str> {
         let reasons = [
-            (self.reported.is_none(), "it has not reported in this term"),
+            (
+                self.last_heartbeat.is_none(),
+                "it has not reported in this term",
+            ),
             (
                 !(self.fenced || self.fresh),
                 "it has not shown this term's token",
             ),
             (!self.reachability.fine(), "it does not seem to hear us"),
-            (self.returning, "it is being returned"),
+            (self.releasing, "it is being returned"),
             (
-                self.drain == Some(Drain::Sick),
+                self.drain == Some(DrainReason::Faulty),
                 "tasks of several jobs failed on it",
             ),
             (
-                self.drain == Some(Drain::Slow),
+                self.drain == Some(DrainReason::Slow),
                 "it is much slower than others",
             ),
-            (self.drain == Some(Drain::Operator), "an operator drains it"),
-            (self.leaves.is_some(), "the cloud takes it back"),
+            (
+                self.drain == Some(DrainReason::Operator),
+                "an operator drains it",
+            ),
+            (self.spot_deadline.is_some(), "the cloud takes it back"),
             (self.silent(now, silence), "it is silent"),
             (
-                self.rests_until.is_some_and(|until| now < until),
+                self.backoff_until.is_some_and(|until| now < until),
                 "it rests after a failure",
             ),
             (self.unknown_amount(), "something unknown runs on it"),
             (
-                self.slots.len() >= TASKS_PER_MACHINE_MAX,
+                self.instances.len() >= TASKS_PER_MACHINE_MAX,
                 "its reports would get too long",
             ),
         ];
@@ -381,7 +398,9 @@
 
     /// Whether starts may be sent to it now, in the answer to a report.
     pub fn can_start(&self, now: Instant, silence: Duration) -> bool {
-        self.fenced && self.rostered == Durable::Yes && self.takes_tasks(now, silence)
+        self.fenced
+            && self.inventory_record == Persistence::Written
+            && self.takes_tasks(now, silence)
     }
 
     /// Whether it has the image, as far as we know.
--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -8,11 +8,11 @@
 mod commands;
 pub mod done;
 mod faults;
+mod heartbeat;
 mod intern;
 pub mod job;
 pub mod machine;
 mod records;
-mod report;
 mod sent;
 mod sync;
 
@@ -20,23 +20,25 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime};
 
-pub use commands::Direct;
-pub use faults::{Blame, Suspicion};
-pub use intern::{ImageId, Images, Kind, KindId, Kinds};
-pub use job::{Job, Place, Sent};
-pub use machine::{Drain, Durable, Listed, Machine, Phase, Slot, SlotId, Stop};
+pub use commands::AddressedCommand;
+pub use faults::{FaultAttribution, SuspectedJob};
+pub use heartbeat::{HeartbeatSource, Verified};
+pub use intern::{ImageId, Images, MachinePools, PoolId};
+pub use job::{Job, Placement, Sent};
+pub use machine::{
+    DrainReason, InstanceId, InstancePhase, Listed, Machine, Persistence, TaskInstance, Termination,
+};
 pub use records::{RecordKind, RecordWrite};
-pub use report::{ReportSource, Verified};
 
 use knotlanding_links::health::{HealthJudge, HealthLimits};
 use knotlanding_links::reachability::hears_few;
 
 use self::sent::SentLists;
 use crate::config::Settings;
-use crate::digest::{DigestView, Hint};
-use crate::model::{Amount, Attempt, Build, JobId, MachineId, TaskId, Term};
+use crate::model::{Attempt, JobId, MachineId, MachineType, Resources, TaskId, Term};
+use crate::state_summary::{MachineHint, SummaryCache};
 use crate::store::replica::Replica;
-use crate::timing::Timing;
+use crate::timing::WorkerTiming;
 
 /// The longest interval between two reports, in parts of the usual one.
 const LATE_REPORT: f64 = 1.25;
@@ -44,11 +46,13 @@
 const WORKER_GIVES_UP: Duration = Duration::from_secs(4);
 
 /// The machine types as last read, shared read-only.
-pub type Catalog = Arc<Vec<Build>>;
+pub type Catalog = Arc<Vec<MachineType>>;
 
 /// Finds a type.
-pub fn build_named<'a>(catalog: &'a Catalog, name: &str) -> Option<&'a Build> {
-    catalog.iter().find(|build| build.name == name)
+pub fn find_machine_type<'a>(catalog: &'a Catalog, name: &str) -> Option<&'a MachineType> {
+    catalog
+        .iter()
+        .find(|machine_type| machine_type.name == name)
 }
 
 /// The cluster state of one term.
@@ -59,15 +63,15 @@
     /// Since when we lead; moved on by times in which we heard nobody.
     pub since: Instant,
     /// When we took over, whatever was heard since.
-    taken_over: Instant,
+    became_leader_at: Instant,
     /// Timing of the workers.
-    pub timing: Timing,
+    pub timing: WorkerTiming,
     /// Jobs of which a task may be anywhere, or has to run.
     pub jobs: BTreeMap<JobId, Job>,
     /// Machines.
     pub machines: BTreeMap<MachineId, Machine>,
     /// Machines of earlier terms that neither reported our term nor are gone.
-    pub unsettled: BTreeSet<MachineId>,
+    pub unreconciled: BTreeSet<MachineId>,
     /// Whether it was told how long they took.
     settled_told: bool,
     /// Something happened that a round should look at.
@@ -77,13 +81,13 @@
     /// Submissions per class, for the expected demand.
     pub arrivals: Vec<(Instant, Arc<crate::model::JobSpec>)>,
     /// Types, zones and kinds of machines met.
-    pub kinds: Kinds,
+    pub pools: MachinePools,
     /// Images met.
     pub images: Images,
     /// Machines whose images changed and jobs whose counts may have, since the others were
     /// last told.
     changed: Changed,
-    hints: HashMap<MachineId, Hint>,
+    hints: HashMap<MachineId, MachineHint>,
     /// Run times over estimates of the last tasks anywhere: what the owners' errors and the
     /// day's mood amount to.
     slowdowns: VecDeque<f64>,
@@ -93,11 +97,11 @@
     cuts: BTreeMap<String, Instant>,
     attempts: u32,
     chunk: usize,
-    /// Direct commands that can wait.
-    budget: commands::Budget,
+    /// AddressedCommand commands that can wait.
+    budget: commands::CommandBudget,
     /// Versions of the chunks and shards we wrote, which the replica may not show yet.
     versions: HashMap<String, u64>,
-    roster: records::Roster,
+    inventory: records::MachineInventory,
     sent: SentLists,
     /// When a list was last written.
     listed_at: Option<Instant>,
@@ -108,7 +112,7 @@
 
 impl Cluster {
     /// Takes over: reads the records and trusts nothing else.
-    pub fn take_over(
+    pub fn recover(
         term: Term,
         settings: &Settings,
         replica: &Replica,
@@ -116,22 +120,23 @@
         now: Instant,
         wall: SystemTime,
     ) -> Self {
-        let roster = records::Roster::load(&replica.roster, settings.params.state.value_kb);
-        let unsettled: BTreeSet<MachineId> = roster.machines().cloned().collect();
+        let inventory =
+            records::MachineInventory::load(&replica.inventory, settings.params.state.value_kb);
+        let unreconciled: BTreeSet<MachineId> = inventory.machines().cloned().collect();
         let (sent, said) = SentLists::load(term, &replica.sent, settings.params.state.value_kb);
         let mut cluster = Self {
             term,
             since: now,
-            taken_over: now,
-            timing: Timing::new(settings),
+            became_leader_at: now,
+            timing: WorkerTiming::new(settings),
             jobs: BTreeMap::new(),
             machines: BTreeMap::new(),
-            unsettled,
+            unreconciled,
             settled_told: false,
             dirty: true,
             waits: Vec::new(),
             arrivals: Vec::new(),
-            kinds: Kinds::default(),
+            pools: MachinePools::default(),
             images: Images::default(),
             changed: Changed::default(),
             hints: HashMap::new(),
@@ -139,19 +144,19 @@
             departed: BTreeSet::new(),
             cuts: BTreeMap::new(),
             attempts: 0,
-            budget: commands::Budget::new(settings.params.resources.cores, now),
+            budget: commands::CommandBudget::new(settings.params.resources.cores, now),
             versions: HashMap::new(),
             chunk: done::chunk_size(settings.params.state.value_kb),
-            roster,
+            inventory,
             sent,
             listed_at: None,
             said,
             catalog,
         };
-        let rostered: Vec<MachineId> = cluster.unsettled.iter().cloned().collect();
-        for id in rostered {
+        let inventory_record: Vec<MachineId> = cluster.unreconciled.iter().cloned().collect();
+        for id in inventory_record {
             let mut machine = Machine::new(id.clone(), now);
-            machine.rostered = Durable::Yes;
+            machine.inventory_record = Persistence::Written;
             cluster.machines.insert(id, machine);
         }
         let ids: Vec<JobId> = replica.live.keys().cloned().collect();
@@ -167,15 +172,18 @@
 
     /// Takes what an earlier leader told of the machines. Those that are gone must not come
     /// back by late copies of their reports.
-    pub fn hint(&mut self, told: &DigestView) {
+    pub fn hint(&mut self, told: &SummaryCache) {
         self.hints = told.hints.clone();
-        for id in &self.unsettled {
+        for id in &self.unreconciled {
             if let (Some(machine), Some(hint)) = (self.machines.get_mut(id), self.hints.get(id)) {
                 machine.address.clone_from(&hint.address);
-                machine.newest.0 = hint.session;
+                machine.newest.0 = hint.epoch;
             }
         }
-        let gone = told.gone.iter().filter(|id| !self.unsettled.contains(*id));
+        let gone = told
+            .gone
+            .iter()
+            .filter(|id| !self.unreconciled.contains(*id));
         self.departed.extend(gone.cloned());
     }
 
@@ -198,21 +206,21 @@
     /// Whether tasks of the job may be somewhere we have not heard from yet: on a machine that
     /// its record names, or on any that it may use where the record names none.
     pub fn blocked(&self, job: &Job) -> bool {
-        blocked_by(&self.unsettled, &self.machines, job)
+        blocked_by(&self.unreconciled, &self.machines, job)
     }
 
     /// What each team may be using at most right now.
-    pub fn team_use(&self) -> HashMap<&str, Amount> {
-        let mut sums: HashMap<&str, Amount> = HashMap::new();
+    pub fn team_use(&self) -> HashMap<&str, Resources> {
+        let mut sums: HashMap<&str, Resources> = HashMap::new();
         for job in self.jobs.values() {
-            let mut count: usize = job.places.values().map(Vec::len).sum();
+            let mut count: usize = job.placements.values().map(Vec::len).sum();
             if self.blocked(job) {
                 // Tasks of an inherited job that nobody reported may be running unseen.
                 count += job.pending_count() as usize;
             }
             if count > 0 {
                 let sum = sums.entry(job.spec.team.as_str()).or_default();
-                sum.add(&job.spec.need.times(count as u32));
+                sum.add(&job.spec.task_resources.times(count as u32));
             }
         }
         sums
@@ -225,40 +233,43 @@
         else {
             return;
         };
-        let place = Place {
+        let placement = Placement {
             machine: machine.clone(),
             attempt,
         };
-        job.places.entry(task.index).or_default().push(place);
+        job.placements
+            .entry(task.index)
+            .or_default()
+            .push(placement);
         if job.gang() {
             job.attempt = Some(attempt);
         }
-        let slot = Slot {
+        let instance = TaskInstance {
             spec: Some(job.spec.clone()),
-            phase: Phase::Planned,
+            phase: InstancePhase::Planned,
             since: now,
             running_since: None,
             stop: None,
             image: Some(job.image),
         };
-        let id = SlotId {
+        let id = InstanceId {
             task: task.clone(),
             attempt,
         };
-        host.slots.insert(id, slot);
+        host.instances.insert(id, instance);
         host.recount();
     }
 
     /// Wants a task stopped. A start that was never sent is simply dropped.
-    pub fn stop(&mut self, machine: &MachineId, slot: &SlotId, grace_s: f64) {
+    pub fn stop(&mut self, machine: &MachineId, instance: &InstanceId, grace_s: f64) {
         let Some(host) = self.machines.get_mut(machine) else {
             return;
         };
-        let Some(state) = host.slots.get_mut(slot) else {
+        let Some(state) = host.instances.get_mut(instance) else {
             return;
         };
         if !state.sent() {
-            self.drop_slot(machine, slot);
+            self.remove_instance(machine, instance);
             return;
         }
         if !state.occupies() {
@@ -267,14 +278,14 @@
         match &mut state.stop {
             // A cancellation overrides a save that is under way.
             Some(stop) if grace_s < stop.grace_s => {
-                *stop = Stop {
+                *stop = Termination {
                     grace_s,
                     told: None,
                 }
             }
             Some(_) => {}
             none => {
-                *none = Some(Stop {
+                *none = Some(Termination {
                     grace_s,
                     told: None,
                 })
@@ -286,8 +297,8 @@
 
     /// Wants all tasks of a job stopped.
     pub fn stop_job(&mut self, id: &JobId, grace_s: f64) {
-        for (machine, slot) in self.slots_of(id) {
-            self.stop(&machine, &slot, grace_s);
+        for (machine, instance) in self.instances_of(id) {
+            self.stop(&machine, &instance, grace_s);
         }
     }
 
@@ -296,10 +307,10 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        if job.called_off || job.verdict != crate::model::Verdict::Accepted {
+        if job.cancellation_requested || job.verdict != crate::model::Verdict::Accepted {
             return;
         }
-        job.called_off = true;
+        job.cancellation_requested = true;
         self.dirty = true;
         self.stop_job(id, 0.0);
     }
@@ -307,29 +318,29 @@
     /// Nothing is placed now, and all jobs that would be wait for the same.
     pub fn all_wait_for(&mut self, what: &'static str) {
         let open = self.jobs.values_mut().filter(|job| job.open());
-        open.for_each(|job| job.waits_for = what);
+        open.for_each(|job| job.pending_reason = what);
     }
 
     /// All places of a job.
-    pub fn slots_of(&self, id: &JobId) -> Vec<(MachineId, SlotId)> {
+    pub fn instances_of(&self, id: &JobId) -> Vec<(MachineId, InstanceId)> {
         let Some(job) = self.jobs.get(id) else {
             return Vec::new();
         };
-        let mut slots = Vec::new();
-        for (index, places) in &job.places {
-            for place in places {
+        let mut instances = Vec::new();
+        for (index, placements) in &job.placements {
+            for placement in placements {
                 let task = TaskId {
                     job: id.clone(),
                     index: *index,
                 };
-                let slot = SlotId {
+                let instance = InstanceId {
                     task,
-                    attempt: place.attempt,
+                    attempt: placement.attempt,
                 };
-                slots.push((place.machine.clone(), slot));
+                instances.push((placement.machine.clone(), instance));
             }
         }
-        slots
+        instances
     }
 
     /// Stops a gang's present attempt, with time to save if it saves.
@@ -338,7 +349,7 @@
             return;
         };
         job.stopping = true;
-        let grace = if job.spec.saves() {
+        let grace = if job.spec.can_checkpoint() {
             job.spec.grace()
         } else {
             0.0
@@ -347,30 +358,30 @@
     }
 
     /// Removes a start from both sides of the cluster state.
-    fn drop_slot(&mut self, machine: &MachineId, slot: &SlotId) {
+    fn remove_instance(&mut self, machine: &MachineId, instance: &InstanceId) {
         if let Some(host) = self.machines.get_mut(machine) {
-            host.slots.remove(slot);
+            host.instances.remove(instance);
             host.recount();
         }
-        self.leave(machine, slot);
+        self.leave(machine, instance);
     }
 
     /// The task is not on that machine any more (it never was, it exited, or it is gone).
-    fn leave(&mut self, machine: &MachineId, slot: &SlotId) {
-        let Some(job) = self.jobs.get_mut(&slot.task.job) else {
+    fn leave(&mut self, machine: &MachineId, instance: &InstanceId) {
+        let Some(job) = self.jobs.get_mut(&instance.task.job) else {
             return;
         };
-        self.changed.jobs.insert(slot.task.job.clone());
-        if let Some(places) = job.places.get_mut(&slot.task.index) {
-            places.retain(|p| p.machine != *machine || p.attempt != slot.attempt);
-            if places.is_empty() {
-                job.places.remove(&slot.task.index);
+        self.changed.jobs.insert(instance.task.job.clone());
+        if let Some(placements) = job.placements.get_mut(&instance.task.index) {
+            placements.retain(|p| p.machine != *machine || p.attempt != instance.attempt);
+            if placements.is_empty() {
+                job.placements.remove(&instance.task.index);
             }
         }
-        if job.places.is_empty() {
+        if job.placements.is_empty() {
             // The attempt is over; the next one starts fresh.
             job.attempt = None;
-            job.begun = false;
+            job.seen_running = false;
             job.stopping = false;
         }
         self.dirty = true;
@@ -378,11 +389,11 @@
 
     /// Ends what time alone ends. Only to be called while we lead.
     pub fn expire(&mut self, now: Instant) {
-        if now.saturating_duration_since(self.taken_over) > self.timing.inherited_lease {
+        if now.saturating_duration_since(self.became_leader_at) > self.timing.inherited_lease {
             self.settle_inherited();
         }
         let lease = self.timing.lease;
-        let quiet = self.timing.quiet;
+        let quiet = self.timing.suspect_after;
         let mut over = Vec::new();
         for (id, machine) in &self.machines {
             let lease_over = machine.fenced
@@ -393,16 +404,16 @@
             if !(lease_over || silent) {
                 continue;
             }
-            for (slot, state) in &machine.slots {
+            for (instance, state) in &machine.instances {
                 // Silence frees a plan, since nothing was sent; a start needs proof.
                 let drop_plan = silent && !state.sent();
                 if drop_plan || (lease_over && state.sent()) {
-                    over.push((id.clone(), slot.clone()));
+                    over.push((id.clone(), instance.clone()));
                 }
             }
         }
-        for (machine, slot) in over {
-            self.drop_slot(&machine, &slot);
+        for (machine, instance) in over {
+            self.remove_instance(&machine, &instance);
         }
         let recent = now.checked_sub(ARRIVALS_KEPT);
         self.arrivals
@@ -412,7 +423,7 @@
     /// Machines of earlier terms that nobody of ours has answered hold nothing any more. What they
     /// are worth waiting for is another matter.
     fn settle_inherited(&mut self) {
-        let inherited_lease = self.unsettled.iter().filter(|id| {
+        let inherited_lease = self.unreconciled.iter().filter(|id| {
             let machine = self.machines.get(*id);
             machine.is_none_or(|machine| machine.answered.is_none())
         });
@@ -434,11 +445,11 @@
         let later = |at: Instant| (at + missed).min(now);
         self.since = later(self.since);
         for machine in self.machines.values_mut() {
-            machine.reported = machine.reported.map(later);
-            machine.met = machine.met.map(later);
+            machine.last_heartbeat = machine.last_heartbeat.map(later);
+            machine.first_heartbeat = machine.first_heartbeat.map(later);
             machine.listed_since = later(machine.listed_since);
             machine.reachability.wait(missed);
-            machine.in_vain = 0;
+            machine.unanswered_commands = 0;
         }
     }
 
@@ -457,15 +468,16 @@
     /// either all of them are lost, or we are cut off from them.
     pub fn hears_few_machines(&self, now: Instant) -> bool {
         // An interval and a quarter, an answer given up and another node tried first.
-        let limit = self.timing.report.mul_f64(LATE_REPORT) + WORKER_GIVES_UP;
+        let limit = self.timing.heartbeat_interval.mul_f64(LATE_REPORT) + WORKER_GIVES_UP;
         if now.saturating_duration_since(self.since) < limit {
             return false;
         }
         let (mut known, mut heard) = (0, 0);
         for (id, machine) in &self.machines {
-            if machine.reported.is_some() || self.unsettled.contains(id) {
+            if machine.last_heartbeat.is_some() || self.unreconciled.contains(id) {
                 known += 1;
-                heard += usize::from(machine.reported.is_some() && !machine.silent(now, limit));
+                heard +=
+                    usize::from(machine.last_heartbeat.is_some() && !machine.silent(now, limit));
             }
         }
         hears_few(known, heard)
@@ -476,8 +488,9 @@
     pub fn health_judge(&self, now: Instant) -> HealthJudge {
         HealthJudge {
             limits: HealthLimits {
-                suspect: self.timing.report.mul_f64(LATE_REPORT) + self.timing.report / 2,
-                lost: self.timing.lost,
+                suspect: self.timing.heartbeat_interval.mul_f64(LATE_REPORT)
+                    + self.timing.heartbeat_interval / 2,
+                lost: self.timing.failed_after,
             },
             hears_workers: !self.hears_few_machines(now),
             now,
@@ -489,30 +502,38 @@
         let Some(job) = self.jobs.get(id) else {
             return (0, 0);
         };
-        let running = self.slots_of(id).into_iter().filter(|(machine, slot)| {
-            let machine = self.machines.get(machine);
-            let slot = machine.and_then(|machine| machine.slots.get(slot));
-            slot.is_some_and(|s| matches!(s.phase, Phase::Running | Phase::Flushing))
-        });
+        let running = self
+            .instances_of(id)
+            .into_iter()
+            .filter(|(machine, instance)| {
+                let machine = self.machines.get(machine);
+                let instance = machine.and_then(|machine| machine.instances.get(instance));
+                instance.is_some_and(|s| {
+                    matches!(
+                        s.phase,
+                        InstancePhase::Running | InstancePhase::Checkpointing
+                    )
+                })
+            });
         (job.done.len(), running.count() as u32)
     }
 }
 
 /// See [`Cluster::blocked`].
 fn blocked_by(
-    unsettled: &BTreeSet<MachineId>,
+    unreconciled: &BTreeSet<MachineId>,
     machines: &BTreeMap<MachineId, Machine>,
     job: &Job,
 ) -> bool {
-    if !job.inherited || unsettled.is_empty() {
+    if !job.inherited || unreconciled.is_empty() {
         return false;
     }
     match &job.sent {
-        Sent::Hosts(hosts) => hosts.iter().any(|host| unsettled.contains(host)),
-        Sent::Anywhere => unsettled.iter().any(|id| {
-            let machine = machines.get(id).filter(|machine| machine.kind.is_some());
+        Sent::Hosts(hosts) => hosts.iter().any(|host| unreconciled.contains(host)),
+        Sent::Anywhere => unreconciled.iter().any(|id| {
+            let machine = machines.get(id).filter(|machine| machine.pool.is_some());
             // Of a machine whose kind nobody told it may be.
-            machine.is_none_or(|m| job.spec.allows(&m.build, &m.zone, m.spot))
+            machine.is_none_or(|m| job.spec.allows(&m.machine_type, &m.zone, m.spot))
         }),
     }
 }
--- a/src/cluster/records.rs
+++ b/src/cluster/records.rs
@@ -6,13 +6,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-use super::machine::Durable;
+use super::machine::Persistence;
 use super::sent::{Entry, Page};
 use super::{Cluster, Job};
-use crate::model::{JobId, MachineId, Rank, Verdict};
-use crate::store::keys::{self, DoneRecord, JobRecord, RosterRecord};
+use crate::model::{JobId, MachineId, Priority, Verdict};
+use crate::store::keys::{self, DoneRecord, InventoryRecord, JobRecord};
 use crate::store::replica::{Replica, Versioned};
-use crate::store::{to_value, Change, Condition, Group, Outcome, Urgency};
+use crate::store::{to_value, Change, Condition, Transaction, TransactionOutcome, WritePriority};
 
 /// Time between two writes of a job's completed tasks while it has others: the machines keep the
 /// results until then, and a large array would otherwise write all of them with every round.
@@ -27,7 +27,7 @@
 
 /// The machines that may hold tasks, in shards that each fit a value.
 #[derive(Debug, Default)]
-pub struct Roster {
+pub struct MachineInventory {
     shards: BTreeMap<usize, BTreeSet<MachineId>>,
     capacity: usize,
     /// Shards that the records don't show as they are. Machines that are gone are struck off as
@@ -36,9 +36,9 @@
     writing: BTreeSet<usize>,
 }
 
-impl Roster {
+impl MachineInventory {
     /// From the records.
-    pub fn load(records: &BTreeMap<usize, Versioned<RosterRecord>>, value_kb: f64) -> Self {
+    pub fn load(records: &BTreeMap<usize, Versioned<InventoryRecord>>, value_kb: f64) -> Self {
         let shards = records
             .iter()
             .map(|(shard, record)| {
@@ -105,7 +105,7 @@
     /// A cancelled job's records go.
     Retired(JobId),
     /// A shard of the roster.
-    Roster(usize, Vec<MachineId>),
+    Inventory(usize, Vec<MachineId>),
 }
 
 /// A write the cluster state waits for.
@@ -114,16 +114,16 @@
     /// What it is for.
     pub kind: RecordKind,
     /// Conditions and changes; the leader's own condition is added by who sends it.
-    pub group: Group,
+    pub group: Transaction,
     /// What it may go before.
-    pub urgency: Urgency,
+    pub urgency: WritePriority,
 }
 
 /// The change by which a job's records go, but for its verdict.
 fn records_go(id: &JobId, job: &Job, verdict: Verdict) -> Vec<Change> {
     let record = JobRecord::bare(verdict, job.spec.tasks);
     let mut apply = vec![Change::put(keys::job(id), to_value(&record))];
-    if job.apart {
+    if job.has_own_key {
         apply.push(Change::delete(keys::live(id)));
     }
     let chunks = (0..job.done.chunks()).filter(|c| job.done.chunk_written(*c));
@@ -132,11 +132,11 @@
 }
 
 /// How soon starts of such jobs have to be sent.
-fn urgency_of(rank: Rank) -> Urgency {
-    if rank == Rank::BestEffort {
-        Urgency::Low
+fn urgency_of(priority: Priority) -> WritePriority {
+    if priority == Priority::BestEffort {
+        WritePriority::Low
     } else {
-        Urgency::High
+        WritePriority::High
     }
 }
 
@@ -149,35 +149,35 @@
     /// then undo a newer one.
     pub fn due_writes(&mut self, replica: &Replica, now: Instant) -> Vec<RecordWrite> {
         let mut writes = Vec::new();
-        let mut starts: BTreeMap<Urgency, Vec<Entry>> = BTreeMap::new();
+        let mut starts: BTreeMap<WritePriority, Vec<Entry>> = BTreeMap::new();
         for (id, job) in &mut self.jobs {
             if job.writing {
                 continue;
             }
-            let blocked = super::blocked_by(&self.unsettled, &self.machines, job);
-            let mut when = vec![Condition::new(keys::job(id), job.version)];
+            let blocked = super::blocked_by(&self.unreconciled, &self.machines, job);
+            let mut conditions = vec![Condition::new(keys::job(id), job.version)];
             let all_done = job.done.len() == job.spec.tasks;
             let rested = job
                 .progress_at
                 .is_none_or(|at| now.saturating_duration_since(at) >= PROGRESS_EVERY);
-            if job.called_off && job.verdict == Verdict::Accepted {
+            if job.cancellation_requested && job.verdict == Verdict::Accepted {
                 // The records say otherwise, and will be seen to in a moment.
                 continue;
             }
             let (kind, apply, urgency) = match job.verdict {
-                Verdict::Accepted if all_done && !job.placed() => (
+                Verdict::Accepted if all_done && !job.has_placements() => (
                     RecordKind::Finished(id.clone()),
                     records_go(id, job, Verdict::Done),
-                    Urgency::High,
+                    WritePriority::High,
                 ),
-                Verdict::Cancelled if !(job.placed() || blocked) => (
+                Verdict::Cancelled if !(job.has_placements() || blocked) => (
                     RecordKind::Retired(id.clone()),
                     records_go(id, job, Verdict::Cancelled),
-                    Urgency::Progress,
+                    WritePriority::Progress,
                 ),
                 Verdict::Accepted => {
                     if let Some(sent) = job.sent_due() {
-                        let due = starts.entry(urgency_of(job.spec.rank)).or_default();
+                        let due = starts.entry(urgency_of(job.spec.priority)).or_default();
                         due.push((id.clone(), sent));
                         continue;
                     }
@@ -190,41 +190,42 @@
                     let key = keys::done(id, chunk);
                     let own = self.versions.get(&key).copied().unwrap_or(0);
                     let version = own.max(replica.done_version(id, chunk));
-                    when.push(Condition::new(key.clone(), version));
+                    conditions.push(Condition::new(key.clone(), version));
                     let kind = RecordKind::Done(id.clone(), chunk, bits);
                     let apply = vec![Change::put(key, to_value(&record))];
-                    (kind, apply, Urgency::Progress)
+                    (kind, apply, WritePriority::Progress)
                 }
                 Verdict::Cancelled | Verdict::Done => continue,
             };
             job.writing = true;
-            let group = Group { when, apply };
             writes.push(RecordWrite {
                 kind,
-                group,
+                group: Transaction::new(conditions, apply),
                 urgency,
             });
         }
         self.due_lists(starts, &mut writes, now);
         for machine in self.machines.values_mut() {
-            if machine.reported.is_some() && machine.rostered == Durable::No {
-                machine.rostered = Durable::Writing;
-                self.roster.add(&machine.id);
+            if machine.last_heartbeat.is_some()
+                && machine.inventory_record == Persistence::NotWritten
+            {
+                machine.inventory_record = Persistence::Writing;
+                self.inventory.add(&machine.id);
             }
         }
-        for (shard, names) in self.roster.due() {
-            let record = RosterRecord {
+        for (shard, names) in self.inventory.due() {
+            let record = InventoryRecord {
                 machines: names.iter().map(|id| id.0.to_string()).collect(),
             };
-            let key = keys::roster(shard);
+            let key = keys::inventory(shard);
             let own = self.versions.get(&key).copied().unwrap_or(0);
-            let version = own.max(replica.roster_version(shard));
-            let when = vec![Condition::new(key.clone(), version)];
-            let apply = vec![Change::put(key, to_value(&record))];
+            let version = own.max(replica.inventory_version(shard));
+            let conditions = vec![Condition::new(key.clone(), version)];
+            let changes = vec![Change::put(key, to_value(&record))];
             writes.push(RecordWrite {
-                kind: RecordKind::Roster(shard, names),
-                group: Group { when, apply },
-                urgency: Urgency::High,
+                kind: RecordKind::Inventory(shard, names),
+                group: Transaction::new(conditions, changes),
+                urgency: WritePriority::High,
             });
         }
         writes
@@ -233,17 +234,14 @@
     /// Lists of the starts that are due, the urgent ones first, and one that nobody needs.
     fn due_lists(
         &mut self,
-        starts: BTreeMap<Urgency, Vec<Entry>>,
+        starts: BTreeMap<WritePriority, Vec<Entry>>,
         writes: &mut Vec<RecordWrite>,
         now: Instant,
     ) {
         let mut add = |page: Page, urgency| {
             writes.push(RecordWrite {
                 kind: RecordKind::Sent(page.key, page.entries),
-                group: Group {
-                    when: vec![page.when],
-                    apply: vec![page.change],
-                },
+                group: Transaction::new(vec![page.conditions], vec![page.change]),
                 urgency,
             });
         };
@@ -251,7 +249,7 @@
         let rested = self
             .listed_at
             .is_none_or(|at| now.saturating_duration_since(at) >= LOW_LISTS_EVERY);
-        let most = most.filter(|urgency| *urgency != Urgency::Low || rested);
+        let most = most.filter(|urgency| *urgency != WritePriority::Low || rested);
         if most.is_some() {
             self.listed_at = Some(now);
         }
@@ -271,19 +269,19 @@
         // A delete that waits for its turn must not keep a list from being written.
         if due.is_empty() && self.sent.at_rest() {
             if let Some(page) = self.sent.surplus() {
-                add(page, Urgency::Progress);
+                add(page, WritePriority::Progress);
             }
         }
     }
 
     /// Takes a write's outcome. Whatever is not known to be written is written again.
-    pub fn written(&mut self, kind: &RecordKind, outcome: &Outcome) {
+    pub fn written(&mut self, kind: &RecordKind, outcome: &TransactionOutcome) {
         let ok = outcome.committed();
         self.dirty = true;
-        if let Outcome::Committed(revision) = outcome {
+        if let TransactionOutcome::Committed(revision) = outcome {
             let key = match kind {
                 RecordKind::Done(id, chunk, _) => Some(keys::done(id, *chunk)),
-                RecordKind::Roster(shard, _) => Some(keys::roster(*shard)),
+                RecordKind::Inventory(shard, _) => Some(keys::inventory(*shard)),
                 _ => None,
             };
             if let Some(key) = key {
@@ -293,7 +291,7 @@
         match kind {
             RecordKind::Sent(key, entries) => {
                 let version = match outcome {
-                    Outcome::Committed(revision) => Some(*revision),
+                    TransactionOutcome::Committed(revision) => Some(*revision),
                     _ => None,
                 };
                 let jobs = entries.iter().map(|(id, _)| id.clone());
@@ -303,7 +301,7 @@
                     if let Some(job) = self.jobs.get_mut(id) {
                         job.writing = false;
                         if ok {
-                            job.started = Durable::Yes;
+                            job.started = Persistence::Written;
                             job.sent.add(sent.clone());
                             job.sent_writes += 1;
                         }
@@ -327,15 +325,15 @@
                     job.writing = false;
                 }
             }
-            RecordKind::Roster(shard, names) => {
-                self.roster.writing.remove(shard);
+            RecordKind::Inventory(shard, names) => {
+                self.inventory.writing.remove(shard);
                 if !ok {
-                    self.roster.dirty.insert(*shard);
+                    self.inventory.dirty.insert(*shard);
                 }
                 for id in names {
                     if let Some(machine) = self.machines.get_mut(id) {
                         if ok {
-                            machine.rostered = Durable::Yes;
+                            machine.inventory_record = Persistence::Written;
                         }
                     }
                 }
