--- a/src/cluster/sent.rs
+++ b/src/cluster/sent.rs
@@ -51,7 +51,7 @@
     /// What it is to say.
     pub entries: Vec<Entry>,
     /// The version that it replaces.
-    pub when: Condition,
+    pub conditions: Condition,
     /// The change.
     pub change: Change,
 }
@@ -172,7 +172,7 @@
         let version = self.lists.get(&key).map_or(0, |list| list.version);
         self.writing.insert(key.clone());
         Page {
-            when: Condition::new(key.clone(), version),
+            conditions: Condition::new(key.clone(), version),
             key,
             entries,
             change,
--- a/src/cluster/sent/tests.rs
+++ b/src/cluster/sent/tests.rs
@@ -23,7 +23,7 @@
     let mut due: Vec<Entry> = (0..40).map(entry).collect();
     let page = sent_lists.page(&mut due).unwrap();
     assert_eq!((page.entries.len(), due.len()), (40, 0), "one change");
-    assert_eq!(page.when.version, 0);
+    assert_eq!(page.conditions.version, 0);
     sent_lists.written(&page.key, ids(&page), Some(7));
     for (id, _) in (0..39).map(entry) {
         sent_lists.over(&id);
@@ -32,7 +32,7 @@
     assert_ne!(other.key, page.key, "one job of the first is not over");
     sent_lists.over(&entry(39).0);
     let again = sent_lists.page(&mut vec![entry(51)]).unwrap();
-    assert_eq!((&again.key, again.when.version), (&page.key, 7));
+    assert_eq!((&again.key, again.conditions.version), (&page.key, 7));
     assert!(!sent_lists.may_write(), "two are being written");
 }
 
--- a/src/cluster/sync.rs
+++ b/src/cluster/sync.rs
@@ -5,9 +5,9 @@
 use std::time::{Duration, Instant, SystemTime};
 
 use super::done::DoneSet;
-use super::{Cluster, Durable, Job, Listed, Machine, Sent};
-use crate::digest::GONE_MACHINES_KEPT;
-use crate::model::{JobId, MachineId, Offer, Verdict};
+use super::{Cluster, Job, Listed, Machine, Persistence, Sent};
+use crate::model::{JobId, MachineId, MachinePool, Verdict};
+use crate::state_summary::GONE_MACHINES_KEPT;
 use crate::store::keys;
 use crate::store::replica::Replica;
 use crate::time::{secs, unix_ms};
@@ -21,7 +21,7 @@
         replica: &Replica,
         now: Instant,
         wall: SystemTime,
-        taking_over: bool,
+        recovering: bool,
     ) {
         let Some(verdict) = replica.jobs.get(id) else {
             return;
@@ -37,7 +37,7 @@
             }
             // Our own retirement of the job: the records are gone, and so are its tasks. A node of
             // 0.3.0 that cancels lets the description go sooner.
-            let gone = !self.jobs.get(id).is_some_and(Job::placed);
+            let gone = !self.jobs.get(id).is_some_and(Job::has_placements);
             if gone && !replica.live.contains_key(id) && verdict.record.0 != Verdict::Accepted {
                 self.forget_job(id);
             }
@@ -69,7 +69,7 @@
         let spec = Arc::new(record.spec.clone());
         let image = self.images.id(&spec.image);
         self.changed.jobs.insert(id.clone());
-        if !taking_over {
+        if !recovering {
             self.arrivals.push((now, spec.clone()));
         }
         let job = Job {
@@ -79,25 +79,29 @@
             submitted_ms: record.submitted_ms,
             version: verdict.version,
             verdict: verdict.record.0,
-            called_off: false,
-            started: if started { Durable::Yes } else { Durable::No },
+            cancellation_requested: false,
+            started: if started {
+                Persistence::Written
+            } else {
+                Persistence::NotWritten
+            },
             inherited: started,
             sent,
             sent_writes: 0,
             done,
-            places: BTreeMap::new(),
+            placements: BTreeMap::new(),
             attempt: None,
-            begun: false,
+            seen_running: false,
             stopping: false,
             claim: None,
-            rests_until: None,
+            backoff_until: None,
             failed_on: BTreeSet::new(),
             suspicion: None,
             writing: false,
-            apart: live.apart,
+            has_own_key: live.has_own_key,
             progress_at: None,
             first_run: None,
-            waits_for: "its first round",
+            pending_reason: "its first round",
         };
         self.jobs.insert(id.clone(), job);
         self.dirty = true;
@@ -109,10 +113,10 @@
                 self.versions.remove(&keys::done(id, chunk));
             }
             self.sent.over(id);
-            for machine in self.machines.values_mut().filter(|m| m.orders_wanted()) {
-                machine.slots.retain(|slot, state| {
+            for machine in self.machines.values_mut().filter(|m| m.commands_pending()) {
+                machine.instances.retain(|instance, state| {
                     // What was never sent needs no memory; the rest stays until it is gone.
-                    slot.task.job != *id || state.sent()
+                    instance.task.job != *id || state.sent()
                 });
                 machine.recount();
             }
@@ -122,13 +126,13 @@
     /// The machine is gone for sure, and all that was on it.
     pub fn machine_gone(&mut self, id: &MachineId) {
         if let Some(machine) = self.machines.remove(id) {
-            for slot in machine.slots.keys() {
-                self.leave(id, slot);
+            for instance in machine.instances.keys() {
+                self.leave(id, instance);
             }
         }
         self.settled(id);
         self.changed.machines.insert(id.clone());
-        self.roster.remove(id);
+        self.inventory.remove(id);
         // Reports of it may still be on their way; they must not bring it back.
         self.departed.insert(id.clone());
         if self.departed.len() > GONE_MACHINES_KEPT {
@@ -138,7 +142,7 @@
     }
 
     /// Takes machines the cloud has given us.
-    pub fn hired(&mut self, names: &[String], offer: &Offer, now: Instant) {
+    pub fn machines_rented(&mut self, names: &[String], pool: &MachinePool, now: Instant) {
         for name in names {
             let id = MachineId(name.as_str().into());
             if self.departed.contains(&id) {
@@ -147,10 +151,10 @@
             let machine = self.machines.entry(id.clone());
             let machine = machine.or_insert_with(|| Machine::new(id, now));
             machine.known_to_cloud = true;
-            machine.build.clone_from(&offer.build);
-            machine.zone.clone_from(&offer.zone);
-            machine.spot = offer.spot;
-            machine.kind = Some(self.kinds.id(&offer.build, &offer.zone, offer.spot));
+            machine.machine_type.clone_from(&pool.machine_type);
+            machine.zone.clone_from(&pool.zone);
+            machine.spot = pool.spot;
+            machine.pool = Some(self.pools.id(&pool.machine_type, &pool.zone, pool.spot));
         }
     }
 
@@ -163,16 +167,16 @@
             }
             let machine = self.machines.entry(id.clone());
             let machine = machine.or_insert_with(|| Machine::new(id, now));
-            if machine.reported.is_none() {
-                machine.build.clone_from(&entry.build);
+            if machine.last_heartbeat.is_none() {
+                machine.machine_type.clone_from(&entry.machine_type);
                 machine.zone.clone_from(&entry.zone);
                 machine.spot = entry.spot;
-                machine.kind = Some(self.kinds.id(&entry.build, &entry.zone, entry.spot));
+                machine.pool = Some(self.pools.id(&entry.machine_type, &entry.zone, entry.spot));
                 if machine.address.is_empty() {
                     machine.address.clone_from(&entry.address);
                 }
                 let rented = now.checked_sub(secs(entry.age_s)).unwrap_or(now);
-                machine.rented = rented.min(machine.rented);
+                machine.rented_at = rented.min(machine.rented_at);
             }
             machine.known_to_cloud = true;
             let listed = match entry.status.as_str() {
--- a/src/config.rs
+++ b/src/config.rs
@@ -130,7 +130,7 @@
 
 /// What this process may use.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Resources {
+pub struct ProcessResources {
     /// Share of one core.
     pub cores: f64,
     /// Memory in MB.
@@ -163,7 +163,7 @@
     /// The cloud's limits.
     pub cloud: CloudSettings,
     /// This process's limits.
-    pub resources: Resources,
+    pub resources: ProcessResources,
 }
 
 /// The whole file.
--- a/src/demand.rs
+++ b/src/demand.rs
@@ -7,7 +7,7 @@
 
 /// Tasks for which there is no room.
 #[derive(Debug, Clone)]
-pub struct Short {
+pub struct UnmetDemand {
     /// The job.
     pub spec: Arc<JobSpec>,
     /// How many of its tasks.
--- a/src/features.rs
+++ b/src/features.rs
@@ -67,7 +67,7 @@
     pub damping: bool,
     /// Whether the connectivity matrix decides on hand-overs.
     pub leadership: bool,
-    /// Suspicion from which on a link is down.
+    /// SuspectedJob from which on a link is down.
     pub detector_phi: f64,
     /// Hand-overs of one controller within the window of the timing.
     pub handovers_max: usize,
--- a/src/fleet/client.rs
+++ b/src/fleet/client.rs
@@ -8,8 +8,8 @@
 use thiserror::Error;
 
 use crate::http::{OutgoingRequest, Remote};
-use crate::model::{Build, MachineId};
-use crate::wire::{self, Flavors, HireBody, MachineNames, MachinePage};
+use crate::model::{MachineId, MachineType};
+use crate::wire::{self, MachineNames, MachinePage, MachineTypeCatalog, RentalRequest};
 
 /// The cloud answers in a fraction of a second; beyond this it is taken not to.
 const ANSWER_LIMIT: Duration = Duration::from_secs(3);
@@ -75,20 +75,20 @@
     }
 
     /// The machine types.
-    pub async fn catalog(&self) -> Result<Vec<Build>, CloudError> {
+    pub async fn catalog(&self) -> Result<Vec<MachineType>, CloudError> {
         let body = self.call(Method::GET, "/flavors", None).await?;
-        Self::read::<Flavors>(&body).map(Flavors::builds)
+        Self::read::<MachineTypeCatalog>(&body).map(MachineTypeCatalog::machine_types)
     }
 
     /// Rents; the names of the machines.
-    pub async fn hire(&self, hire: &HireBody) -> Result<Vec<String>, CloudError> {
-        let body = wire::encode(hire);
+    pub async fn rent(&self, request: &RentalRequest) -> Result<Vec<String>, CloudError> {
+        let body = wire::encode(request);
         let body = self.call(Method::POST, "/machines", Some(body)).await?;
         Self::read::<MachineNames>(&body).map(|names| names.machines)
     }
 
     /// Returns; when this succeeds the machines and all on them are gone.
-    pub async fn give_back(&self, machines: &[MachineId]) -> Result<(), CloudError> {
+    pub async fn release(&self, machines: &[MachineId]) -> Result<(), CloudError> {
         let body = wire::encode(&MachineNames {
             machines: machines.iter().map(|id| id.0.to_string()).collect(),
         });
--- a/src/fleet/idle.rs
+++ b/src/fleet/idle.rs
@@ -5,9 +5,9 @@
 
 use super::lost::cut_off;
 use super::{FleetView, Market};
-use crate::cluster::{build_named, Cluster, Kind, KindId, Machine, ARRIVALS_KEPT};
-use crate::model::{Build, JobSpec, MachineId, Offer};
-use crate::policy::Policy;
+use crate::cluster::{find_machine_type, Cluster, Machine, PoolId, ARRIVALS_KEPT};
+use crate::model::{JobSpec, MachineId, MachinePool, MachineType};
+use crate::policy::SchedulingPolicy;
 
 /// Arrivals needed to say anything about the time between them.
 const ARRIVALS_MIN: usize = 5;
@@ -39,37 +39,37 @@
         ..
     } = *fleet_view;
     let mut idle = Vec::new();
-    let prompt_kinds = prompt_kinds(cluster, policy);
+    let prompt_pools = prompt_pools(cluster, policy);
     // What a new leader has not seen arrive may come yet.
     let young = now.saturating_duration_since(cluster.since) < ARRIVALS_KEPT;
     for machine in cluster.machines.values() {
-        let free = machine.reported.is_some()
+        let free = machine.last_heartbeat.is_some()
             && machine.fenced
-            && !machine.returning
+            && !machine.releasing
             && !machine.busy()
             && !kept.contains(&machine.id)
             && !leaving.contains(&machine.id);
         // One that is cut off had its work taken by its lease, not for want of any.
-        let silent = machine.silent(now, cluster.timing.quiet);
+        let silent = machine.silent(now, cluster.timing.suspect_after);
         if !free || (silent && cut_off(cluster, &machine.zone, now)) {
             continue;
         }
-        let Some(build) = build_named(cluster.catalog(), &machine.build) else {
+        let Some(machine_type) = find_machine_type(cluster.catalog(), &machine.machine_type) else {
             // A type the catalog does not have is of no use to anybody.
             idle.push((machine.id.clone(), "its type is unknown"));
             continue;
         };
         let since = now.saturating_duration_since(machine.idle_since);
-        let again = cheapest_again(build, machine, market, now);
-        let part = (again / build.price_of(machine.spot)).clamp(0.0, 1.0);
-        let keep_for = idle_time_limit(machine, build).mul_f64(part);
+        let again = cheapest_again(machine_type, machine, market, now);
+        let part = (again / machine_type.price_of(machine.spot)).clamp(0.0, 1.0);
+        let keep_for = idle_time_limit(machine, machine_type).mul_f64(part);
         let prompt = machine
-            .kind
-            .is_some_and(|kind| prompt_kinds.contains(&kind));
+            .pool
+            .is_some_and(|pool| prompt_pools.contains(&pool));
         let keep_for = keep_for.mul_f64(if prompt { PROMPT_KEEP } else { PATIENT_KEEP });
-        let kind = machine.kind.and_then(|kind| cluster.kinds.get(kind));
+        let pool = machine.pool.and_then(|pool| cluster.pools.get(pool));
         let keep_for =
-            keep_for.mul_f64(kind.map_or(0.0, |kind| demand.of_kind(kind, build, young)));
+            keep_for.mul_f64(pool.map_or(0.0, |pool| demand.of_pool(pool, machine_type, young)));
         if since > keep_for.mul_f64(idle_policy.idle_factor) {
             idle.push((machine.id.clone(), "it is idle"));
         }
@@ -111,9 +111,10 @@
     }
 
     /// For a kind of machine, by the classes that can use it.
-    fn of_kind(&self, kind: &Kind, build: &Build, young: bool) -> f64 {
+    fn of_pool(&self, pool: &MachinePool, machine_type: &MachineType, young: bool) -> f64 {
         let uses = self.0.values().filter(|(spec, _)| {
-            spec.allows(&kind.build, &kind.zone, kind.spot) && spec.need.fits(&build.room)
+            spec.allows(&pool.machine_type, &pool.zone, pool.spot)
+                && spec.task_resources.fits(&machine_type.room)
         });
         let most = uses
             .map(|(_, part)| *part)
@@ -124,38 +125,43 @@
     }
 }
 
-/// Kinds of machine that a class which starts promptly has lately asked for.
-fn prompt_kinds(cluster: &Cluster, policy: &Policy) -> HashSet<KindId> {
-    let mut kinds = HashSet::new();
-    for (id, kind) in cluster.kinds.iter() {
-        let Some(build) = build_named(cluster.catalog(), &kind.build) else {
+/// MachinePools of machine that a class which starts promptly has lately asked for.
+fn prompt_pools(cluster: &Cluster, policy: &SchedulingPolicy) -> HashSet<PoolId> {
+    let mut pools = HashSet::new();
+    for (id, pool) in cluster.pools.iter() {
+        let Some(machine_type) = find_machine_type(cluster.catalog(), &pool.machine_type) else {
             continue;
         };
         let asked = cluster.arrivals.iter().any(|(_, spec)| {
-            policy.hurries(&spec.class, build.boot)
-                && spec.allows(&kind.build, &kind.zone, kind.spot)
-                && spec.need.fits(&build.room)
+            policy.hurries(&spec.class, machine_type.boot)
+                && spec.allows(&pool.machine_type, &pool.zone, pool.spot)
+                && spec.task_resources.fits(&machine_type.room)
         });
         if asked {
-            kinds.insert(id);
+            pools.insert(id);
         }
     }
-    kinds
+    pools
 }
 
 /// The price at which such a machine could likely be had again. An ordinary machine is not
 /// worth keeping as long where a spot one would take its place.
-fn cheapest_again(build: &Build, machine: &Machine, market: &Market, now: Instant) -> f64 {
-    let own = build.price_of(machine.spot);
-    let zones = build.zones.iter();
-    let spot = zones.map(|zone| Offer {
-        build: build.name.clone(),
+fn cheapest_again(
+    machine_type: &MachineType,
+    machine: &Machine,
+    market: &Market,
+    now: Instant,
+) -> f64 {
+    let own = machine_type.price_of(machine.spot);
+    let zones = machine_type.zones.iter();
+    let spot = zones.map(|zone| MachinePool {
+        machine_type: machine_type.name.clone(),
         zone: zone.clone(),
         spot: true,
     });
-    let mut spot = spot.filter(|offer| market.likely(offer, now));
+    let mut spot = spot.filter(|pool| market.likely(pool, now));
     if spot.next().is_some() {
-        own.min(build.spot_price)
+        own.min(machine_type.spot_price)
     } else {
         own
     }
@@ -164,8 +170,8 @@
 /// How long a machine is worth keeping idle: the time a new one needs to boot and to fetch
 /// the images that this one has. Whoever waits at most that long never pays more than twice
 /// what knowing the future would have cost.
-fn idle_time_limit(machine: &Machine, build: &Build) -> Duration {
+fn idle_time_limit(machine: &Machine, machine_type: &MachineType) -> Duration {
     let images: f64 = machine.images.iter().map(|(_, gb)| gb).sum();
-    let fetch = images / build.fetch_rate.max(f64::MIN_POSITIVE);
-    build.boot + crate::time::secs(fetch)
+    let fetch = images / machine_type.fetch_rate.max(f64::MIN_POSITIVE);
+    machine_type.boot + crate::time::secs(fetch)
 }
--- a/src/fleet/listing/tests.rs
+++ b/src/fleet/listing/tests.rs
@@ -12,7 +12,7 @@
     let machines = (first..of.min(first + PAGE)).map(|number| ListedMachine {
         id: format!("m-{number:06}"),
         address: format!("10.1.{}.{}:9000", number / 250, number % 250),
-        build: "heavybid".to_owned(),
+        machine_type: "heavybid".to_owned(),
         zone: "karachi".to_owned(),
         spot: false,
         status: "running".to_owned(),
--- a/src/fleet/lost.rs
+++ b/src/fleet/lost.rs
@@ -3,7 +3,7 @@
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
 
-use crate::cluster::{build_named, Cluster, Drain, Durable, Listed, Machine};
+use crate::cluster::{find_machine_type, Cluster, DrainReason, Listed, Machine, Persistence};
 use crate::model::MachineId;
 
 /// Part of the fleet that must be heard from before silence of the rest is believed: when
@@ -32,7 +32,7 @@
 /// and show nothing of what it was told.
 fn mute(machine: &Machine, now: Instant, limit: Duration) -> bool {
     let met_long_ago = machine
-        .met
+        .first_heartbeat
         .is_some_and(|met| now.saturating_duration_since(met) > limit);
     machine.silent(now, limit)
         || machine.reachability.deaf(now, limit)
@@ -59,7 +59,7 @@
 /// How long a machine that reports at all may take to do so: its interval and a quarter, finding
 /// the new leader, and some time on the way.
 fn latest(cluster: &Cluster) -> Duration {
-    cluster.timing.report.mul_f64(LATEST_REPORT)
+    cluster.timing.heartbeat_interval.mul_f64(LATEST_REPORT)
 }
 
 /// Sees which zones are cut off, and whether hardly half of all machines is heard, and remembers
@@ -72,14 +72,15 @@
     // a zone that is cut off machine by machine before it sees that the zone is.
     let late = latest(cluster);
     let is_mute = |machine: &Machine| {
-        let vain = machine.in_vain >= VAIN_QUESTIONS && since_take_over > late / 2;
-        mute(machine, now, timing.quiet)
-            || (machine.reported.is_none() && (vain || since_take_over > late.min(timing.quiet)))
+        let vain = machine.unanswered_commands >= VAIN_QUESTIONS && since_take_over > late / 2;
+        mute(machine, now, timing.suspect_after)
+            || (machine.last_heartbeat.is_none()
+                && (vain || since_take_over > late.min(timing.suspect_after)))
     };
     let known = || {
         let machines = cluster.machines.values();
         let known = machines.filter(|machine| {
-            machine.reported.is_some() || cluster.unsettled.contains(&machine.id)
+            machine.last_heartbeat.is_some() || cluster.unreconciled.contains(&machine.id)
         });
         known.map(|machine| (machine, is_mute(machine)))
     };
@@ -108,29 +109,31 @@
     let since_take_over = now.saturating_duration_since(cluster.since);
     // Whether others wait for it or not: it was up in an earlier term.
     let waited_for = |machine: &Machine| {
-        cluster.unsettled.contains(&machine.id) || machine.rostered == Durable::Yes
+        cluster.unreconciled.contains(&machine.id)
+            || machine.inventory_record == Persistence::Written
     };
     let late = latest(cluster);
     let we_hear = !cluster.cut_lately(EVERYWHERE, now, late);
     let mut lost = Vec::new();
-    for machine in cluster.machines.values().filter(|m| !m.returning) {
+    for machine in cluster.machines.values().filter(|m| !m.releasing) {
         let id = machine.id.clone();
-        let age = now.saturating_duration_since(machine.rented);
-        let boot = build_named(cluster.catalog(), &machine.build).map(|build| build.boot);
+        let age = now.saturating_duration_since(machine.rented_at);
+        let boot = find_machine_type(cluster.catalog(), &machine.machine_type)
+            .map(|machine_type| machine_type.boot);
         let cut = cut_off(cluster, &machine.zone, now);
         let why = if machine.listed == Listed::Failed {
             Some("it failed")
-        } else if machine.reported.is_some() {
+        } else if machine.last_heartbeat.is_some() {
             // A zone that falls silent as a whole is more likely cut off than dead: its work
             // goes on for a lease, and its machines need not boot again. With nobody heard, it
             // is more likely us.
             let limit = if we_hear && !cut {
-                timing.lost
+                timing.failed_after
             } else {
-                timing.lost.max(timing.lease * CUT_LEASES)
+                timing.failed_after.max(timing.lease * CUT_LEASES)
             };
             let drained = machine.drain.is_some() && !machine.busy();
-            let by_operator = machine.drain == Some(Drain::Operator);
+            let by_operator = machine.drain == Some(DrainReason::Operator);
             if machine.silent(now, limit) {
                 Some("it is silent")
             } else if mute(machine, now, limit) {
@@ -144,11 +147,11 @@
             // It may hold tasks and hasn't been heard since we took over. Two questions in vain
             // and a report that should have come are enough where others are heard. In a zone
             // that is cut off, its work goes on, and it need not boot again, as above.
-            let alone = machine.in_vain >= VAIN_QUESTIONS || machine.zone.is_empty();
+            let alone = machine.unanswered_commands >= VAIN_QUESTIONS || machine.zone.is_empty();
             let limit = match (we_hear && !cut, alone) {
                 (true, true) => late,
-                (true, false) => timing.lost,
-                (false, _) => timing.lost.max(timing.lease * CUT_LEASES),
+                (true, false) => timing.failed_after,
+                (false, _) => timing.failed_after.max(timing.lease * CUT_LEASES),
             };
             (since_take_over > limit).then_some("it did not report")
         } else if machine.listed == Listed::Running {
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -11,9 +11,9 @@
 use std::time::{Duration, Instant};
 
 use crate::cluster::Cluster;
-use crate::demand::Short;
-use crate::model::{MachineId, Offer};
-use crate::policy::Policy;
+use crate::demand::UnmetDemand;
+use crate::model::{MachineId, MachinePool};
+use crate::policy::SchedulingPolicy;
 pub use lost::see_cuts;
 use planner::Planner;
 
@@ -30,7 +30,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Rent so many.
-    Rent(Offer, u32),
+    Rent(MachinePool, u32),
     /// Return these, with the reason.
     Return(Vec<MachineId>, &'static str),
 }
@@ -38,28 +38,26 @@
 /// What is known of the market: who had nothing to give, and until when not to ask again.
 #[derive(Debug, Default)]
 pub struct Market {
-    empty_until: HashMap<Offer, Instant>,
-    refused: HashMap<Offer, Instant>,
+    empty_until: HashMap<MachinePool, Instant>,
+    refused: HashMap<MachinePool, Instant>,
 }
 
 impl Market {
     /// The offer had nothing, or less than asked for.
-    pub fn exhausted(&mut self, offer: &Offer, now: Instant) {
+    pub fn exhausted(&mut self, pool: &MachinePool, now: Instant) {
         let until = now + NO_CAPACITY_RETRY_DELAY;
-        self.empty_until.insert(offer.clone(), until);
-        self.refused.insert(offer.clone(), now);
+        self.empty_until.insert(pool.clone(), until);
+        self.refused.insert(pool.clone(), now);
     }
 
     /// Whether it had something the last time, as far as is remembered.
-    fn likely(&self, offer: &Offer, now: Instant) -> bool {
-        let at = self.refused.get(offer);
+    fn likely(&self, pool: &MachinePool, now: Instant) -> bool {
+        let at = self.refused.get(pool);
         at.is_none_or(|at| now.saturating_duration_since(*at) > REFUSAL_REMEMBERED)
     }
 
-    fn asks(&self, offer: &Offer, now: Instant) -> bool {
-        self.empty_until
-            .get(offer)
-            .is_none_or(|until| now >= *until)
+    fn asks(&self, pool: &MachinePool, now: Instant) -> bool {
+        self.empty_until.get(pool).is_none_or(|until| now >= *until)
     }
 }
 
@@ -87,9 +85,9 @@
     /// The cluster state.
     pub cluster: &'a Cluster,
     /// What of the settings matters.
-    pub policy: &'a Policy,
+    pub policy: &'a SchedulingPolicy,
     /// What the last round was short of.
-    pub short: &'a [Short],
+    pub unmet_demand: &'a [UnmetDemand],
     /// What is known of the market.
     pub market: &'a Market,
     /// Operators' say.
@@ -103,7 +101,7 @@
     let FleetView {
         cluster,
         policy,
-        short,
+        unmet_demand,
         idle_policy,
         now,
         ..
@@ -117,7 +115,7 @@
     }
     let mut planner = Planner::new(fleet_view, &leaving);
     // Who has to start soon is not made to wait for others to finish.
-    let (prompt, patient): (Vec<&Short>, Vec<&Short>) = short
+    let (prompt, patient): (Vec<&UnmetDemand>, Vec<&UnmetDemand>) = unmet_demand
         .iter()
         .partition(|want| policy.hurries(&want.spec.class, planner.quickest_boot(&want.spec)));
     for want in prompt {
@@ -135,8 +133,8 @@
     for (id, why) in idle {
         by_reason.entry(why).or_default().push(id);
     }
-    for (offer, count) in rents {
-        actions.push(Action::Rent(offer, count));
+    for (pool, count) in rents {
+        actions.push(Action::Rent(pool, count));
     }
     for (why, ids) in by_reason {
         for chunk in ids.chunks(RETURN_SIZE_MAX) {
--- a/src/fleet/planner.rs
+++ b/src/fleet/planner.rs
@@ -7,11 +7,11 @@
 use super::lost::cut_off;
 use super::{FleetView, IdlePolicy, Market};
 use crate::capacity::price_cap;
-use crate::capacity::{Departures, Rooms};
-use crate::cluster::{Cluster, Kind, Machine};
-use crate::demand::Short;
-use crate::model::{Amount, Build, JobSpec, MachineId, Offer};
-use crate::policy::Policy;
+use crate::capacity::{CapacityIndex, ExpectedReleases};
+use crate::cluster::{Cluster, Machine};
+use crate::demand::UnmetDemand;
+use crate::model::{JobSpec, MachineId, MachinePool, MachineType, Resources};
+use crate::policy::SchedulingPolicy;
 
 /// A boot of this many times its nominal time no longer counts on as room to come.
 const LATE_BOOT: f64 = 1.8;
@@ -30,15 +30,15 @@
 
 /// What can be rented, with its price.
 struct RentalOption<'a> {
-    offer: Offer,
-    build: &'a Build,
+    pool: MachinePool,
+    machine_type: &'a MachineType,
     asked: bool,
 }
 
-/// Room that is there, or will be.
+/// MachineCapacity that is there, or will be.
 struct Vacancy<'a> {
     machine: Option<&'a Machine>,
-    free: Amount,
+    free: Resources,
     /// A task is on it still, and is expected to leave in so many seconds.
     rest_s: Option<f64>,
 }
@@ -70,14 +70,14 @@
             continue;
         };
         *all.entry(at).or_default() += 1;
-        let boots = machine.reported.is_none()
-            && !machine.returning
-            && !cluster.unsettled.contains(&machine.id);
+        let boots = machine.last_heartbeat.is_none()
+            && !machine.releasing
+            && !cluster.unreconciled.contains(&machine.id);
         if !boots {
             continue;
         }
-        let age = now.saturating_duration_since(machine.rented);
-        if age <= options[at].build.boot.mul_f64(LATE_BOOT) {
+        let age = now.saturating_duration_since(machine.rented_at);
+        if age <= options[at].machine_type.boot.mul_f64(LATE_BOOT) {
             coming.push((at, machine));
         } else {
             late.entry(at).or_default().push((age, machine));
@@ -96,10 +96,10 @@
 /// The plan of one decision about the fleet. Tasks of a job are put by the machine, not one by one.
 pub(super) struct Planner<'a> {
     cluster: &'a Cluster,
-    policy: &'a Policy,
+    policy: &'a SchedulingPolicy,
     now: Instant,
     options: Vec<RentalOption<'a>>,
-    /// Room by option.
+    /// MachineCapacity by option.
     vacancies: Vec<Vec<Vacancy<'a>>>,
     departing: Vec<(usize, Vacancy<'a>)>,
     rents: BTreeMap<usize, u32>,
@@ -114,18 +114,18 @@
     now: Instant,
 ) -> Vec<RentalOption<'a>> {
     let mut options = Vec::new();
-    for build in cluster.catalog().iter() {
-        for zone in &build.zones {
+    for machine_type in cluster.catalog().iter() {
+        for zone in &machine_type.zones {
             for spot in [true, false] {
-                let offer = Offer {
-                    build: build.name.clone(),
+                let pool = MachinePool {
+                    machine_type: machine_type.name.clone(),
                     zone: zone.clone(),
                     spot,
                 };
-                let asked = market.asks(&offer, now) && !cut_off(cluster, zone, now);
+                let asked = market.asks(&pool, now) && !cut_off(cluster, zone, now);
                 options.push(RentalOption {
-                    offer,
-                    build,
+                    pool,
+                    machine_type,
                     asked,
                 });
             }
@@ -136,21 +136,13 @@
 
 /// Where machines of each kind stand among the options.
 fn offers_by_kind(cluster: &Cluster, options: &[RentalOption]) -> Vec<Option<usize>> {
-    let of_kind = |kind: &Kind| {
-        options.iter().position(|option| {
-            let offer = &option.offer;
-            offer.build == kind.build && offer.zone == kind.zone && offer.spot == kind.spot
-        })
-    };
-    cluster
-        .kinds
-        .iter()
-        .map(|(_, kind)| of_kind(kind))
-        .collect()
+    let option_of = |pool: &MachinePool| options.iter().position(|option| option.pool == *pool);
+    let pools = cluster.pools.iter();
+    pools.map(|(_, pool)| option_of(pool)).collect()
 }
 
 impl<'a> Planner<'a> {
-    /// Room on machines that take tasks, and on machines that boot.
+    /// MachineCapacity on machines that take tasks, and on machines that boot.
     pub(super) fn new(fleet_view: &FleetView<'a>, leaving: &HashSet<MachineId>) -> Self {
         let FleetView {
             cluster,
@@ -162,12 +154,12 @@
         let options = rental_options(cluster, market, now);
         let offer_by_kind = offers_by_kind(cluster, &options);
         let offer_of = |machine: &Machine| {
-            let kind = machine.kind?;
-            offer_by_kind.get(usize::from(kind.0)).copied().flatten()
+            let pool = machine.pool?;
+            offer_by_kind.get(usize::from(pool.0)).copied().flatten()
         };
         let mut vacancies: Vec<Vec<Vacancy>> = options.iter().map(|_| Vec::new()).collect();
-        let rooms = Rooms::of(cluster, now);
-        let departures = Departures::of(&rooms, now);
+        let rooms = CapacityIndex::of(cluster, now);
+        let departures = ExpectedReleases::of(&rooms, now);
         let mut departing = Vec::new();
         for place in departures.places() {
             let room = &rooms.all[place.room];
@@ -196,7 +188,7 @@
         for (at, machine) in coming(cluster, leaving, &options, &offer_of, now) {
             vacancies[at].push(Vacancy {
                 machine: Some(machine),
-                free: options[at].build.room,
+                free: options[at].machine_type.room,
                 rest_s: None,
             });
         }
@@ -227,20 +219,21 @@
     }
 
     /// What to rent.
-    pub(super) fn rents(self) -> Vec<(Offer, u32)> {
+    pub(super) fn rents(self) -> Vec<(MachinePool, u32)> {
         let rents = self.rents.into_iter();
         rents
-            .map(|(at, count)| (self.options[at].offer.clone(), count))
+            .map(|(at, count)| (self.options[at].pool.clone(), count))
             .collect()
     }
 
     /// The shortest boot of what a job can use.
     pub(super) fn quickest_boot(&self, spec: &JobSpec) -> Duration {
         let usable = self.options.iter().filter(|option| {
-            let offer = &option.offer;
-            spec.allows(&offer.build, &offer.zone, offer.spot) && spec.need.fits(&option.build.room)
+            let pool = &option.pool;
+            spec.allows(&pool.machine_type, &pool.zone, pool.spot)
+                && spec.task_resources.fits(&option.machine_type.room)
         });
-        let boots = usable.map(|option| option.build.boot);
+        let boots = usable.map(|option| option.machine_type.boot);
         boots.min().unwrap_or(Duration::ZERO)
     }
 
@@ -249,12 +242,12 @@
         let options = self.options.iter().enumerate();
         options
             .filter(|(_, option)| {
-                let offer = &option.offer;
-                zone.is_none_or(|zone| zone == offer.zone)
-                    && spec.allows(&offer.build, &offer.zone, offer.spot)
-                    && !price_cap::too_dear(spec, option.build, self.cluster.catalog())
+                let pool = &option.pool;
+                zone.is_none_or(|zone| zone == pool.zone)
+                    && spec.allows(&pool.machine_type, &pool.zone, pool.spot)
+                    && !price_cap::too_dear(spec, option.machine_type, self.cluster.catalog())
             })
-            .map(|(at, option)| (at, spec.need.count_in(&option.build.room)))
+            .map(|(at, option)| (at, spec.task_resources.count_in(&option.machine_type.room)))
             .filter(|(_, each)| *each > 0)
             .collect()
     }
@@ -265,7 +258,7 @@
         let mut cheapest: Vec<_> = asked
             .map(|(at, each)| {
                 let option = &self.options[*at];
-                let price = option.build.price_of(option.offer.spot) / f64::from(*each);
+                let price = option.machine_type.price_of(option.pool.spot) / f64::from(*each);
                 (price, *at, *each)
             })
             .collect();
@@ -274,10 +267,10 @@
     }
 
     /// Puts tasks without room into vacancies, renting what is missing.
-    pub(super) fn place_want(&mut self, want: &Short) {
+    pub(super) fn place_want(&mut self, want: &UnmetDemand) {
         let spec = &want.spec;
         let mut zone = want.zone.clone();
-        if spec.one_zone && zone.is_none() {
+        if spec.single_zone && zone.is_none() {
             zone = self.cheapest_zone(want);
             if zone.is_none() {
                 return;
@@ -294,9 +287,9 @@
     }
 
     /// The zone in which the fewest machines have to be rented, then the cheapest.
-    fn cheapest_zone(&self, want: &Short) -> Option<String> {
+    fn cheapest_zone(&self, want: &UnmetDemand) -> Option<String> {
         let spec = &want.spec;
-        let mut zones: Vec<&String> = self.options.iter().map(|w| &w.offer.zone).collect();
+        let mut zones: Vec<&String> = self.options.iter().map(|w| &w.pool.zone).collect();
         zones.sort();
         zones.dedup();
         let mut best: Option<(u32, f64, String)> = None;
@@ -304,7 +297,7 @@
             let usable = self.usable(spec, Some(zone));
             let vacancies = usable.iter().flat_map(|(at, _)| &self.vacancies[*at]);
             let there: u32 = vacancies
-                .map(|vacancy| spec.need.count_in(&vacancy.free))
+                .map(|vacancy| spec.task_resources.count_in(&vacancy.free))
                 .sum();
             let missing = want.tasks.saturating_sub(there);
             let price = match self.cheapest(&usable).first() {
@@ -330,11 +323,8 @@
         let mut left = tasks;
         for (at, _) in &usable {
             let option = &self.options[*at];
-            let boot_s = option.build.boot.as_secs_f64();
-            let there = bounds
-                .per_zone
-                .entry(option.offer.zone.clone())
-                .or_default();
+            let boot_s = option.machine_type.boot.as_secs_f64();
+            let there = bounds.per_zone.entry(option.pool.zone.clone()).or_default();
             for vacancy in &mut self.vacancies[*at] {
                 // A place must come free sooner than a new machine would be up, or soon enough
                 // for the job to be in time.
@@ -342,7 +332,7 @@
                     .rest_s
                     .is_none_or(|rest| rest < bounds.patience_s.max(boot_s));
                 let room = spec
-                    .need
+                    .task_resources
                     .count_in(&vacancy.free)
                     .min(left)
                     .min(cap - *there);
@@ -351,7 +341,7 @@
                 }
                 // What leaves makes one place, whatever its size: estimates are not added up.
                 let room = if vacancy.rest_s.is_some() { 1 } else { room };
-                vacancy.free.sub(&spec.need.times(room));
+                vacancy.free.sub(&spec.task_resources.times(room));
                 *there += room;
                 left -= room;
                 self.kept
@@ -360,10 +350,7 @@
         }
         for (_, at, each) in self.cheapest(&usable) {
             let option = &self.options[at];
-            let there = bounds
-                .per_zone
-                .entry(option.offer.zone.clone())
-                .or_default();
+            let there = bounds.per_zone.entry(option.pool.zone.clone()).or_default();
             let mut here = left.min(cap - *there);
             if here == 0 {
                 continue;
@@ -373,8 +360,8 @@
             *self.rents.entry(at).or_default() += here.div_ceil(each);
             while here > 0 {
                 let on_it = here.min(each);
-                let mut free = option.build.room;
-                free.sub(&spec.need.times(on_it));
+                let mut free = option.machine_type.room;
+                free.sub(&spec.task_resources.times(on_it));
                 here -= on_it;
                 self.vacancies[at].push(Vacancy {
                     machine: None,
@@ -413,13 +400,13 @@
             let Some((_, first, _)) = cheapest.first() else {
                 continue;
             };
-            let boot = self.options[*first].build.boot;
+            let boot = self.options[*first].machine_type.boot;
             let expected = tasks / window.as_secs_f64() * boot.as_secs_f64();
             let spare = (expected + SPARE_DEVIATIONS * expected.sqrt()) * idle_policy.spare_factor;
             let spare = spare * demand.of_class(spec);
             let mut any = spec.clone();
-            any.one_zone = false;
-            any.spread = false;
+            any.single_zone = false;
+            any.zone_spread = false;
             any.zone = None;
             let mut bounds = Bounds {
                 zone: None,
--- a/src/forwarding/messages.rs
+++ b/src/forwarding/messages.rs
@@ -3,16 +3,16 @@
 use serde::{Deserialize, Serialize};
 
 use crate::model::Term;
-use crate::wire::{Order, Report, ReportAnswer, ReportedTask};
+use crate::wire::{Heartbeat, HeartbeatResponse, TaskStatus, WorkerCommand};
 
-/// Version of [`ReportBatch`] and [`BatchAnswer`].
+/// Version of [`HeartbeatBatch`] and [`BatchAnswer`].
 pub const BATCH_VERSION: u16 = 1;
 /// Largest body of a batch that is taken. Senders keep well below it, see
 /// [`super::forwarding::BATCH_BYTES_MAX`].
 pub const BATCH_BODY_LIMIT: usize = 1024 * 1024;
 /// Reports that arrived at a follower at about the same time.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct ReportBatch {
+pub struct HeartbeatBatch {
     /// [`BATCH_VERSION`]; first, so that it can be read whatever follows.
     pub version: u16,
     /// The follower.
@@ -22,73 +22,73 @@
     /// Time of day at the sending, in milliseconds since 1970.
     pub sent_at_ms: u64,
     /// The reports.
-    pub reports: Vec<ForwardedReport>,
+    pub heartbeats: Vec<ForwardedHeartbeat>,
 }
 
-/// A worker's report between nodes. [`Report`] itself takes numbers of any kind, which `bincode`
+/// A worker's report between nodes. [`Heartbeat`] itself takes numbers of any kind, which `bincode`
 /// cannot express.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct ForwardedReport {
+pub struct ForwardedHeartbeat {
     pub(crate) machine: String,
     pub(crate) address: String,
-    pub(crate) build: String,
+    pub(crate) machine_type: String,
     pub(crate) zone: String,
     pub(crate) spot: bool,
-    pub(crate) session: u64,
-    pub(crate) seq: u64,
+    pub(crate) epoch: u64,
+    pub(crate) sequence: u64,
     pub(crate) token: u64,
     pub(crate) notice_s: Option<f64>,
-    pub(crate) tasks: Vec<ReportedTask>,
+    pub(crate) tasks: Vec<TaskStatus>,
 }
 
-impl From<Report> for ForwardedReport {
-    fn from(report: Report) -> Self {
+impl From<Heartbeat> for ForwardedHeartbeat {
+    fn from(heartbeat: Heartbeat) -> Self {
         Self {
-            machine: report.machine,
-            address: report.address,
-            build: report.build,
-            zone: report.zone,
-            spot: report.spot,
-            session: report.session,
-            seq: report.seq,
-            token: report.token,
-            notice_s: report.notice_s,
-            tasks: report.tasks,
+            machine: heartbeat.machine,
+            address: heartbeat.address,
+            machine_type: heartbeat.machine_type,
+            zone: heartbeat.zone,
+            spot: heartbeat.spot,
+            epoch: heartbeat.epoch,
+            sequence: heartbeat.sequence,
+            token: heartbeat.token,
+            notice_s: heartbeat.notice_s,
+            tasks: heartbeat.tasks,
         }
     }
 }
 
-impl From<ForwardedReport> for Report {
-    fn from(report: ForwardedReport) -> Self {
+impl From<ForwardedHeartbeat> for Heartbeat {
+    fn from(heartbeat: ForwardedHeartbeat) -> Self {
         Self {
-            machine: report.machine,
-            address: report.address,
-            build: report.build,
-            zone: report.zone,
-            spot: report.spot,
-            session: report.session,
-            seq: report.seq,
-            token: report.token,
-            notice_s: report.notice_s,
-            tasks: report.tasks,
+            machine: heartbeat.machine,
+            address: heartbeat.address,
+            machine_type: heartbeat.machine_type,
+            zone: heartbeat.zone,
+            spot: heartbeat.spot,
+            epoch: heartbeat.epoch,
+            sequence: heartbeat.sequence,
+            token: heartbeat.token,
+            notice_s: heartbeat.notice_s,
+            tasks: heartbeat.tasks,
         }
     }
 }
 
-/// A command between nodes. [`Order`] itself is tagged by a field, which `bincode` cannot read.
+/// A command between nodes. [`WorkerCommand`] itself is tagged by a field, which `bincode` cannot read.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct ForwardedOrder {
+pub struct ForwardedCommand {
     /// What to do.
-    pub verb: ForwardedVerb,
+    pub verb: ForwardedAction,
     /// The task.
     pub task: String,
     /// The attempt.
     pub attempt: u64,
 }
 
-/// What a [`ForwardedOrder`] wants.
+/// What a [`ForwardedCommand`] wants.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub enum ForwardedVerb {
+pub enum ForwardedAction {
     /// Start the task.
     Run,
     /// Stop it.
@@ -100,16 +100,16 @@
     Clear,
 }
 
-impl From<Order> for ForwardedOrder {
-    fn from(order: Order) -> Self {
-        let (verb, task, attempt) = match order {
-            Order::Run { task, attempt } => (ForwardedVerb::Run, task, attempt),
-            Order::Kill {
+impl From<WorkerCommand> for ForwardedCommand {
+    fn from(command: WorkerCommand) -> Self {
+        let (verb, task, attempt) = match command {
+            WorkerCommand::Run { task, attempt } => (ForwardedAction::Run, task, attempt),
+            WorkerCommand::Kill {
                 task,
                 attempt,
                 grace_s,
-            } => (ForwardedVerb::Kill { grace_s }, task, attempt),
-            Order::Clear { task, attempt } => (ForwardedVerb::Clear, task, attempt),
+            } => (ForwardedAction::Kill { grace_s }, task, attempt),
+            WorkerCommand::Clear { task, attempt } => (ForwardedAction::Clear, task, attempt),
         };
         Self {
             verb,
@@ -119,17 +119,17 @@
     }
 }
 
-impl From<ForwardedOrder> for Order {
-    fn from(order: ForwardedOrder) -> Self {
-        let (task, attempt) = (order.task, order.attempt);
-        match order.verb {
-            ForwardedVerb::Run => Self::Run { task, attempt },
-            ForwardedVerb::Kill { grace_s } => Self::Kill {
+impl From<ForwardedCommand> for WorkerCommand {
+    fn from(command: ForwardedCommand) -> Self {
+        let (task, attempt) = (command.task, command.attempt);
+        match command.verb {
+            ForwardedAction::Run => Self::Run { task, attempt },
+            ForwardedAction::Kill { grace_s } => Self::Kill {
                 task,
                 attempt,
                 grace_s,
             },
-            ForwardedVerb::Clear => Self::Clear { task, attempt },
+            ForwardedAction::Clear => Self::Clear { task, attempt },
         }
     }
 }
@@ -142,7 +142,7 @@
         /// The token.
         token: u64,
         /// The orders.
-        orders: Vec<ForwardedOrder>,
+        commands: Vec<ForwardedCommand>,
     },
     /// The worker gets 503.
     Unavailable,
@@ -150,11 +150,11 @@
 
 impl ForwardedAnswer {
     /// The body of the 200, if it is one.
-    pub fn accepted(self) -> Option<ReportAnswer> {
+    pub fn accepted(self) -> Option<HeartbeatResponse> {
         match self {
-            Self::Accepted { token, orders } => Some(ReportAnswer {
+            Self::Accepted { token, commands } => Some(HeartbeatResponse {
                 token,
-                orders: orders.into_iter().map(Order::from).collect(),
+                commands: commands.into_iter().map(WorkerCommand::from).collect(),
             }),
             Self::Unavailable => None,
         }
--- a/src/forwarding/mod.rs
+++ b/src/forwarding/mod.rs
@@ -12,11 +12,11 @@
 
 use tokio::sync::oneshot;
 
-use self::messages::{ForwardedAnswer, ForwardedReport};
+use self::messages::{ForwardedAnswer, ForwardedHeartbeat};
 use crate::config::Settings;
-use crate::leader::KnownLeader;
-use crate::model::Token;
-use crate::wire::{Report, ReportAnswer, BODY_LIMIT};
+use crate::leader::LeaderHint;
+use crate::model::FencingToken;
+use crate::wire::{Heartbeat, HeartbeatResponse, BODY_LIMIT};
 
 /// A worker drops an answer 4 s after it sent the report. Nothing is passed on later than this
 /// after the report came in: the rest is for its way here and back.
@@ -26,7 +26,7 @@
 /// Batches under way at once: one that is answered late holds up only the next but one.
 pub const BATCHES_IN_FLIGHT: usize = 2;
 /// Reports in a batch.
-pub const BATCH_REPORTS_MAX: usize = 128;
+pub const BATCH_HEARTBEATS_MAX: usize = 128;
 /// Bytes of the workers' bodies in a batch. The largest single body always fits.
 pub const BATCH_BYTES_MAX: usize = 4 * BODY_LIMIT;
 /// Part of the memory that the bodies of waiting reports may take.
@@ -38,7 +38,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QueueLimits {
     /// Reports: each worker has one under way, on a public connection of its own.
-    pub reports: usize,
+    pub heartbeats: usize,
     /// Bytes of their bodies.
     pub bytes: usize,
 }
@@ -48,7 +48,7 @@
     pub fn new(public_connections: usize, mem_mb: f64) -> Self {
         let part = mem_mb * 1024.0 * 1024.0 * QUEUE_MEMORY_PART;
         Self {
-            reports: public_connections,
+            heartbeats: public_connections,
             bytes: (part as usize).max(QUEUED_BYTES_MIN),
         }
     }
@@ -125,23 +125,23 @@
 
 /// A report that waits for a batch or for its answer.
 #[derive(Debug)]
-pub struct QueuedReport {
+pub struct QueuedHeartbeat {
     /// The report.
-    pub report: ForwardedReport,
+    pub heartbeat: ForwardedHeartbeat,
     body_bytes: usize,
     received: Instant,
-    token: Token,
+    token: FencingToken,
     answer: oneshot::Sender<ForwardedAnswer>,
 }
 
-impl QueuedReport {
+impl QueuedHeartbeat {
     /// Hands the leader's answer to the worker's connection. If that is gone, nobody gets it.
     pub fn answer(self, answer: ForwardedAnswer) {
         let _ = self.answer.send(answer);
     }
 
     /// Whether the worker is still waiting, and would obey the leader of this term.
-    fn wanted(&self, leader: &KnownLeader, now: Instant) -> bool {
+    fn wanted(&self, leader: &LeaderHint, now: Instant) -> bool {
         let waited = now.saturating_duration_since(self.received);
         !self.answer.is_closed() && waited < ANSWER_LIMIT && self.token.term() <= leader.term
     }
@@ -149,7 +149,7 @@
 
 /// The worker's connection, waiting for what the leader decides.
 #[derive(Debug)]
-pub struct PendingReport {
+pub struct PendingHeartbeat {
     /// The worker.
     pub machine: String,
     /// When the report came.
@@ -160,10 +160,10 @@
     pub answer: oneshot::Receiver<ForwardedAnswer>,
 }
 
-impl PendingReport {
+impl PendingHeartbeat {
     /// The 200 to pass on, if it is one that the worker takes: in time, and under a token no
     /// lower than the highest that it has seen.
-    pub fn passed_on(&self, answer: ForwardedAnswer, now: Instant) -> Option<ReportAnswer> {
+    pub fn passed_on(&self, answer: ForwardedAnswer, now: Instant) -> Option<HeartbeatResponse> {
         let in_time = now.saturating_duration_since(self.received) < ANSWER_LIMIT;
         let answer = answer.accepted().filter(|_| in_time)?;
         (answer.token >= self.token).then_some(answer)
@@ -174,11 +174,11 @@
 #[derive(Debug)]
 pub struct Forwarding {
     limits: QueueLimits,
-    queue: VecDeque<QueuedReport>,
+    queue: VecDeque<QueuedHeartbeat>,
     queued_bytes: usize,
     in_flight: usize,
     /// The leader whose path failed last, how, and when.
-    failure: Option<(KnownLeader, PathFailure, Instant)>,
+    failure: Option<(LeaderHint, PathFailure, Instant)>,
 }
 
 impl Forwarding {
@@ -195,7 +195,7 @@
 
     /// What to do with a report for this leader. After a failure one batch tries the path again;
     /// until it is answered no further report waits for it.
-    pub fn route(&self, leader: &KnownLeader, now: Instant) -> Route {
+    pub fn route(&self, leader: &LeaderHint, now: Instant) -> Route {
         let Some((failed, failure, at)) = &self.failure else {
             return Route::Forward;
         };
@@ -216,27 +216,27 @@
     /// Queues a report whose body had so many bytes.
     pub fn enqueue(
         &mut self,
-        report: Report,
+        heartbeat: Heartbeat,
         body_bytes: usize,
         now: Instant,
-    ) -> Result<PendingReport, QueueFull> {
-        let full = self.queue.len() >= self.limits.reports
+    ) -> Result<PendingHeartbeat, QueueFull> {
+        let full = self.queue.len() >= self.limits.heartbeats
             || self.queued_bytes + body_bytes > self.limits.bytes;
         if full {
             return Err(QueueFull);
         }
         let (sender, receiver) = oneshot::channel();
-        let token = report.token;
-        let machine = report.machine.clone();
+        let token = heartbeat.token;
+        let machine = heartbeat.machine.clone();
         self.queued_bytes += body_bytes;
-        self.queue.push_back(QueuedReport {
-            report: report.into(),
+        self.queue.push_back(QueuedHeartbeat {
+            heartbeat: heartbeat.into(),
             body_bytes,
             received: now,
-            token: Token(token),
+            token: FencingToken(token),
             answer: sender,
         });
-        Ok(PendingReport {
+        Ok(PendingHeartbeat {
             machine,
             received: now,
             token,
@@ -246,7 +246,11 @@
 
     /// The next batch for this leader, counted as under way; reports that nobody waits for any
     /// more are left out. `None` if there is nothing to send, or enough under way.
-    pub fn next_batch(&mut self, leader: &KnownLeader, now: Instant) -> Option<Vec<QueuedReport>> {
+    pub fn next_batch(
+        &mut self,
+        leader: &LeaderHint,
+        now: Instant,
+    ) -> Option<Vec<QueuedHeartbeat>> {
         if self.in_flight >= BATCHES_IN_FLIGHT {
             return None;
         }
@@ -254,7 +258,7 @@
         let mut bytes = 0;
         while let Some(next) = self.queue.front() {
             let fits = batch.is_empty() || bytes + next.body_bytes <= BATCH_BYTES_MAX;
-            if batch.len() >= BATCH_REPORTS_MAX || !fits {
+            if batch.len() >= BATCH_HEARTBEATS_MAX || !fits {
                 break;
             }
             let Some(queued) = self.pop() else {
@@ -272,7 +276,7 @@
         Some(batch)
     }
 
-    fn pop(&mut self) -> Option<QueuedReport> {
+    fn pop(&mut self) -> Option<QueuedHeartbeat> {
         let queued = self.queue.pop_front()?;
         self.queued_bytes -= queued.body_bytes;
         Some(queued)
@@ -291,7 +295,7 @@
     }
 
     /// A batch to this leader was answered.
-    pub fn succeeded(&mut self, leader: &KnownLeader) {
+    pub fn succeeded(&mut self, leader: &LeaderHint) {
         self.in_flight = self.in_flight.saturating_sub(1);
         if self.failure.as_ref().is_some_and(|(l, ..)| l == leader) {
             self.failure = None;
@@ -300,7 +304,7 @@
 
     /// A batch to this leader was not answered. It is not repeated, since it may have been taken;
     /// what waits behind it is given up as well.
-    pub fn failed(&mut self, leader: &KnownLeader, failure: PathFailure, now: Instant) {
+    pub fn failed(&mut self, leader: &LeaderHint, failure: PathFailure, now: Instant) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.failure = Some((leader.clone(), failure, now));
         self.give_up_queued();
--- a/src/forwarding/tests.rs
+++ b/src/forwarding/tests.rs
@@ -3,22 +3,22 @@
 use super::*;
 use crate::model::Term;
 
-fn leader(term: u64) -> KnownLeader {
-    KnownLeader {
+fn leader(term: u64) -> LeaderHint {
+    LeaderHint {
         term: Term(term),
         member: "knot-1".to_owned(),
     }
 }
 
-fn report(seq: u64, token: Token) -> Report {
-    Report {
-        machine: format!("m-{seq:06}"),
+fn heartbeat(sequence: u64, token: FencingToken) -> Heartbeat {
+    Heartbeat {
+        machine: format!("m-{sequence:06}"),
         address: String::new(),
-        build: String::new(),
+        machine_type: String::new(),
         zone: String::new(),
         spot: false,
-        session: 1,
-        seq,
+        epoch: 1,
+        sequence,
         token: token.0,
         notice_s: None,
         tasks: Vec::new(),
@@ -28,13 +28,13 @@
 fn accepted(token: u64) -> ForwardedAnswer {
     ForwardedAnswer::Accepted {
         token,
-        orders: Vec::new(),
+        commands: Vec::new(),
     }
 }
 
 /// Of a node with 512 public connections and 136 MB.
 const LIMITS: QueueLimits = QueueLimits {
-    reports: 512,
+    heartbeats: 512,
     bytes: 17 * 128 * 1024,
 };
 
@@ -55,12 +55,12 @@
         self.start + Duration::from_millis(ms)
     }
 
-    fn queue(&mut self, seq: u64, ms: u64) -> PendingReport {
-        let (report, now) = (report(seq, Token(0)), self.at(ms));
-        self.forwarding.enqueue(report, 200, now).unwrap()
+    fn queue(&mut self, sequence: u64, ms: u64) -> PendingHeartbeat {
+        let (heartbeat, now) = (heartbeat(sequence, FencingToken(0)), self.at(ms));
+        self.forwarding.enqueue(heartbeat, 200, now).unwrap()
     }
 
-    fn batch(&mut self, term: u64, ms: u64) -> Option<Vec<QueuedReport>> {
+    fn batch(&mut self, term: u64, ms: u64) -> Option<Vec<QueuedHeartbeat>> {
         let now = self.at(ms);
         self.forwarding.next_batch(&leader(term), now)
     }
@@ -80,10 +80,10 @@
 fn batches_widen_while_two_are_under_way() {
     let mut follower = Follower::new();
     let mut pending = Vec::new();
-    for (seq, expected) in [(1, true), (2, true), (3, false), (4, false)] {
-        pending.push(follower.queue(seq, 0));
+    for (sequence, expected) in [(1, true), (2, true), (3, false), (4, false)] {
+        pending.push(follower.queue(sequence, 0));
         let batch = follower.batch(3, 0);
-        assert_eq!(batch.is_some(), expected, "report {seq}");
+        assert_eq!(batch.is_some(), expected, "report {sequence}");
         std::mem::forget(batch);
     }
     follower.forwarding.succeeded(&leader(3));
@@ -93,25 +93,26 @@
 #[test]
 fn batches_and_the_queue_are_bounded_and_a_full_queue_says_so() {
     let mut follower = Follower::new();
-    let pending: Vec<PendingReport> = (0..LIMITS.reports as u64)
-        .map(|seq| follower.queue(seq, 0))
+    let pending: Vec<PendingHeartbeat> = (0..LIMITS.heartbeats as u64)
+        .map(|sequence| follower.queue(sequence, 0))
         .collect();
     let now = follower.at(0);
     let one_more = follower
         .forwarding
-        .enqueue(report(9999, Token(0)), 200, now);
+        .enqueue(heartbeat(9999, FencingToken(0)), 200, now);
     assert_eq!(one_more.unwrap_err(), QueueFull);
-    assert_eq!(follower.batch(3, 0).unwrap().len(), BATCH_REPORTS_MAX);
-    assert_eq!(pending.len(), LIMITS.reports);
+    assert_eq!(follower.batch(3, 0).unwrap().len(), BATCH_HEARTBEATS_MAX);
+    assert_eq!(pending.len(), LIMITS.heartbeats);
 
     // The same by bytes, with the largest bodies that workers may send.
     let mut follower = Follower::new();
     let mut pending = Vec::new();
-    let refused = (0..1000).find(|seq| {
-        let queued = follower
-            .forwarding
-            .enqueue(report(*seq, Token(0)), BODY_LIMIT, now);
-        queued.map(|report| pending.push(report)).is_err()
+    let refused = (0..1000).find(|sequence| {
+        let queued =
+            follower
+                .forwarding
+                .enqueue(heartbeat(*sequence, FencingToken(0)), BODY_LIMIT, now);
+        queued.map(|heartbeat| pending.push(heartbeat)).is_err()
     });
     let taken = refused.unwrap() as usize * BODY_LIMIT;
     assert!(taken <= LIMITS.bytes && taken * 2 > LIMITS.bytes);
@@ -170,7 +171,7 @@
     let waits = follower.queue(1, 0);
     drop(follower.queue(2, 0));
     let now = follower.at(0);
-    let ahead = report(3, Token::first(Term(9)));
+    let ahead = heartbeat(3, FencingToken::first(Term(9)));
     let ahead = follower.forwarding.enqueue(ahead, 200, now).unwrap();
     let batch = follower.batch(4, 100).unwrap();
     assert_eq!(batch.len(), 1);
@@ -187,10 +188,10 @@
 #[test]
 fn no_answer_is_passed_on_late_or_under_a_token_below_the_worker_s() {
     let mut follower = Follower::new();
-    let seen = Token::first(Term(3)).0 + 5;
+    let seen = FencingToken::first(Term(3)).0 + 5;
     let now = follower.at(0);
-    let report = report(1, Token(seen));
-    let pending = follower.forwarding.enqueue(report, 200, now).unwrap();
+    let heartbeat = heartbeat(1, FencingToken(seen));
+    let pending = follower.forwarding.enqueue(heartbeat, 200, now).unwrap();
     let limit = ANSWER_LIMIT.as_millis() as u64;
     let passed_on = |token, ms| pending.passed_on(accepted(token), follower.at(ms));
     assert!(passed_on(seen, limit - 1).is_some());
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -1,7 +1,7 @@
 //! Election, term, and what this process may do at a given moment.
 //!
 //! Pure state: the leader actor feeds it what the state service and the other nodes said, the
-//! handlers ask [`Role::standing`].
+//! handlers ask [`ElectionState::role`].
 
 use std::time::{Duration, Instant};
 
@@ -23,14 +23,14 @@
 /// alone, and then everybody, gives every lease its full time again: an old leader then finds
 /// itself leading, with a replica as old as the refusal.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Freshness {
+pub struct ReplicaFreshness {
     /// When the newest read was sent whose answer was taken whole.
     complete_at: Option<Instant>,
     /// When a request last failed.
     doubted_at: Option<Instant>,
 }
 
-impl Freshness {
+impl ReplicaFreshness {
     /// A read that was sent then was answered, and all of the answer is in.
     pub fn proved(&mut self, sent: Instant) {
         self.complete_at = self.complete_at.max(Some(sent));
@@ -56,19 +56,19 @@
 
 /// What this process may do now.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Standing {
+pub enum Role {
     /// Everything.
-    Lead(Lead),
+    Leader(Leadership),
     /// Only keep the workers' leases alive and stop tasks: no starts. The lease is over as far as
     /// we can tell, and whoever may lead instead can't have asked for more than time allows.
     KeepAlive(Term),
     /// Nothing; that node may.
-    Follow(Option<KnownLeader>),
+    Follower(Option<LeaderHint>),
 }
 
 /// Another node that leads, as far as this one knows.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct KnownLeader {
+pub struct LeaderHint {
     /// Its term.
     pub term: Term,
     /// Its name.
@@ -77,7 +77,7 @@
 
 /// A term of our own.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Lead {
+pub struct Leadership {
     /// The term.
     pub term: Term,
     /// Version of the leader's key; every write of ours is conditional on it.
@@ -86,7 +86,7 @@
 
 /// Our lease in the state service.
 #[derive(Debug, Clone, Copy)]
-pub struct OwnLease {
+pub struct HeldLease {
     /// Its id.
     pub id: u64,
     /// When the last renewal that succeeded was sent.
@@ -95,26 +95,26 @@
 
 /// All that decides this process's standing.
 #[derive(Debug)]
-pub struct Role {
+pub struct ElectionState {
     me: String,
     lease_time: Duration,
     start_freshness: Duration,
     keep_alive: Duration,
     answering: Duration,
-    freshness: Freshness,
+    freshness: ReplicaFreshness,
     /// Since when our lease has been renewed without a gap.
     held_since: Option<Instant>,
     /// Our lease, if we hold or seek one.
-    pub lease: Option<OwnLease>,
-    lead: Option<Lead>,
+    pub lease: Option<HeldLease>,
+    leadership: Option<Leadership>,
     known: Option<LeaderRecord>,
     /// Newest leader that told us of itself.
-    heard: Option<KnownLeader>,
+    heard: Option<LeaderHint>,
     /// Gave up a lead that was of no use, and leaves it to others until then.
-    stands_back_until: Option<Instant>,
+    backoff_until: Option<Instant>,
 }
 
-impl Role {
+impl ElectionState {
     /// A follower of nobody.
     pub fn new(settings: &Settings) -> Self {
         Self {
@@ -123,65 +123,68 @@
             start_freshness: start_freshness(slowness(settings)),
             keep_alive: keep_alive_time(settings),
             answering: answering(settings),
-            freshness: Freshness::default(),
+            freshness: ReplicaFreshness::default(),
             held_since: None,
             lease: None,
-            lead: None,
+            leadership: None,
             known: None,
             heard: None,
-            stands_back_until: None,
+            backoff_until: None,
         }
     }
 
     /// What this process may do now.
-    pub fn standing(&self, now: Instant) -> Standing {
-        if let (Some(lead), Some(lease)) = (&self.lead, &self.lease) {
-            let newer = self.heard.as_ref().filter(|heard| heard.term > lead.term);
+    pub fn role(&self, now: Instant) -> Role {
+        if let (Some(leadership), Some(lease)) = (&self.leadership, &self.lease) {
+            let newer = self
+                .heard
+                .as_ref()
+                .filter(|heard| heard.term > leadership.term);
             let since = now.saturating_duration_since(lease.renewed);
             if let Some(newer) = newer {
-                return Standing::Follow(Some(newer.clone()));
+                return Role::Follower(Some(newer.clone()));
             }
             if !self.freshness.within(self.answering, now) {
-                return Standing::Follow(None);
+                return Role::Follower(None);
             }
             if since < self.lease_time - MARGIN {
-                return Standing::Lead(lead.clone());
+                return Role::Leader(leadership.clone());
             }
             if since < self.lease_time + self.keep_alive {
-                return Standing::KeepAlive(lead.term);
+                return Role::KeepAlive(leadership.term);
             }
-            return Standing::Follow(None);
+            return Role::Follower(None);
         }
-        let recorded = self.known.as_ref().map(|record| KnownLeader {
+        let recorded = self.known.as_ref().map(|record| LeaderHint {
             term: record.term,
             member: record.member.clone(),
         });
         let newest = recorded.into_iter().chain(self.heard.clone()).max();
-        Standing::Follow(newest.filter(|leader| leader.member != self.me))
+        Role::Follower(newest.filter(|leader| leader.member != self.me))
     }
 
     /// The lead, while it lasts.
-    pub fn leading(&self, now: Instant) -> Option<Lead> {
-        match self.standing(now) {
-            Standing::Lead(lead) => Some(lead),
+    pub fn leadership(&self, now: Instant) -> Option<Leadership> {
+        match self.role(now) {
+            Role::Leader(leadership) => Some(leadership),
             _ => None,
         }
     }
 
     /// The lead, if starts may be decided and sent under it.
-    pub fn starting(&self, now: Instant) -> Option<Lead> {
-        self.leading(now)
+    pub fn leadership_for_starts(&self, now: Instant) -> Option<Leadership> {
+        self.leadership(now)
             .filter(|_| self.freshness.allows_starts(self.start_freshness, now))
     }
 
     /// How complete the replica is.
-    pub fn freshness(&mut self) -> &mut Freshness {
+    pub fn freshness(&mut self) -> &mut ReplicaFreshness {
         &mut self.freshness
     }
 
     /// Whether a read is wanted at once: the lead lasts by its lease, and only the replica's age
     /// keeps it from being of use.
-    pub fn wants_proof(&self, now: Instant) -> bool {
+    pub fn requires_read(&self, now: Instant) -> bool {
         self.leading_by_lease(now) && !self.freshness.allows_starts(self.start_freshness, now)
     }
 
@@ -218,46 +221,48 @@
 
     fn leading_by_lease(&self, now: Instant) -> bool {
         let lasts = self.lease_time - MARGIN;
-        let held = |lease: &OwnLease| now.saturating_duration_since(lease.renewed) < lasts;
-        self.lead.is_some() && self.lease.as_ref().is_some_and(held)
+        let held = |lease: &HeldLease| now.saturating_duration_since(lease.renewed) < lasts;
+        self.leadership.is_some() && self.lease.as_ref().is_some_and(held)
     }
 
     /// The term of our lead, lasting or not.
     pub fn own_term(&self) -> Option<Term> {
-        self.lead.as_ref().map(|lead| lead.term)
+        self.leadership.as_ref().map(|leadership| leadership.term)
     }
 
     /// Takes the lead, once the records show it and the cluster state is made.
-    pub fn take(&mut self, lead: Lead) {
-        self.lead = Some(lead);
+    pub fn take(&mut self, leadership: Leadership) {
+        self.leadership = Some(leadership);
         self.held_since = None;
     }
 
     /// Leaves the lead to others for a while; they go first as long as there are any.
-    pub fn stand_back(&mut self, now: Instant) {
-        self.stands_back_until = Some(now + ELECTION_BACKOFF);
+    pub fn back_off(&mut self, now: Instant) {
+        self.backoff_until = Some(now + ELECTION_BACKOFF);
     }
 
     /// Whether it is left to others.
-    pub fn stands_back(&self, now: Instant) -> bool {
-        self.stands_back_until.is_some_and(|until| now < until)
+    pub fn in_backoff(&self, now: Instant) -> bool {
+        self.backoff_until.is_some_and(|until| now < until)
     }
 
     /// Gives the lead up, for good as far as this term goes.
-    pub fn drop_lead(&mut self) {
-        self.lead = None;
+    pub fn step_down(&mut self) {
+        self.leadership = None;
     }
 
     /// Takes what the records say of the leader. Whether we lost a lead by it.
     pub fn records_say(&mut self, record: Option<&LeaderRecord>) -> bool {
         self.known = record.cloned();
-        let still = match (&self.lead, record) {
-            (Some(lead), Some(record)) => record.member == self.me && record.term == lead.term,
+        let still = match (&self.leadership, record) {
+            (Some(leadership), Some(record)) => {
+                record.member == self.me && record.term == leadership.term
+            }
             (Some(_), None) => false,
             (None, _) => true,
         };
         if !still {
-            self.lead = None;
+            self.leadership = None;
         }
         !still
     }
@@ -266,7 +271,7 @@
     pub fn hears(&mut self, term: Term, member: &str) {
         if self.heard.as_ref().is_none_or(|newest| term >= newest.term) {
             let member = member.to_owned();
-            self.heard = Some(KnownLeader { term, member });
+            self.heard = Some(LeaderHint { term, member });
         }
     }
 
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -59,7 +59,7 @@
 
 /// Reports of workers that this node was asked to answer, and what became of them.
 #[derive(Debug, Default, Clone, PartialEq, Serialize)]
-pub struct ReportMetrics {
+pub struct HeartbeatMetrics {
     /// First requests of their connections.
     pub new_connection: u64,
     /// Later requests of their connections.
@@ -82,8 +82,8 @@
     pub taken_from_batches: u64,
 }
 
-impl ReportMetrics {
-    /// Counts an answer on a connection of which the report was the first request or not.
+impl HeartbeatMetrics {
+    /// EventCounts an answer on a connection of which the report was the first request or not.
     pub fn answered(&mut self, first_request: bool, status: u16) {
         if first_request {
             self.new_connection += 1;
@@ -114,7 +114,7 @@
 
 /// What this node, while it led, told the others.
 #[derive(Debug, Default, Clone, PartialEq, Serialize)]
-pub struct DigestMetrics {
+pub struct SummaryMetrics {
     /// Digests of changes sent, one for each peer.
     pub changes: u64,
     /// Digests of everything sent, one for each peer that lacked it.
@@ -123,9 +123,9 @@
     pub bytes: u64,
 }
 
-/// Counts of single things since the process started.
+/// EventCounts of single things since the process started.
 #[derive(Debug, Default, Clone, PartialEq, Serialize)]
-pub struct Counts {
+pub struct EventCounts {
     /// Submissions accepted here.
     pub accepted: u64,
     /// Submissions refused for the time being.
@@ -140,7 +140,7 @@
     pub rented: u64,
     /// Machines returned.
     pub returned: u64,
-    /// Direct commands sent to workers.
+    /// AddressedCommand commands sent to workers.
     pub direct_commands: u64,
     /// Records written by the leader, one for each transaction that it asked for.
     pub records_written: u64,
@@ -161,15 +161,15 @@
     /// Time this node took to answer a submission.
     pub submissions: Times,
     /// Time from a take-over until all machines were settled.
-    pub take_overs: Times,
-    /// Counts of single things.
-    pub counts: Counts,
+    pub failovers: Times,
+    /// EventCounts of single things.
+    pub counts: EventCounts,
     /// Reports of workers.
-    pub reports: ReportMetrics,
+    pub heartbeats: HeartbeatMetrics,
     /// Requests of users.
     pub requests: RequestMetrics,
     /// Digests.
-    pub digests: DigestMetrics,
+    pub summaries: SummaryMetrics,
 }
 
 impl Default for Metrics {
@@ -180,11 +180,11 @@
             rounds_total: Duration::ZERO,
             waits: Times::default(),
             submissions: Times::default(),
-            take_overs: Times::default(),
-            counts: Counts::default(),
-            reports: ReportMetrics::default(),
+            failovers: Times::default(),
+            counts: EventCounts::default(),
+            heartbeats: HeartbeatMetrics::default(),
             requests: RequestMetrics::default(),
-            digests: DigestMetrics::default(),
+            summaries: SummaryMetrics::default(),
         }
     }
 }
@@ -203,11 +203,11 @@
             waiting: self.waits.summary(),
             submission: self.submissions.summary(),
             rounds_part: self.rounds_part(now),
-            take_over: self.take_overs.summary(),
+            take_over: self.failovers.summary(),
             counts: self.counts.clone(),
-            reports: self.reports.clone(),
+            heartbeats: self.heartbeats.clone(),
             requests: self.requests.clone(),
-            digests: self.digests.clone(),
+            summaries: self.summaries.clone(),
             resident_bytes: None,
             links: None,
         }
@@ -237,16 +237,19 @@
     /// Part of the time since the start of the process that rounds took.
     pub rounds_part: f64,
     /// Time from a take-over until all machines were settled.
+    #[serde(rename = "take_over")]
     pub take_over: Summary,
-    /// Counts of single things.
+    /// EventCounts of single things.
     #[serde(flatten)]
-    pub counts: Counts,
+    pub counts: EventCounts,
     /// Reports of workers.
-    pub reports: ReportMetrics,
+    #[serde(rename = "reports")]
+    pub heartbeats: HeartbeatMetrics,
     /// Requests of users.
     pub requests: RequestMetrics,
     /// Digests.
-    pub digests: DigestMetrics,
+    #[serde(rename = "digests")]
+    pub summaries: SummaryMetrics,
     /// Resident memory, where the system tells it.
     pub resident_bytes: Option<u64>,
     /// Rows, gate and hand-overs, where links are turned on.
@@ -259,7 +262,7 @@
 /// Size of a page on the platforms that this runs on.
 const PAGE_BYTES: u64 = 4096;
 
-/// Counts of what hangs on the links.
+/// EventCounts of what hangs on the links.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct LinkMetrics {
     /// Rows of other controllers taken.
--- a/src/model.rs
+++ b/src/model.rs
@@ -113,9 +113,9 @@
 /// may raise the count for one machine, which makes the worker report at once; another term's
 /// tokens are all lower or all higher.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Token(pub u64);
+pub struct FencingToken(pub u64);
 
-impl Token {
+impl FencingToken {
     /// Bits of the count. A machine's token is raised a few times a minute at most.
     const COUNT_BITS: u32 = 20;
 
@@ -138,7 +138,7 @@
 
 /// How tasks of a job belong together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Shape {
+pub enum JobKind {
     /// Independent tasks, each a gang of one.
     Array,
     /// All at once or none.
@@ -149,7 +149,7 @@
 
 /// Priority, lowest first so that the derived order is the field's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Rank {
+pub enum Priority {
     /// `best_effort`
     BestEffort,
     /// `standard`
@@ -162,7 +162,7 @@
 
 /// An amount of a machine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Amount {
+pub struct Resources {
     /// Processors.
     pub cpus: f64,
     /// Graphics cards.
@@ -174,32 +174,32 @@
 /// Decimal amounts are summed and subtracted many times; differences below this are rounding.
 const ROUNDING: f64 = 1e-6;
 
-impl Amount {
+impl Resources {
     /// Whether this fits into `room`.
-    pub fn fits(&self, room: &Amount) -> bool {
+    pub fn fits(&self, room: &Resources) -> bool {
         self.cpus <= room.cpus + ROUNDING
             && self.gpus <= room.gpus + ROUNDING
             && self.memory <= room.memory + ROUNDING
     }
 
     /// Adds.
-    pub fn add(&mut self, other: &Amount) {
+    pub fn add(&mut self, other: &Resources) {
         self.cpus += other.cpus;
         self.gpus += other.gpus;
         self.memory += other.memory;
     }
 
     /// Takes away.
-    pub fn sub(&mut self, other: &Amount) {
+    pub fn sub(&mut self, other: &Resources) {
         self.cpus -= other.cpus;
         self.gpus -= other.gpus;
         self.memory -= other.memory;
     }
 
     /// The amount of `n` alike.
-    pub fn times(&self, n: u32) -> Amount {
+    pub fn times(&self, n: u32) -> Resources {
         let n = f64::from(n);
-        Amount {
+        Resources {
             cpus: self.cpus * n,
             gpus: self.gpus * n,
             memory: self.memory * n,
@@ -207,7 +207,7 @@
     }
 
     /// How many of this fit into `room`.
-    pub fn count_in(&self, room: &Amount) -> u32 {
+    pub fn count_in(&self, room: &Resources) -> u32 {
         let parts = [
             (self.cpus, room.cpus),
             (self.gpus, room.gpus),
@@ -232,21 +232,27 @@
     /// Whose guarantee and limit apply.
     pub team: String,
     /// Array or gang.
-    pub shape: Shape,
+    #[serde(rename = "shape")]
+    pub kind: JobKind,
     /// Priority.
-    pub rank: Rank,
+    #[serde(rename = "rank")]
+    pub priority: Priority,
     /// Number of tasks.
     pub tasks: u32,
     /// What each task takes.
-    pub need: Amount,
+    #[serde(rename = "need")]
+    pub task_resources: Resources,
     /// Machine types allowed; `None`: any.
-    pub builds: Option<Vec<String>>,
+    #[serde(rename = "builds")]
+    pub machine_types: Option<Vec<String>>,
     /// The only zone allowed.
     pub zone: Option<String>,
     /// All tasks in one zone.
-    pub one_zone: bool,
+    #[serde(rename = "one_zone")]
+    pub single_zone: bool,
     /// At most half, rounded up, in one zone.
-    pub spread: bool,
+    #[serde(rename = "spread")]
+    pub zone_spread: bool,
     /// May use spot machines.
     pub spot: bool,
     /// Image to be fetched first.
@@ -256,31 +262,34 @@
     /// The owner's estimate of a task's run time, in seconds.
     pub estimate_s: f64,
     /// Progress between two checkpoints; 0: never saves.
-    pub checkpoint_s: f64,
+    #[serde(rename = "checkpoint_s")]
+    pub checkpoint_interval_s: f64,
     /// Time to save when stopped.
-    pub save_s: f64,
+    #[serde(rename = "save_s")]
+    pub checkpoint_cost_s: f64,
     /// When it should be complete after its submission.
-    pub due_s: Option<f64>,
+    #[serde(rename = "due_s")]
+    pub deadline_s: Option<f64>,
 }
 
 impl JobSpec {
     /// The least number of members with which a gang runs.
     pub fn minimum(&self) -> u32 {
-        match self.shape {
-            Shape::Array | Shape::Service => 1,
-            Shape::Gang => self.tasks,
+        match self.kind {
+            JobKind::Array | JobKind::Service => 1,
+            JobKind::Gang => self.tasks,
         }
     }
 
     /// Whether a stopped task can keep its progress.
-    pub fn saves(&self) -> bool {
-        self.checkpoint_s > 0.0
+    pub fn can_checkpoint(&self) -> bool {
+        self.checkpoint_interval_s > 0.0
     }
 
     /// The grace a stop needs so that progress is saved.
     pub fn grace(&self) -> f64 {
         // One second on top, so that rounding on the way never makes it too little.
-        self.save_s + 1.0
+        self.checkpoint_cost_s + 1.0
     }
 
     /// The owner's estimate as a duration.
@@ -290,7 +299,7 @@
 
     /// Most tasks in one zone, where the job asks for spread.
     pub fn zone_cap(&self) -> u32 {
-        if self.spread {
+        if self.zone_spread {
             self.tasks.div_ceil(2)
         } else {
             self.tasks
@@ -298,23 +307,23 @@
     }
 
     /// Whether a machine of this type, zone and kind is allowed at all.
-    pub fn allows(&self, build: &str, zone: &str, spot: bool) -> bool {
+    pub fn allows(&self, machine_type: &str, zone: &str, spot: bool) -> bool {
         (self.spot || !spot)
             && self.zone.as_deref().is_none_or(|z| z == zone)
             && self
-                .builds
+                .machine_types
                 .as_ref()
-                .is_none_or(|builds| builds.iter().any(|b| b == build))
+                .is_none_or(|machine_types| machine_types.iter().any(|b| b == machine_type))
     }
 }
 
 /// A type of machine the cloud rents.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Build {
+pub struct MachineType {
     /// Its name.
     pub name: String,
     /// What an empty machine offers.
-    pub room: Amount,
+    pub room: Resources,
     /// Price an hour.
     pub price: f64,
     /// Price an hour as a spot machine, at present.
@@ -329,7 +338,7 @@
     pub zones: Vec<String>,
 }
 
-impl Build {
+impl MachineType {
     /// Price an hour of the ordinary or the spot kind.
     pub fn price_of(&self, spot: bool) -> f64 {
         if spot {
@@ -342,9 +351,9 @@
 
 /// A kind of machine that can be asked for.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Offer {
+pub struct MachinePool {
     /// Type.
-    pub build: String,
+    pub machine_type: String,
     /// Zone.
     pub zone: String,
     /// Spot or ordinary.
--- a/src/model/tests.rs
+++ b/src/model/tests.rs
@@ -5,13 +5,13 @@
 /// Terms must stay apart whatever the counts: a worker knows tokens only by their size.
 #[test]
 fn tokens_of_a_later_term_are_higher_than_all_of_an_earlier_one() {
-    let mut last = Token::first(Term(3));
+    let mut last = FencingToken::first(Term(3));
     for _ in 0..5 {
         last = last.raised().unwrap();
     }
     assert_eq!(last.term(), Term(3));
-    assert!(last > Token::first(Term(3)) && last < Token::first(Term(4)));
-    let end = Token(Token::first(Term(4)).0 - 1);
+    assert!(last > FencingToken::first(Term(3)) && last < FencingToken::first(Term(4)));
+    let end = FencingToken(FencingToken::first(Term(4)).0 - 1);
     assert_eq!(
         end.raised(),
         None,
--- a/src/peer/cancelled.rs
+++ b/src/peer/cancelled.rs
@@ -15,7 +15,7 @@
 /// Jobs whose cancellation is on record, told to the other nodes at once: one that the state
 /// service refuses alone, and that answers reports for a while yet, learns it no other way. It
 /// makes the end of their tasks sooner; that they end in time rests on
-/// [`crate::leader::Freshness`].
+/// [`crate::leader::ReplicaFreshness`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Cancelled {
     /// Who tells.
--- a/src/peer/reports.rs
+++ b/src/peer/heartbeats.rs
@@ -1,6 +1,6 @@
 //! Batches of workers' reports that a follower forwards to the leader.
 //!
-//! The leader decides each report as it decides a direct one, see [`crate::service::reports`].
+//! The leader decides each report as it decides a direct one, see [`crate::service::heartbeats`].
 //! A batch that was sent to another term, that is old, or that comes twice grants nothing: the
 //! first two are refused whole, and the reports of the third are no newer than those taken.
 
@@ -12,27 +12,27 @@
 use tracing::{debug, warn};
 
 use super::BINCODE;
-use crate::forwarding::messages::{BatchAnswer, ForwardedAnswer, ReportBatch, BATCH_VERSION};
-use crate::leader::Standing;
-use crate::service::reports::{decide, ReportDecision};
+use crate::forwarding::messages::{BatchAnswer, ForwardedAnswer, HeartbeatBatch, BATCH_VERSION};
+use crate::leader::Role;
+use crate::service::heartbeats::{decide, HeartbeatDecision};
 use crate::service::Shared;
 use crate::time::unix_ms;
-use crate::wire::Report;
+use crate::wire::Heartbeat;
 
 /// Path of forwarded reports.
-pub const REPORTS: &str = "/peer/reports";
+pub const HEARTBEATS: &str = "/peer/reports";
 /// A batch that was sent longer ago, by the time of day, is refused: no worker waits for its
 /// answers any more.
 pub const BATCH_AGE_MAX: Duration = Duration::from_secs(4);
 
-impl From<ReportDecision> for ForwardedAnswer {
-    fn from(decision: ReportDecision) -> Self {
+impl From<HeartbeatDecision> for ForwardedAnswer {
+    fn from(decision: HeartbeatDecision) -> Self {
         match decision {
-            ReportDecision::Accepted(answer) => Self::Accepted {
+            HeartbeatDecision::Accepted(answer) => Self::Accepted {
                 token: answer.token,
-                orders: answer.orders.into_iter().map(Into::into).collect(),
+                commands: answer.commands.into_iter().map(Into::into).collect(),
             },
-            ReportDecision::Unavailable(_) => Self::Unavailable,
+            HeartbeatDecision::Unavailable(_) => Self::Unavailable,
         }
     }
 }
@@ -72,7 +72,7 @@
     }
 }
 
-fn decode_batch(bytes: &[u8]) -> Result<ReportBatch, BatchError> {
+fn decode_batch(bytes: &[u8]) -> Result<HeartbeatBatch, BatchError> {
     let version = super::decode_prefix::<u16>(bytes).ok_or(BatchError::Malformed)?;
     if version != BATCH_VERSION {
         return Err(BatchError::UnknownVersion(version));
@@ -95,12 +95,12 @@
     check_term(shared, &batch, clock())?;
     {
         let mut metrics = shared.metrics.lock();
-        metrics.reports.batches_taken += 1;
-        metrics.reports.taken_from_batches += batch.reports.len() as u64;
+        metrics.heartbeats.batches_taken += 1;
+        metrics.heartbeats.taken_from_batches += batch.heartbeats.len() as u64;
     }
-    let answers = batch.reports.into_iter().map(|report| {
-        let report = Report::from(report);
-        ForwardedAnswer::from(decide(shared, &report, batch.term, clock))
+    let answers = batch.heartbeats.into_iter().map(|heartbeat| {
+        let heartbeat = Heartbeat::from(heartbeat);
+        ForwardedAnswer::from(decide(shared, &heartbeat, batch.term, clock))
     });
     Ok(BatchAnswer {
         version: BATCH_VERSION,
@@ -109,7 +109,7 @@
 }
 
 /// Both clocks may be off by the bound in the settings.
-fn check_age(shared: &Shared, batch: &ReportBatch, wall: SystemTime) -> Result<(), BatchError> {
+fn check_age(shared: &Shared, batch: &HeartbeatBatch, wall: SystemTime) -> Result<(), BatchError> {
     let age = unix_ms(wall).saturating_sub(batch.sent_at_ms);
     let off = shared.settings.params.clock_off_ms.max(0.0) * 2.0;
     let limit = BATCH_AGE_MAX.as_millis() as u64 + off as u64;
@@ -119,11 +119,11 @@
     Ok(())
 }
 
-fn check_term(shared: &Shared, batch: &ReportBatch, now: Instant) -> Result<(), BatchError> {
-    let own = match shared.role.lock().standing(now) {
-        Standing::Lead(lead) => Some(lead.term),
-        Standing::KeepAlive(term) => Some(term),
-        Standing::Follow(_) => None,
+fn check_term(shared: &Shared, batch: &HeartbeatBatch, now: Instant) -> Result<(), BatchError> {
+    let own = match shared.election.lock().role(now) {
+        Role::Leader(leadership) => Some(leadership.term),
+        Role::KeepAlive(term) => Some(term),
+        Role::Follower(_) => None,
     };
     if own != Some(batch.term) {
         return Err(BatchError::OtherTerm(batch.term.0));
@@ -131,8 +131,8 @@
     Ok(())
 }
 
-/// `POST /peer/reports`
-pub async fn reports(
+/// `POST /peer/heartbeats`
+pub async fn heartbeats(
     shared: web::Data<Shared>,
     body: Result<web::Bytes, actix_web::Error>,
 ) -> HttpResponse {
--- a/src/peer/reports/tests.rs
+++ b/src/peer/heartbeats/tests.rs
@@ -3,11 +3,11 @@
 use super::*;
 use crate::cluster::Cluster;
 use crate::config::Settings;
-use crate::forwarding::messages::ForwardedReport;
-use crate::leader::{Lead, OwnLease};
-use crate::model::{Term, Token};
+use crate::forwarding::messages::ForwardedHeartbeat;
+use crate::leader::{HeldLease, Leadership};
+use crate::model::{FencingToken, Term};
 use crate::peer::{decode, encode};
-use crate::wire::{Order, ReportAnswer, ReportedTask, TaskPhase};
+use crate::wire::{HeartbeatResponse, TaskPhase, TaskStatus, WorkerCommand};
 use std::sync::Arc;
 
 const NOW_MS: u64 = 1_800_000_000_000;
@@ -22,7 +22,7 @@
     let text = include_str!("../../../deploy/example.toml").replace("[external]", peer);
     let shared = Shared::new(Settings::parse(&text, "a test").unwrap());
     let term = Term(3);
-    let cluster = Cluster::take_over(
+    let cluster = Cluster::recover(
         term,
         &shared.settings,
         &shared.replica.lock(),
@@ -31,29 +31,29 @@
         wall(NOW_MS),
     );
     *shared.cluster.lock() = Some(cluster);
-    let mut role = shared.role.lock();
-    role.lease = Some(OwnLease {
+    let mut election = shared.election.lock();
+    election.lease = Some(HeldLease {
         id: 7,
         renewed: start,
     });
-    role.take(Lead { term, version: 1 });
-    role.freshness().proved(start);
-    drop(role);
+    election.take(Leadership { term, version: 1 });
+    election.freshness().proved(start);
+    drop(election);
     shared
 }
 
-fn report(seq: u64) -> ForwardedReport {
-    ForwardedReport {
+fn heartbeat(sequence: u64) -> ForwardedHeartbeat {
+    ForwardedHeartbeat {
         machine: "m-000001".to_owned(),
         address: "127.0.0.1:9".to_owned(),
-        build: "g8".to_owned(),
+        machine_type: "g8".to_owned(),
         zone: "north".to_owned(),
         spot: false,
-        session: 1,
-        seq,
+        epoch: 1,
+        sequence,
         token: 0,
         notice_s: Some(12.5),
-        tasks: vec![ReportedTask {
+        tasks: vec![TaskStatus {
             task: "wk-000001/3".to_owned(),
             attempt: 7,
             phase: TaskPhase::Running,
@@ -63,41 +63,48 @@
     }
 }
 
-fn batch(term: u64, sent_at_ms: u64, reports: Vec<ForwardedReport>) -> ReportBatch {
-    ReportBatch {
+fn batch(term: u64, sent_at_ms: u64, heartbeats: Vec<ForwardedHeartbeat>) -> HeartbeatBatch {
+    HeartbeatBatch {
         version: BATCH_VERSION,
         member: "knot-1".to_owned(),
         term: Term(term),
         sent_at_ms,
-        reports,
+        heartbeats,
     }
 }
 
-fn answer(shared: &Shared, batch: &ReportBatch, now: Instant) -> Result<BatchAnswer, BatchError> {
+fn answer(
+    shared: &Shared,
+    batch: &HeartbeatBatch,
+    now: Instant,
+) -> Result<BatchAnswer, BatchError> {
     answer_batch(shared, &encode(batch).unwrap(), &|| now, wall(NOW_MS))
 }
 
 #[test]
 fn a_batch_and_its_answer_arrive_as_they_were_sent() {
-    let sent = batch(3, NOW_MS, vec![report(1), report(2)]);
+    let sent = batch(3, NOW_MS, vec![heartbeat(1), heartbeat(2)]);
     assert_eq!(decode_batch(&encode(&sent).unwrap()), Ok(sent));
-    let orders = vec![
-        Order::Run {
+    let commands = vec![
+        WorkerCommand::Run {
             task: "wk-000001/3".to_owned(),
             attempt: 7,
         },
-        Order::Kill {
+        WorkerCommand::Kill {
             task: "wk-000001/4".to_owned(),
             attempt: 8,
             grace_s: 2.5,
         },
-        Order::Clear {
+        WorkerCommand::Clear {
             task: "wk-000001/5".to_owned(),
             attempt: 9,
         },
     ];
-    let decided = ReportAnswer { token: 41, orders };
-    let forwarded = ForwardedAnswer::from(ReportDecision::Accepted(decided.clone()));
+    let decided = HeartbeatResponse {
+        token: 41,
+        commands,
+    };
+    let forwarded = ForwardedAnswer::from(HeartbeatDecision::Accepted(decided.clone()));
     let bytes = encode(&forwarded).unwrap();
     let arrived: ForwardedAnswer = decode(&bytes).unwrap();
     assert_eq!(arrived.accepted(), Some(decided));
@@ -110,7 +117,7 @@
     let now = Instant::now();
     let shared = leader(now);
     let refused = |bytes: &[u8]| answer_batch(&shared, bytes, &|| now, wall(NOW_MS)).unwrap_err();
-    let good = batch(3, NOW_MS, vec![report(1)]);
+    let good = batch(3, NOW_MS, vec![heartbeat(1)]);
     let bytes = encode(&good).unwrap();
     for cut in [0, 1, 5, bytes.len() - 1] {
         assert_eq!(refused(&bytes[..cut]), BatchError::Malformed, "{cut} bytes");
@@ -145,16 +152,16 @@
     let now = Instant::now();
     let shared = leader(now);
     for term in [2, 4] {
-        let error = answer(&shared, &batch(term, NOW_MS, vec![report(1)]), now).unwrap_err();
+        let error = answer(&shared, &batch(term, NOW_MS, vec![heartbeat(1)]), now).unwrap_err();
         assert_eq!(error, BatchError::OtherTerm(term));
         assert_eq!(error.status(), StatusCode::CONFLICT);
     }
     let age = BATCH_AGE_MAX.as_millis() as u64;
-    let held = batch(3, NOW_MS - age - 1000, vec![report(1)]);
+    let held = batch(3, NOW_MS - age - 1000, vec![heartbeat(1)]);
     let error = answer(&shared, &held, now).unwrap_err();
     assert_eq!(error, BatchError::Stale(age + 1000));
     assert!(shared.cluster.lock().as_ref().unwrap().machines.is_empty());
-    let recent = batch(3, NOW_MS - 1000, vec![report(1)]);
+    let recent = batch(3, NOW_MS - 1000, vec![heartbeat(1)]);
     assert!(answer(&shared, &recent, now).is_ok());
 }
 
@@ -165,8 +172,8 @@
     let start = Instant::now();
     let shared = leader(start);
     let at = |s: u64| start + Duration::from_secs(s);
-    let answers = answer(&shared, &batch(3, NOW_MS, vec![report(1)]), at(1)).unwrap();
-    let token = Token::first(Term(3)).0;
+    let answers = answer(&shared, &batch(3, NOW_MS, vec![heartbeat(1)]), at(1)).unwrap();
+    let token = FencingToken::first(Term(3)).0;
     let accepted = answers.answers[0].clone().accepted().unwrap();
     assert_eq!(accepted.token, token);
     let answered = |shared: &Shared| {
@@ -181,7 +188,7 @@
         looks.set(looks.get() + 1);
         at(if looks.get() == 1 { 1 } else { 60 })
     };
-    let bytes = encode(&batch(3, NOW_MS, vec![report(2)])).unwrap();
+    let bytes = encode(&batch(3, NOW_MS, vec![heartbeat(2)])).unwrap();
     let late = answer_batch(&shared, &bytes, &clock, wall(NOW_MS)).unwrap();
     assert_eq!(late.answers, [ForwardedAnswer::Unavailable]);
     assert_eq!(answered(&shared), Some(at(1)), "no lease was renewed");
@@ -193,11 +200,11 @@
     let now = Instant::now();
     let shared = leader(now);
     // A task of a job that is not known is killed, in the answer to a newer report only.
-    let mut first = report(1);
-    first.token = Token::first(Term(3)).0;
+    let mut first = heartbeat(1);
+    first.token = FencingToken::first(Term(3)).0;
     let twice = batch(3, NOW_MS, vec![first]);
-    let orders = |answer: BatchAnswer| answer.answers[0].clone().accepted().unwrap().orders;
-    let before = orders(answer(&shared, &twice, now).unwrap());
+    let commands = |answer: BatchAnswer| answer.answers[0].clone().accepted().unwrap().commands;
+    let before = commands(answer(&shared, &twice, now).unwrap());
     assert_eq!(before.len(), 1, "{before:?}");
-    assert!(orders(answer(&shared, &twice, now).unwrap()).is_empty());
+    assert!(commands(answer(&shared, &twice, now).unwrap()).is_empty());
 }
--- a/src/peer/links.rs
+++ b/src/peer/links.rs
@@ -46,7 +46,7 @@
             StatusCode::BAD_REQUEST
         }
         RowRejection::UnknownMember => StatusCode::FORBIDDEN,
-        RowRejection::FormerLife | RowRejection::NotNewer | RowRejection::TooOld => {
+        RowRejection::FormerIncarnation | RowRejection::NotNewer | RowRejection::TooOld => {
             StatusCode::CONFLICT
         }
     }
--- a/src/peer/links/tests.rs
+++ b/src/peer/links/tests.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use knotlanding_links::row::{LinkReport, ROW_BYTES_MAX};
+use knotlanding_links::row::{LinkStatus, ROW_BYTES_MAX};
 use knotlanding_links::workers::WorkerSet;
 
 use super::*;
@@ -32,12 +32,12 @@
     RowMessage {
         version: ROW_VERSION,
         member: "knot-1".to_owned(),
-        life: 5,
+        incarnation: 5,
         sequence,
         sent_at_ms: unix_ms(wall()),
         leads_term: None,
-        store_read: LinkReport::UNKNOWN,
-        store_write: LinkReport::UNKNOWN,
+        store_read: LinkStatus::UNKNOWN,
+        store_write: LinkStatus::UNKNOWN,
         peers: Vec::new(),
         workers_heard: nobody.clone(),
         workers_reached: nobody,
@@ -58,7 +58,12 @@
     let shared = shared();
     let active = shared.links.active().unwrap();
     let good = encode(&message(2)).unwrap();
-    assert_eq!(take(&shared, &good), Ok(RowReply { newest_life: 5 }));
+    assert_eq!(
+        take(&shared, &good),
+        Ok(RowReply {
+            newest_incarnation: 5
+        })
+    );
     assert_eq!(take(&shared, &good), Err(RowRejection::NotNewer));
     let earlier = encode(&message(1)).unwrap();
     assert_eq!(take(&shared, &earlier), Err(RowRejection::NotNewer));
@@ -100,19 +105,24 @@
     let active = shared.links.active().unwrap();
     take(&shared, &encode(&message(2)).unwrap()).unwrap();
     let mut reborn = message(1);
-    reborn.life = 3;
+    reborn.incarnation = 3;
     let reply = take(&shared, &encode(&reborn).unwrap()).unwrap();
-    assert_eq!(reply.newest_life, 5, "refused, and told why");
+    assert_eq!(reply.newest_incarnation, 5, "refused, and told why");
     let now = Instant::now();
-    let life = active.next_row(None, now, wall()).message.life;
-    active.row_answered(RowReply { newest_life: life });
+    let incarnation = active.next_row(None, now, wall()).message.incarnation;
+    active.row_answered(RowReply {
+        newest_incarnation: incarnation,
+    });
     assert_eq!(
-        active.next_row(None, now, wall()).message.life,
-        life,
+        active.next_row(None, now, wall()).message.incarnation,
+        incarnation,
         "its own"
     );
     active.row_answered(RowReply {
-        newest_life: life + 7,
+        newest_incarnation: incarnation + 7,
     });
-    assert_eq!(active.next_row(None, now, wall()).message.life, life + 8);
+    assert_eq!(
+        active.next_row(None, now, wall()).message.incarnation,
+        incarnation + 8
+    );
 }
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -1,15 +1,15 @@
 //! What the nodes tell each other, as `bincode` over HTTP on `peer_bind`. Operators reach
 //! [`crate::api::admin`] on the same address.
 //!
-//! [`digest`] is what the leader tells the others once a second, [`cancelled`] what users called
-//! off, [`contact`] whether a node has the state service, [`reports`] and [`crate::forwarding`] how
+//! [`summary`] is what the leader tells the others once a second, [`cancelled`] what users called
+//! off, [`contact`] whether a node has the state service, [`heartbeats`] and [`crate::forwarding`] how
 //! workers' reports get from a follower to the leader, [`links`] how well the nodes are connected.
 
 pub mod cancelled;
 pub mod contact;
-pub mod digest;
+pub mod heartbeats;
 pub mod links;
-pub mod reports;
+pub mod summary;
 
 use actix_web::web;
 use knotlanding_links::row::ROW_BYTES_MAX;
@@ -21,7 +21,7 @@
 /// Most memory that a decoded message may take. `bincode` counts a list by the size of its items in
 /// memory, which is several times that of the message: with the limit of the body itself, a digest of
 /// 4,000 machines arrived whole and could not be decoded.
-const MESSAGE_LIMIT: usize = 8 * crate::digest::DIGEST_LIMIT;
+const MESSAGE_LIMIT: usize = 8 * crate::state_summary::SUMMARY_BYTES_MAX;
 
 /// Encodes for a peer.
 pub fn encode<T: Serialize>(value: &T) -> Option<Vec<u8>> {
@@ -48,9 +48,11 @@
 pub fn routes(config: &mut web::ServiceConfig) {
     config
         .service(
-            web::resource(digest::DIGEST)
-                .app_data(web::PayloadConfig::new(crate::digest::DIGEST_LIMIT))
-                .route(web::post().to(digest::take_digest)),
+            web::resource(summary::SUMMARY)
+                .app_data(web::PayloadConfig::new(
+                    crate::state_summary::SUMMARY_BYTES_MAX,
+                ))
+                .route(web::post().to(summary::take_summary)),
         )
         .service(
             web::resource(cancelled::CANCELLED)
@@ -58,11 +60,11 @@
                 .route(web::post().to(cancelled::take_cancelled)),
         )
         .service(
-            web::resource(reports::REPORTS)
+            web::resource(heartbeats::HEARTBEATS)
                 .app_data(web::PayloadConfig::new(
                     crate::forwarding::messages::BATCH_BODY_LIMIT,
                 ))
-                .route(web::post().to(reports::reports)),
+                .route(web::post().to(heartbeats::heartbeats)),
         )
         .service(
             web::resource(links::LINKS)
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crate::config::{Settings, TeamSettings};
-use crate::model::Amount;
+use crate::model::Resources;
 
 /// A class that may take this many boots to start can wait for one: for it to be late, for its
 /// image, and for room.
@@ -12,7 +12,7 @@
 
 /// What the scheduler needs of the settings.
 #[derive(Debug, Clone)]
-pub struct Policy {
+pub struct SchedulingPolicy {
     /// Teams by name.
     pub teams: HashMap<String, TeamSettings>,
     /// The times that aims allow a class, shortest first.
@@ -27,7 +27,7 @@
     pub zones: Vec<String>,
 }
 
-impl Policy {
+impl SchedulingPolicy {
     /// From the settings.
     pub fn new(settings: &Settings) -> Self {
         let mut aims: HashMap<String, Vec<Duration>> = HashMap::new();
@@ -79,9 +79,9 @@
 
     /// Whether the team may use `sum` at once. One that the settings don't name any more has no
     /// limit: its accepted jobs have to run all the same.
-    pub fn within_limit(&self, team: &str, sum: &Amount) -> bool {
+    pub fn within_limit(&self, team: &str, sum: &Resources) -> bool {
         self.teams.get(team).is_none_or(|t| {
-            let limit = Amount {
+            let limit = Resources {
                 cpus: unmanaged_if_zero(t.cpus_max),
                 gpus: unmanaged_if_zero(t.gpus_max),
                 memory: f64::INFINITY,
@@ -91,14 +91,14 @@
     }
 
     /// Whether a task uses something of which the team is guaranteed an amount.
-    pub fn claims(&self, team: &str, need: &Amount) -> bool {
+    pub fn claims(&self, team: &str, need: &Resources) -> bool {
         self.teams
             .get(team)
             .is_some_and(|t| (t.cpus > 0.0 && need.cpus > 0.0) || (t.gpus > 0.0 && need.gpus > 0.0))
     }
 
     /// Whether the team uses more than its guarantee of something that the task uses, too.
-    pub fn beyond(&self, team: &str, sum: &Amount, need: &Amount) -> bool {
+    pub fn beyond(&self, team: &str, sum: &Resources, need: &Resources) -> bool {
         self.teams.get(team).is_none_or(|t| {
             let over = |sum: f64, own: f64, need: f64| need > 0.0 && sum > own;
             let managed = t.cpus > 0.0 || t.cpus_max > 0.0;
@@ -107,10 +107,10 @@
     }
 
     /// Whether `sum` is within what the team is guaranteed.
-    pub fn within_guarantee(&self, team: &str, sum: &Amount) -> bool {
+    pub fn within_guarantee(&self, team: &str, sum: &Resources) -> bool {
         self.teams.get(team).is_some_and(|t| {
             let managed = t.cpus > 0.0 || t.gpus > 0.0;
-            let limit = Amount {
+            let limit = Resources {
                 cpus: unmanaged_if_zero(t.cpus),
                 gpus: unmanaged_if_zero(t.gpus),
                 memory: f64::INFINITY,
--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -7,7 +7,7 @@
 #[test]
 fn only_aims_within_a_few_boots_ask_for_room_that_is_there_before_it_is_asked_for() {
     let text = include_str!("../../deploy/example.toml");
-    let policy = Policy::new(&Settings::parse(text, "a test").unwrap());
+    let policy = SchedulingPolicy::new(&Settings::parse(text, "a test").unwrap());
     let within = policy.prompt["prompt"];
     assert!(policy.hurries("prompt", within));
     assert!(policy.hurries("prompt", within / 2));
--- a/src/rate_limit.rs
+++ b/src/rate_limit.rs
@@ -4,14 +4,14 @@
 
 /// A bucket that holds so many seconds' worth at most.
 #[derive(Debug)]
-pub struct Bucket {
+pub struct TokenBucket {
     rate: f64,
     depth_s: f64,
     level: f64,
     at: Instant,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// A full bucket that holds one second's worth.
     pub fn new(rate: f64, now: Instant) -> Self {
         Self {
--- a/src/run.rs
+++ b/src/run.rs
@@ -8,13 +8,13 @@
 use awc::{Client, Connector};
 use tracing::info;
 
+use crate::actors::election::ElectionActor;
 use crate::actors::fleet::FleetActor;
 use crate::actors::forward::ForwardActor;
-use crate::actors::leader::LeaderActor;
 use crate::actors::links::LinksActor;
 use crate::actors::metrics::MetricsActor;
 use crate::actors::peers::PeersActor;
-use crate::actors::round::{RoundActor, Shortages};
+use crate::actors::scheduler::{SchedulerActor, SharedDemand};
 use crate::config::Settings;
 use crate::features::Features;
 use crate::fleet::client::CloudClient;
@@ -59,7 +59,7 @@
         let replica = for_store.replica.clone();
         StoreActor::new(&for_store.settings.clone(), client, replica, for_store)
     });
-    let shortages = Shortages::default();
+    let unmet_demand = SharedDemand::default();
 
     let data: web::Data<Shared> = web::Data::from(shared.clone());
     let to_store = web::Data::new(store.clone());
@@ -98,13 +98,13 @@
     .run();
 
     let (for_leader, to_commit, most) = (shared.clone(), store.clone(), sockets.election);
-    LeaderActor::start_in_arbiter(&records.handle(), move |_| {
+    ElectionActor::start_in_arbiter(&records.handle(), move |_| {
         let client = StoreClient::new(&for_leader.settings, http_client(most));
-        LeaderActor::new(for_leader, client, to_commit)
+        ElectionActor::new(for_leader, client, to_commit)
     });
-    RoundActor::new(shared.clone(), store.clone(), direct, shortages.clone()).start();
+    SchedulerActor::new(shared.clone(), store.clone(), direct, unmet_demand.clone()).start();
     let cloud = CloudClient::new(external.cloud, http.clone());
-    FleetActor::new(shared.clone(), cloud, shortages).start();
+    FleetActor::new(shared.clone(), cloud, unmet_demand).start();
     // A leader that is slow to answer must not hold the places of the digests.
     ForwardActor::new(shared.clone(), http_client(sockets.forwarding)).start();
     MetricsActor::new(shared.clone()).start();
--- a/src/sched/allocate.rs
+++ b/src/sched/allocate.rs
@@ -5,9 +5,9 @@
 
 use super::order::overdue;
 use super::{zones_of, View};
-use crate::capacity::{Departures, Room, Rooms};
-use crate::cluster::{ImageId, Job, Phase};
-use crate::model::{Amount, JobSpec, MachineId};
+use crate::capacity::{CapacityIndex, ExpectedReleases, MachineCapacity};
+use crate::cluster::{ImageId, InstancePhase, Job};
+use crate::model::{JobSpec, MachineId, Resources};
 
 /// What an unused part of a machine counts against it, in seconds of fetching.
 const PACKING_S: f64 = 6.0;
@@ -35,14 +35,14 @@
 
 impl Found {
     /// Takes the room, for this round.
-    pub fn keep(&self, rooms: &mut Rooms, need: &Amount) {
+    pub fn keep(&self, rooms: &mut CapacityIndex, need: &Resources) {
         for (_, at) in &self.members {
             rooms.all[*at].free.sub(need);
         }
     }
 
     /// Tasks with their machines.
-    pub fn machines(&self, rooms: &Rooms) -> Vec<(u32, MachineId)> {
+    pub fn machines(&self, rooms: &CapacityIndex) -> Vec<(u32, MachineId)> {
         let members = self.members.iter();
         members
             .map(|(index, at)| (*index, rooms.all[*at].machine.id.clone()))
@@ -85,7 +85,7 @@
     }
 
     /// Seconds until a task's image would be there.
-    fn fetch_s(&self, room: &Room, rate: f64) -> f64 {
+    fn fetch_s(&self, room: &MachineCapacity, rate: f64) -> f64 {
         let machine = room.machine;
         if machine.has_image(self.image) {
             return 0.0;
@@ -94,15 +94,22 @@
         let mut own = self.spec.image_gb / rate;
         // Images fetched at the same time share the line: each of them waits for the others.
         let mut others: Vec<(ImageId, f64)> = Vec::new();
-        for slot in machine.slots.values() {
+        for instance in machine.instances.values() {
             let coming = matches!(
-                slot.phase,
-                Phase::Planned | Phase::Sent { .. } | Phase::Pulling
+                instance.phase,
+                InstancePhase::Planned
+                    | InstancePhase::Dispatched { .. }
+                    | InstancePhase::PullingImage
             );
-            let Some((other, image)) = slot.spec.as_ref().zip(slot.image).filter(|_| coming) else {
+            let Some((other, image)) = instance
+                .spec
+                .as_ref()
+                .zip(instance.image)
+                .filter(|_| coming)
+            else {
                 continue;
             };
-            let passed = self.view.now.saturating_duration_since(slot.since);
+            let passed = self.view.now.saturating_duration_since(instance.since);
             let left = (other.image_gb / rate - passed.as_secs_f64()).max(0.0);
             if image == self.image {
                 own = own.min(left);
@@ -117,9 +124,9 @@
     }
 
     /// Lower is better; with the part of it that is fetching.
-    fn score(&self, rooms: &Rooms, room: &Room, free: &Amount) -> (f64, f64) {
-        let (kind, build) = rooms.kind(room.kind);
-        let Some(build) = build else {
+    fn score(&self, rooms: &CapacityIndex, room: &MachineCapacity, free: &Resources) -> (f64, f64) {
+        let (pool, machine_type) = rooms.pool(room.pool);
+        let Some(machine_type) = machine_type else {
             return (f64::INFINITY, 0.0);
         };
         let left = |free: f64, need: f64, whole: f64| {
@@ -129,22 +136,22 @@
                 0.0
             }
         };
-        let need = &self.spec.need;
+        let need = &self.spec.task_resources;
         // What the task leaves unused, in the resource that the machine is rented for.
-        let waste = if build.room.gpus > 0.0 {
-            left(free.gpus, need.gpus, build.room.gpus)
+        let waste = if machine_type.room.gpus > 0.0 {
+            left(free.gpus, need.gpus, machine_type.room.gpus)
         } else {
-            left(free.cpus, need.cpus, build.room.cpus)
+            left(free.cpus, need.cpus, machine_type.room.cpus)
         };
         let contested = self.claims.iter().any(|Claim(other)| {
-            other.rank > self.spec.rank
-                && other.allows(&kind.build, &kind.zone, kind.spot)
-                && other.need.fits(free)
+            other.priority > self.spec.priority
+                && other.allows(&pool.machine_type, &pool.zone, pool.spot)
+                && other.task_resources.fits(free)
         });
         let claim = if contested { CONTESTED_S } else { 0.0 };
-        let fetch = self.fetch_s(room, build.fetch_rate);
+        let fetch = self.fetch_s(room, machine_type.fetch_rate);
         // The dearer of two machines that are alike is the one to be emptied and returned.
-        let dear = if kind.spot { 0.0 } else { DEAR_S };
+        let dear = if pool.spot { 0.0 } else { DEAR_S };
         (fetch + waste * PACKING_S + claim + dear, fetch)
     }
 }
@@ -154,7 +161,7 @@
     score: f64,
     fetch: f64,
     at: usize,
-    free: Amount,
+    free: Resources,
 }
 
 impl PartialEq for Candidate {
@@ -180,7 +187,7 @@
 
 /// The places to be left that a job's tasks may wait for.
 struct AwaitedDepartures<'a> {
-    departures: &'a mut Departures,
+    departures: &'a mut ExpectedReleases,
     from: usize,
 }
 
@@ -190,28 +197,28 @@
     job: &Job,
     tasks: &[u32],
     zone: Option<&str>,
-    rooms: &Rooms,
+    rooms: &CapacityIndex,
     mut awaited: Option<AwaitedDepartures>,
 ) -> Found {
     let spec = request.spec;
     let cap = spec.zone_cap();
-    let mut in_zone: HashMap<&str, u32> = if spec.spread {
+    let mut in_zone: HashMap<&str, u32> = if spec.zone_spread {
         zones_of(request.view.cluster, job)
     } else {
         HashMap::new()
     };
     let age = request.view.now.saturating_duration_since(job.submitted);
-    let kinds = if overdue(job, age) {
+    let pools = if overdue(job, age) {
         // Whatever it costs, it has to begin.
-        rooms.all_kinds_for(spec, zone)
+        rooms.all_pools_for(spec, zone)
     } else {
-        rooms.kinds_for(spec, zone)
+        rooms.pools_for(spec, zone)
     };
     // A machine on which this job failed gets no second try while others are there.
     let all_failed = rooms.all.len() <= job.failed_on.len();
     let fine = |at: &usize| all_failed || !job.failed_on.contains(&rooms.all[*at].machine.id);
     let mut candidates: BinaryHeap<Candidate> = rooms
-        .fitting(&kinds, &spec.need)
+        .fitting(&pools, &spec.task_resources)
         .filter(fine)
         .map(|at| {
             let room = &rooms.all[at];
@@ -229,8 +236,8 @@
     let mut next = tasks.next();
     while let (Some(index), Some(mut best)) = (next, candidates.pop()) {
         let room = &rooms.all[best.at];
-        if spec.spread {
-            let zone = rooms.kind(room.kind).0.zone.as_str();
+        if spec.zone_spread {
+            let zone = rooms.pool(room.pool).0.zone.as_str();
             let there = in_zone.entry(zone).or_default();
             if *there >= cap {
                 continue;
@@ -238,7 +245,7 @@
             *there += 1;
         }
         if let Some(awaited) = awaited.as_mut().filter(|_| best.fetch > LONG_FETCH_S) {
-            let wanted = (&kinds[..], request.image);
+            let wanted = (&pools[..], request.image);
             let limit = best.fetch;
             let departures = &mut awaited.departures;
             if departures.claim(rooms, wanted, limit, &mut awaited.from) {
@@ -251,8 +258,8 @@
         found.cost += best.score;
         found.members.push((*index, best.at));
         next = tasks.next();
-        best.free.sub(&spec.need);
-        if spec.need.fits(&best.free) {
+        best.free.sub(&spec.task_resources);
+        if spec.task_resources.fits(&best.free) {
             let (score, fetch) = request.score(rooms, room, &best.free);
             candidates.push(Candidate {
                 score,
@@ -265,8 +272,8 @@
 }
 
 /// The zones to be tried one by one: one settled, or each, for a job bound to one zone.
-pub(super) fn zones_to_try(view: View, job: &Job, rooms: &Rooms) -> Vec<Option<String>> {
-    if !job.spec.one_zone {
+pub(super) fn zones_to_try(view: View, job: &Job, rooms: &CapacityIndex) -> Vec<Option<String>> {
+    if !job.spec.single_zone {
         return vec![None];
     }
     let settled: HashSet<&str> = zones_of(view.cluster, job).into_keys().collect();
@@ -279,8 +286,14 @@
     rooms.zones().into_iter().map(Some).collect()
 }
 
-/// Room for all of a gang's missing members, or what there is of it. Nothing is taken yet.
-pub fn gang(view: View, claims: &[Claim], job: &Job, missing: &[u32], rooms: &Rooms) -> Found {
+/// MachineCapacity for all of a gang's missing members, or what there is of it. Nothing is taken yet.
+pub fn gang(
+    view: View,
+    claims: &[Claim],
+    job: &Job,
+    missing: &[u32],
+    rooms: &CapacityIndex,
+) -> Found {
     best_zone(view, claims, job, missing, rooms, None)
 }
 
@@ -291,20 +304,20 @@
     claims: &[Claim],
     job: &Job,
     missing: &[u32],
-    (rooms, zone): (&Rooms, Option<&str>),
+    (rooms, zone): (&CapacityIndex, Option<&str>),
 ) -> Found {
     let request = RoomRequest::of(view, claims, job);
     fill(&request, job, missing, zone, rooms, None)
 }
 
-/// Room for as many of an array's tasks as fit. Nothing is taken yet.
+/// MachineCapacity for as many of an array's tasks as fit. Nothing is taken yet.
 pub fn array(
     view: View,
     claims: &[Claim],
     job: &Job,
     missing: &[u32],
-    rooms: &Rooms,
-    departures: &mut Departures,
+    rooms: &CapacityIndex,
+    departures: &mut ExpectedReleases,
 ) -> Found {
     best_zone(view, claims, job, missing, rooms, Some(departures))
 }
@@ -314,12 +327,12 @@
     claims: &[Claim],
     job: &Job,
     missing: &[u32],
-    rooms: &Rooms,
-    mut departures: Option<&mut Departures>,
+    rooms: &CapacityIndex,
+    mut departures: Option<&mut ExpectedReleases>,
 ) -> Found {
     let request = RoomRequest::of(view, claims, job);
     let zones = zones_to_try(view, job, rooms);
-    let settled = job.spec.one_zone && job.placed();
+    let settled = job.spec.single_zone && job.has_placements();
     // Waiting for places to come free is worked out for one zone only.
     let alone = zones.len() == 1;
     let mut best: Option<Found> = None;
--- a/src/sched/mod.rs
+++ b/src/sched/mod.rs
@@ -8,11 +8,11 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use crate::capacity::{Departures, Rooms};
+use crate::capacity::{CapacityIndex, ExpectedReleases};
 use crate::cluster::{Cluster, Job};
-use crate::demand::Short;
-use crate::model::{Amount, Attempt, JobId, MachineId, Rank, TaskId};
-use crate::policy::Policy;
+use crate::demand::UnmetDemand;
+use crate::model::{Attempt, JobId, MachineId, Priority, Resources, TaskId};
+use crate::policy::SchedulingPolicy;
 use allocate::Claim;
 
 /// Tasks of one job started in one round; a larger array goes on in the next one.
@@ -34,16 +34,16 @@
     /// The cluster state.
     pub cluster: &'a Cluster,
     /// What of the settings matters.
-    pub policy: &'a Policy,
+    pub policy: &'a SchedulingPolicy,
     /// The time.
     pub now: Instant,
 }
 
 /// Which attempt a start belongs to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Under {
+pub enum AttemptChoice {
     /// One of its own, for the gang as a whole.
-    Fresh,
+    New,
     /// The gang's present one: a member is replaced before the gang has started.
     Same(Attempt),
 }
@@ -54,14 +54,14 @@
     /// The job.
     pub job: JobId,
     /// The attempt.
-    pub under: Under,
+    pub under: AttemptChoice,
     /// Tasks and where each goes.
     pub members: Vec<(u32, MachineId)>,
 }
 
 /// A single task to be stopped.
 #[derive(Debug, Clone, PartialEq)]
-pub struct TaskStop {
+pub struct TaskTermination {
     /// The task.
     pub task: TaskId,
     /// Its attempt.
@@ -80,30 +80,30 @@
     /// Gangs to be stopped as a whole.
     pub gang_stops: Vec<(JobId, &'static str)>,
     /// Tasks to be stopped.
-    pub halts: Vec<TaskStop>,
+    pub terminations: Vec<TaskTermination>,
     /// Jobs for which others are stopped, with the zone.
     pub claims: Vec<(JobId, Option<String>)>,
     /// What the fleet is short of.
-    pub short: Vec<Short>,
+    pub unmet_demand: Vec<UnmetDemand>,
     /// Why jobs wait.
     pub waits: Vec<(JobId, &'static str)>,
 }
 
 /// One round.
-pub fn round(cluster: &Cluster, policy: &Policy, now: Instant) -> Decisions {
+pub fn round(cluster: &Cluster, policy: &SchedulingPolicy, now: Instant) -> Decisions {
     let view = View {
         cluster,
         policy,
         now,
     };
     let mut decisions = Decisions::default();
-    let mut rooms = Rooms::of(cluster, now);
-    let mut used: HashMap<String, Amount> = cluster
+    let mut rooms = CapacityIndex::of(cluster, now);
+    let mut used: HashMap<String, Resources> = cluster
         .team_use()
         .into_iter()
         .map(|(team, sum)| (team.to_owned(), sum))
         .collect();
-    let mut departures = Departures::of(&rooms, now);
+    let mut departures = ExpectedReleases::of(&rooms, now);
     let claims = allocate::claims(view);
     let ordered = order::order(cluster, policy, now);
     let mut wanting = Vec::new();
@@ -112,7 +112,7 @@
         let id = &job.spec.id;
         let why = if cluster.blocked(job) {
             Some("machines of an earlier term to report")
-        } else if job.rests_until.is_some_and(|until| now < until) {
+        } else if job.backoff_until.is_some_and(|until| now < until) {
             Some(match job.suspected() {
                 true => "its next trial, since it fails everywhere",
                 false => "its rest after a failure",
@@ -142,9 +142,9 @@
                 &mut decisions,
             );
         }
-        let short = decisions.short.last().filter(|s| s.spec.id == *id);
-        if let Some(short) = short {
-            wanting.push((entry, short.tasks));
+        let unmet_demand = decisions.unmet_demand.last().filter(|s| s.spec.id == *id);
+        if let Some(unmet_demand) = unmet_demand {
+            wanting.push((entry, unmet_demand.tasks));
         }
     }
     preempt::preempt(view, &ordered, &wanting, &mut decisions);
@@ -157,8 +157,8 @@
     view: View,
     claims: &[Claim],
     entry: &order::Entry,
-    used: &mut Amount,
-    rooms: &mut Rooms,
+    used: &mut Resources,
+    rooms: &mut CapacityIndex,
     decisions: &mut Decisions,
 ) {
     let View {
@@ -168,26 +168,30 @@
     } = view;
     let job = entry.job;
     let id = &job.spec.id;
-    let placed = job.places.len() as u32;
+    let placed = job.placements.len() as u32;
     let missing: Vec<u32> = job.pending().collect();
     if missing.is_empty() {
         return;
     }
     let under = match job.attempt {
-        None => Under::Fresh,
+        None => AttemptChoice::New,
         Some(attempt) => {
-            let mixed = job.places.values().flatten().any(|p| p.attempt != attempt);
+            let mixed = job
+                .placements
+                .values()
+                .flatten()
+                .any(|p| p.attempt != attempt);
             // Running and succeeded members together are fewer than the minimum.
-            let broken = job.begun && placed + job.done.len() < job.spec.minimum();
+            let broken = job.seen_running && placed + job.done.len() < job.spec.minimum();
             if mixed || broken {
                 decisions.gang_stops.push((id.clone(), "a member is gone"));
                 return;
             }
-            Under::Same(attempt)
+            AttemptChoice::Same(attempt)
         }
     };
     let mut wanted = *used;
-    wanted.add(&job.spec.need.times(missing.len() as u32));
+    wanted.add(&job.spec.task_resources.times(missing.len() as u32));
     if !policy.within_limit(&job.spec.team, &wanted) {
         decisions.waits.push((id.clone(), "its team's limit"));
         return;
@@ -196,7 +200,7 @@
     // Ready when the allocated members reach the minimum, or with those that succeeded.
     if found.members.len() as u32 + placed + job.done.len() >= job.spec.minimum() {
         *used = wanted;
-        found.keep(rooms, &job.spec.need);
+        found.keep(rooms, &job.spec.task_resources);
         decisions.starts.push(Start {
             job: id.clone(),
             under,
@@ -214,14 +218,14 @@
     if let Some((zone, _)) = claim {
         // Else what was stopped for it would start again in the room that this has made.
         let found = allocate::claimed(view, claims, job, &missing, (rooms, zone.as_deref()));
-        found.keep(rooms, &job.spec.need);
-    } else if age >= cluster.timing.gang_wait * KEEP_ROOM_AFTER {
-        found.keep(rooms, &job.spec.need);
+        found.keep(rooms, &job.spec.task_resources);
+    } else if age >= cluster.timing.gang_barrier_timeout * KEEP_ROOM_AFTER {
+        found.keep(rooms, &job.spec.task_resources);
     }
     decisions
         .waits
         .push((id.clone(), "room for all its members"));
-    decisions.short.push(Short {
+    decisions.unmet_demand.push(UnmetDemand {
         spec: job.spec.clone(),
         tasks: missing.len() as u32,
         submitted: job.submitted,
@@ -235,17 +239,17 @@
     view: View,
     claims: &[Claim],
     entry: &order::Entry,
-    used: &mut Amount,
-    rooms: &mut Rooms<'_>,
-    departures: &mut Departures,
+    used: &mut Resources,
+    rooms: &mut CapacityIndex<'_>,
+    departures: &mut ExpectedReleases,
     decisions: &mut Decisions,
 ) {
     let policy = view.policy;
     let job = entry.job;
     let id = &job.spec.id;
     let age = view.now.saturating_duration_since(job.submitted);
-    let late = job.spec.rank == Rank::BestEffort && order::overdue(job, age);
-    let most = match (job.suspected(), job.placed()) {
+    let late = job.spec.priority == Priority::BestEffort && order::overdue(job, age);
+    let most = match (job.suspected(), job.has_placements()) {
         // The first one may go where the others would be too dear.
         (false, _) if late => 1,
         (false, _) => STARTS_PER_JOB_MAX,
@@ -260,7 +264,7 @@
     let mut allowed = 0;
     let mut sum = *used;
     for _ in &missing {
-        sum.add(&job.spec.need);
+        sum.add(&job.spec.task_resources);
         if !policy.within_limit(&job.spec.team, &sum) {
             break;
         }
@@ -272,12 +276,12 @@
     }
     let found = allocate::array(view, claims, job, &missing[..allowed], rooms, departures);
     let placed = found.members.len();
-    used.add(&job.spec.need.times(placed as u32));
-    found.keep(rooms, &job.spec.need);
+    used.add(&job.spec.task_resources.times(placed as u32));
+    found.keep(rooms, &job.spec.task_resources);
     for member in found.machines(rooms) {
         decisions.starts.push(Start {
             job: id.clone(),
-            under: Under::Fresh,
+            under: AttemptChoice::New,
             members: vec![member],
         });
     }
@@ -292,7 +296,7 @@
             .push((id.clone(), "a place with its image to come free"));
     } else if waiting > 0 {
         decisions.waits.push((id.clone(), "room"));
-        decisions.short.push(Short {
+        decisions.unmet_demand.push(UnmetDemand {
             spec: job.spec.clone(),
             tasks: waiting - found.deferred,
             submitted: job.submitted,
@@ -306,8 +310,8 @@
 pub fn apply(cluster: &mut Cluster, decisions: &Decisions, now: Instant) {
     for start in &decisions.starts {
         let attempt = match start.under {
-            Under::Fresh => cluster.next_attempt(),
-            Under::Same(attempt) => attempt,
+            AttemptChoice::New => cluster.next_attempt(),
+            AttemptChoice::Same(attempt) => attempt,
         };
         for (index, machine) in &start.members {
             let task = TaskId {
@@ -322,13 +326,13 @@
         tracing::info!(%job, why, "gang stops");
         cluster.stop_gang(job);
     }
-    for halt in &decisions.halts {
-        tracing::info!(task = %halt.task, machine = %halt.machine, "task stops");
-        let slot = crate::cluster::SlotId {
-            task: halt.task.clone(),
-            attempt: halt.attempt,
+    for termination in &decisions.terminations {
+        tracing::info!(task = %termination.task, machine = %termination.machine, "task stops");
+        let instance = crate::cluster::InstanceId {
+            task: termination.task.clone(),
+            attempt: termination.attempt,
         };
-        cluster.stop(&halt.machine, &slot, halt.grace_s);
+        cluster.stop(&termination.machine, &instance, termination.grace_s);
     }
     for (id, zone) in &decisions.claims {
         if let Some(job) = cluster.jobs.get_mut(id) {
@@ -337,10 +341,10 @@
     }
     for (id, why) in &decisions.waits {
         if let Some(job) = cluster.jobs.get_mut(id) {
-            if job.waits_for != *why {
+            if job.pending_reason != *why {
                 tracing::debug!(job = %id, why, "waits");
             }
-            job.waits_for = why;
+            job.pending_reason = why;
         }
     }
 }
@@ -348,7 +352,7 @@
 /// Zones in which a job's tasks may be now.
 pub(crate) fn zones_of<'a>(cluster: &'a Cluster, job: &'a Job) -> HashMap<&'a str, u32> {
     let mut zones = HashMap::new();
-    for place in job.places.values().flatten() {
+    for place in job.placements.values().flatten() {
         if let Some(machine) = cluster.machines.get(&place.machine) {
             *zones.entry(machine.zone.as_str()).or_default() += 1;
         }
--- a/src/sched/order.rs
+++ b/src/sched/order.rs
@@ -5,8 +5,8 @@
 use std::time::{Duration, Instant};
 
 use crate::cluster::{Cluster, Job};
-use crate::model::{Amount, JobId, Rank};
-use crate::policy::Policy;
+use crate::model::{JobId, Priority, Resources};
+use crate::policy::SchedulingPolicy;
 
 /// Every job, the largest too, has to begin within this time of its submission.
 const BEGIN_WITHIN: Duration = Duration::from_secs(240);
@@ -43,8 +43,8 @@
 
 /// The times by which a job should be over, first things first: its deadline, else what the
 /// aims allow its class.
-fn targets(job: &Job, policy: &Policy) -> Vec<Instant> {
-    if let Some(due) = job.spec.due_s.map(crate::time::secs) {
+fn targets(job: &Job, policy: &SchedulingPolicy) -> Vec<Instant> {
+    if let Some(due) = job.spec.deadline_s.map(crate::time::secs) {
         let times = policy
             .deadlines
             .get(&job.spec.class)
@@ -66,7 +66,7 @@
 }
 
 /// The first target that the job can still meet, with the number of those it can't.
-fn reachable(job: &Job, policy: &Policy, now: Instant) -> (usize, Instant) {
+fn reachable(job: &Job, policy: &SchedulingPolicy, now: Instant) -> (usize, Instant) {
     let targets = targets(job, policy);
     let at_best = now + job.spec.estimate();
     let missed = targets.iter().filter(|target| **target < at_best).count();
@@ -75,10 +75,10 @@
 }
 
 /// Open jobs with unplaced tasks, first things first.
-pub fn order<'a>(cluster: &'a Cluster, policy: &Policy, now: Instant) -> Ordered<'a> {
+pub fn order<'a>(cluster: &'a Cluster, policy: &SchedulingPolicy, now: Instant) -> Ordered<'a> {
     let mut jobs: Vec<&Job> = cluster.jobs.values().filter(|job| job.open()).collect();
     jobs.sort_by_key(|job| job.submitted);
-    let mut sums: HashMap<&str, Amount> = HashMap::new();
+    let mut sums: HashMap<&str, Resources> = HashMap::new();
     let mut guaranteed = HashSet::new();
     let mut entries: Vec<Entry> = Vec::with_capacity(jobs.len());
     for job in jobs {
@@ -86,10 +86,10 @@
         let unfinished = job.spec.tasks - job.done.len();
         // What fails everywhere holds no guarantee against work that doesn't.
         if !job.suspected() {
-            sum.add(&job.spec.need.times(unfinished));
+            sum.add(&job.spec.task_resources.times(unfinished));
         }
         let within = !job.suspected()
-            && policy.claims(&job.spec.team, &job.spec.need)
+            && policy.claims(&job.spec.team, &job.spec.task_resources)
             && policy.within_guarantee(&job.spec.team, sum);
         if within {
             guaranteed.insert(&job.spec.id);
@@ -118,18 +118,34 @@
 
 /// Last what fails everywhere. First what has waited for too long, oldest first; then what is guaranteed; then what can
 /// still meet most of its aims, the least work first.
-type Key = (bool, Reverse<Rank>, bool, bool, usize, Duration, Instant);
+type Key = (
+    bool,
+    Reverse<Priority>,
+    bool,
+    bool,
+    usize,
+    Duration,
+    Instant,
+);
 
 fn key(entry: &Entry, contested: bool, now: Instant) -> Key {
     let job = entry.job;
     let age = now.saturating_duration_since(job.submitted);
     if overdue(job, age) && !job.suspected() {
-        let rank = Reverse(job.spec.rank);
-        return (false, rank, false, false, 0, Duration::ZERO, job.submitted);
+        let priority = Reverse(job.spec.priority);
+        return (
+            false,
+            priority,
+            false,
+            false,
+            0,
+            Duration::ZERO,
+            job.submitted,
+        );
     }
     (
         job.suspected(),
-        Reverse(job.spec.rank),
+        Reverse(job.spec.priority),
         true,
         contested && !entry.guaranteed,
         entry.missed,
@@ -141,7 +157,7 @@
 /// Whether nothing of a job was ever started although it has waited for long.
 pub(super) fn overdue(job: &Job, age: Duration) -> bool {
     age >= BEGIN_WITHIN / OLD_PART
-        && !job.placed()
+        && !job.has_placements()
         && job.done.is_empty()
         && job.first_run.is_none()
 }
--- a/src/sched/preempt.rs
+++ b/src/sched/preempt.rs
@@ -6,11 +6,13 @@
 
 use super::allocate;
 use super::order::{Entry, Ordered};
-use super::{Decisions, TaskStop, View};
-use crate::capacity::{Departures, Rooms};
-use crate::cluster::{build_named, Cluster, Drain, Job, Machine, Phase, Slot, SlotId};
-use crate::model::{Amount, JobId, MachineId, TaskId};
-use crate::policy::Policy;
+use super::{Decisions, TaskTermination, View};
+use crate::capacity::{CapacityIndex, ExpectedReleases};
+use crate::cluster::{
+    find_machine_type, Cluster, DrainReason, InstanceId, InstancePhase, Job, Machine, TaskInstance,
+};
+use crate::model::{JobId, MachineId, Resources, TaskId};
+use crate::policy::SchedulingPolicy;
 
 /// Stopping, saving and starting take about this long: room that comes free sooner is waited
 /// for, whatever the aims.
@@ -27,7 +29,7 @@
 const CLAIMS_PER_ROUND: u32 = 12;
 
 /// Whether a job within its team's guarantee takes it back from other teams now.
-fn claims_guarantee(policy: &Policy, claimant: &Entry, now: Instant) -> bool {
+fn claims_guarantee(policy: &SchedulingPolicy, claimant: &Entry, now: Instant) -> bool {
     let waited = now.saturating_duration_since(claimant.job.submitted);
     let wait_limit = match policy.guarantee {
         Some(within) => within.saturating_sub(crate::time::secs(WAIT_FOR_ROOM_MIN_S)),
@@ -37,7 +39,7 @@
 }
 
 /// What the claimant may stop.
-fn may_stop(search: &Search, used: &HashMap<&str, Amount>, victim: &Job) -> bool {
+fn may_stop(search: &Search, used: &HashMap<&str, Resources>, victim: &Job) -> bool {
     let View {
         cluster,
         policy,
@@ -47,15 +49,15 @@
     if cluster.blocked(victim) || victim.stopping {
         return false;
     }
-    if victim.spec.rank < claimant.job.spec.rank {
+    if victim.spec.priority < claimant.job.spec.priority {
         return true;
     }
     let other_team = victim.spec.team != claimant.job.spec.team;
     // Beyond its guarantee even without the task in question.
     let beyond = used.get(victim.spec.team.as_str()).is_some_and(|sum| {
         let mut rest = *sum;
-        rest.sub(&victim.spec.need);
-        policy.beyond(&victim.spec.team, &rest, &victim.spec.need)
+        rest.sub(&victim.spec.task_resources);
+        policy.beyond(&victim.spec.team, &rest, &victim.spec.task_resources)
     });
     // What is itself within the guarantee is not what its team has beyond it.
     let guaranteed = search.guaranteed.contains(&victim.spec.id);
@@ -63,12 +65,12 @@
 }
 
 /// What stopping a task throws away, in seconds of work.
-fn loss(job: &Job, slot: &Slot, now: Instant) -> f64 {
-    let ran = slot
+fn loss(job: &Job, instance: &TaskInstance, now: Instant) -> f64 {
+    let ran = instance
         .running_since
         .map_or(0.0, |at| now.saturating_duration_since(at).as_secs_f64());
-    let lost = if job.spec.saves() {
-        job.spec.save_s
+    let lost = if job.spec.can_checkpoint() {
+        job.spec.checkpoint_cost_s
     } else {
         ran
     };
@@ -91,11 +93,11 @@
     let age = now.saturating_duration_since(claimant.job.submitted);
     let within = policy.prompt.get(&spec.class);
     let left = within.map_or(Duration::ZERO, |within| within.saturating_sub(age));
-    let usable = cluster.catalog().iter().filter(|build| {
-        let named = |zone: &String| spec.allows(&build.name, zone, false);
-        spec.need.fits(&build.room) && build.zones.iter().any(named)
+    let usable = cluster.catalog().iter().filter(|machine_type| {
+        let named = |zone: &String| spec.allows(&machine_type.name, zone, false);
+        spec.task_resources.fits(&machine_type.room) && machine_type.zones.iter().any(named)
     });
-    let rates = usable.map(|build| build.fetch_rate.max(f64::MIN_POSITIVE));
+    let rates = usable.map(|machine_type| machine_type.fetch_rate.max(f64::MIN_POSITIVE));
     let slowest = rates.fold(f64::INFINITY, f64::min);
     let fetch = spec.image_gb / slowest;
     let wait_limit = (left.as_secs_f64() - fetch - WAIT_FOR_ROOM_MIN_S).max(WAIT_FOR_ROOM_MIN_S);
@@ -121,16 +123,16 @@
     if wanting.is_empty() {
         return;
     }
-    let lowest = cluster.jobs.values().filter(|j| j.placed());
-    let lowest = lowest.map(|j| j.spec.rank).min();
+    let lowest = cluster.jobs.values().filter(|j| j.has_placements());
+    let lowest = lowest.map(|j| j.spec.priority).min();
     let mut used = staying_use(cluster);
     let mut promised = promised_to_starts(cluster, decisions);
-    let mut taken: HashSet<(MachineId, SlotId)> = HashSet::new();
-    let rooms = Rooms::of(cluster, now);
-    let mut departures = Departures::of(&rooms, now);
+    let mut taken: HashSet<(MachineId, InstanceId)> = HashSet::new();
+    let rooms = CapacityIndex::of(cluster, now);
+    let mut departures = ExpectedReleases::of(&rooms, now);
     let mut looks = CLAIMS_PER_ROUND;
     for (claimant, tasks) in wanting {
-        let by_rank = lowest.is_some_and(|rank| rank < claimant.job.spec.rank);
+        let by_rank = lowest.is_some_and(|priority| priority < claimant.job.spec.priority);
         let by_guarantee = claims_guarantee(policy, claimant, now);
         if !by_rank && !by_guarantee {
             continue;
@@ -139,8 +141,8 @@
             break;
         }
         looks -= 1;
-        // Room in two zones is of no use to a job bound to one.
-        let zones = if claimant.job.spec.one_zone {
+        // MachineCapacity in two zones is of no use to a job bound to one.
+        let zones = if claimant.job.spec.single_zone {
             allocate::zones_to_try(view, claimant.job, &rooms)
         } else {
             vec![None]
@@ -182,24 +184,24 @@
             promised.insert(machine, sum);
         }
         used = plan.used;
-        for (machine, slot) in plan.victims {
-            halt(cluster, decisions, &machine, &slot, "preempted");
+        for (machine, instance) in plan.victims {
+            termination(cluster, decisions, &machine, &instance, "preempted");
             // Its room is the claimant's now: it must not be counted for another.
-            taken.insert((machine, slot));
+            taken.insert((machine, instance));
         }
     }
 }
 
 /// What the round's starts will take of each machine.
-fn promised_to_starts(cluster: &Cluster, decisions: &Decisions) -> BTreeMap<MachineId, Amount> {
-    let mut promised: BTreeMap<MachineId, Amount> = BTreeMap::new();
+fn promised_to_starts(cluster: &Cluster, decisions: &Decisions) -> BTreeMap<MachineId, Resources> {
+    let mut promised: BTreeMap<MachineId, Resources> = BTreeMap::new();
     for start in &decisions.starts {
         let Some(job) = cluster.jobs.get(&start.job) else {
             continue;
         };
         for (_, machine) in &start.members {
             let sum = promised.entry(machine.clone()).or_default();
-            sum.add(&job.spec.need);
+            sum.add(&job.spec.task_resources);
         }
     }
     promised
@@ -211,8 +213,8 @@
     view: View,
     claimant: &Entry,
     tasks: u32,
-    (rooms, zones): (&Rooms, &[Option<String>]),
-    departures: &mut Departures,
+    (rooms, zones): (&CapacityIndex, &[Option<String>]),
+    departures: &mut ExpectedReleases,
 ) -> u32 {
     let spec = &claimant.job.spec;
     let wait_limit = wait_limit(view, claimant);
@@ -235,16 +237,16 @@
 
 /// What teams use without what is about to stop: only as much is taken from a team as it has
 /// beyond its guarantee.
-fn staying_use(cluster: &Cluster) -> HashMap<&str, Amount> {
+fn staying_use(cluster: &Cluster) -> HashMap<&str, Resources> {
     let mut used = cluster.team_use();
-    for machine in cluster.machines.values().filter(|m| m.orders_wanted()) {
-        for slot in machine.slots.values() {
-            let stops = slot.occupies() && slot.stop.is_some();
-            let Some(spec) = slot.spec.as_ref().filter(|_| stops) else {
+    for machine in cluster.machines.values().filter(|m| m.commands_pending()) {
+        for instance in machine.instances.values() {
+            let stops = instance.occupies() && instance.stop.is_some();
+            let Some(spec) = instance.spec.as_ref().filter(|_| stops) else {
                 continue;
             };
             if let Some(sum) = used.get_mut(spec.team.as_str()) {
-                sum.sub(&spec.need);
+                sum.sub(&spec.task_resources);
             }
         }
     }
@@ -253,29 +255,29 @@
 
 /// Stops that make room for a job's tasks.
 struct PreemptionPlan<'a> {
-    used: HashMap<&'a str, Amount>,
+    used: HashMap<&'a str, Resources>,
     ready: u32,
     cost: f64,
-    victims: Vec<(MachineId, SlotId)>,
-    promised: BTreeMap<MachineId, Amount>,
+    victims: Vec<(MachineId, InstanceId)>,
+    promised: BTreeMap<MachineId, Resources>,
 }
 
 /// What is looked at for one claimant.
 struct Search<'a, 'b> {
     view: View<'a>,
-    used: &'b HashMap<&'a str, Amount>,
+    used: &'b HashMap<&'a str, Resources>,
     guaranteed: &'b HashSet<&'a JobId>,
     claimant: &'b Entry<'a>,
-    rooms: &'b Rooms<'a>,
-    promised: &'b BTreeMap<MachineId, Amount>,
-    taken: &'b HashSet<(MachineId, SlotId)>,
+    rooms: &'b CapacityIndex<'a>,
+    promised: &'b BTreeMap<MachineId, Resources>,
+    taken: &'b HashSet<(MachineId, InstanceId)>,
 }
 
 impl<'a> Search<'a, '_> {
     /// The cheapest stops that make room for up to `tasks` tasks in a zone, or anywhere.
     fn plan(&self, zone: Option<&str>, tasks: u32) -> Option<PreemptionPlan<'a>> {
         let spec = &self.claimant.job.spec;
-        let kinds = self.rooms.kinds_for(spec, zone);
+        let pools = self.rooms.pools_for(spec, zone);
         let mut plan = PreemptionPlan {
             used: self.used.clone(),
             ready: 0,
@@ -283,10 +285,10 @@
             victims: Vec::new(),
             promised: BTreeMap::new(),
         };
-        let mut taken: HashSet<(MachineId, SlotId)> = HashSet::new();
+        let mut taken: HashSet<(MachineId, InstanceId)> = HashSet::new();
         let mut options: BinaryHeap<Reverse<Choice>> = BinaryHeap::new();
         let rooms = self.rooms.all.iter().enumerate();
-        for (at, room) in rooms.filter(|(_, room)| kinds.contains(&room.kind)) {
+        for (at, room) in rooms.filter(|(_, room)| pools.contains(&room.pool)) {
             options.extend(self.choice(at, room.machine, &plan, &taken));
         }
         while plan.ready < tasks {
@@ -306,14 +308,15 @@
             plan.cost += best.cost;
             let before = self.promised.get(&machine.id).copied();
             let sum = plan.promised.entry(machine.id.clone());
-            sum.or_insert(before.unwrap_or_default()).add(&spec.need);
-            for slot in best.victims {
-                let job = self.view.cluster.jobs.get(&slot.task.job);
+            sum.or_insert(before.unwrap_or_default())
+                .add(&spec.task_resources);
+            for instance in best.victims {
+                let job = self.view.cluster.jobs.get(&instance.task.job);
                 if let Some(sum) = job.and_then(|job| plan.used.get_mut(job.spec.team.as_str())) {
-                    sum.sub(&job.map_or(Amount::default(), |job| job.spec.need));
+                    sum.sub(&job.map_or(Resources::default(), |job| job.spec.task_resources));
                 }
-                taken.insert((machine.id.clone(), slot.clone()));
-                plan.victims.push((machine.id.clone(), slot));
+                taken.insert((machine.id.clone(), instance.clone()));
+                plan.victims.push((machine.id.clone(), instance));
             }
             options.extend(self.choice(best.at, machine, &plan, &taken));
         }
@@ -325,15 +328,16 @@
         at: usize,
         machine: &Machine,
         plan: &PreemptionPlan,
-        taken: &HashSet<(MachineId, SlotId)>,
+        taken: &HashSet<(MachineId, InstanceId)>,
     ) -> Option<Reverse<Choice>> {
         let sum = plan
             .promised
             .get(&machine.id)
             .or(self.promised.get(&machine.id));
-        let leaves = |key: &(MachineId, SlotId)| taken.contains(key) || self.taken.contains(key);
+        let spot_deadline =
+            |key: &(MachineId, InstanceId)| taken.contains(key) || self.taken.contains(key);
         let sum = sum.copied().unwrap_or_default();
-        let (cost, victims) = victims_on(self, &plan.used, machine, sum, leaves)?;
+        let (cost, victims) = victims_on(self, &plan.used, machine, sum, spot_deadline)?;
         Some(Reverse(Choice { cost, at, victims }))
     }
 }
@@ -342,7 +346,7 @@
 struct Choice {
     cost: f64,
     at: usize,
-    victims: Vec<SlotId>,
+    victims: Vec<InstanceId>,
 }
 
 impl PartialEq for Choice {
@@ -371,28 +375,32 @@
 /// already or stops under way make it.
 fn victims_on(
     search: &Search,
-    used: &HashMap<&str, Amount>,
+    used: &HashMap<&str, Resources>,
     machine: &Machine,
-    promised: Amount,
-    leaves: impl Fn(&(MachineId, SlotId)) -> bool,
-) -> Option<(f64, Vec<SlotId>)> {
+    promised: Resources,
+    spot_deadline: impl Fn(&(MachineId, InstanceId)) -> bool,
+) -> Option<(f64, Vec<InstanceId>)> {
     let View { cluster, now, .. } = search.view;
     let claimant = search.claimant;
-    let build = build_named(cluster.catalog(), &machine.build)?;
-    let need = &claimant.job.spec.need;
-    let mut free = build.room;
+    let machine_type = find_machine_type(cluster.catalog(), &machine.machine_type)?;
+    let need = &claimant.job.spec.task_resources;
+    let mut free = machine_type.room;
     free.sub(&promised);
     let mut candidates = Vec::new();
-    for (id, slot) in machine.slots.iter().filter(|(_, slot)| slot.occupies()) {
-        let spec = slot.spec.as_ref()?;
-        let leaving = slot.stop.is_some() || leaves(&(machine.id.clone(), id.clone()));
+    for (id, instance) in machine
+        .instances
+        .iter()
+        .filter(|(_, instance)| instance.occupies())
+    {
+        let spec = instance.spec.as_ref()?;
+        let leaving = instance.stop.is_some() || spot_deadline(&(machine.id.clone(), id.clone()));
         if leaving {
             continue;
         }
-        free.sub(&spec.need);
+        free.sub(&spec.task_resources);
         let job = cluster.jobs.get(&id.task.job)?;
         if may_stop(search, used, job) {
-            candidates.push((loss(job, slot, now), id, spec.need));
+            candidates.push((loss(job, instance, now), id, spec.task_resources));
         }
     }
     candidates.sort_by(|a, b| a.0.total_cmp(&b.0));
@@ -410,20 +418,20 @@
     let fetch = if machine.has_image(claimant.job.image) {
         0.0
     } else {
-        claimant.job.spec.image_gb / build.fetch_rate.max(f64::MIN_POSITIVE)
+        claimant.job.spec.image_gb / machine_type.fetch_rate.max(f64::MIN_POSITIVE)
     };
     need.fits(&free).then_some((cost + fetch, victims))
 }
 
 /// Stops one task, or the gang it belongs to.
-fn halt(
+fn termination(
     cluster: &Cluster,
     decisions: &mut Decisions,
     machine: &MachineId,
-    slot: &SlotId,
+    instance: &InstanceId,
     why: &'static str,
 ) {
-    let Some(job) = cluster.jobs.get(&slot.task.job) else {
+    let Some(job) = cluster.jobs.get(&instance.task.job) else {
         return;
     };
     if job.gang() {
@@ -437,17 +445,17 @@
         }
         return;
     }
-    let grace_s = if job.spec.saves() {
+    let grace_s = if job.spec.can_checkpoint() {
         job.spec.grace()
     } else {
         0.0
     };
-    decisions.halts.push(TaskStop {
+    decisions.terminations.push(TaskTermination {
         task: TaskId {
             job: job.spec.id.clone(),
-            index: slot.task.index,
+            index: instance.task.index,
         },
-        attempt: slot.attempt,
+        attempt: instance.attempt,
         machine: machine.clone(),
         grace_s,
     });
@@ -460,41 +468,48 @@
     for machine in cluster.machines.values() {
         let sick = matches!(
             machine.drain,
-            Some(Drain::Sick | Drain::Slow | Drain::Operator)
+            Some(DrainReason::Faulty | DrainReason::Slow | DrainReason::Operator)
         );
-        if machine.leaves.is_none() && !sick {
+        if machine.spot_deadline.is_none() && !sick {
             continue;
         }
-        for (id, slot) in &machine.slots {
-            let idle = slot.stop.is_some() || !slot.occupies();
+        for (id, instance) in &machine.instances {
+            let idle = instance.stop.is_some() || !instance.occupies();
             let Some(job) = cluster.jobs.get(&id.task.job).filter(|_| !idle) else {
                 continue;
             };
             if job.stopping || (job.gang() && !seen.insert(job.spec.id.clone())) {
                 continue;
             }
-            let not_begun = !matches!(slot.phase, Phase::Running | Phase::Flushing);
-            let time = machine.leaves.map(|at| at.saturating_duration_since(now));
+            let not_begun = !matches!(
+                instance.phase,
+                InstancePhase::Running | InstancePhase::Checkpointing
+            );
+            let time = machine
+                .spot_deadline
+                .map(|at| at.saturating_duration_since(now));
             let grace = crate::time::secs(job.spec.grace()) + STOP_ARRIVES;
             let go = match time {
                 // Saving takes its time; until then the task may still complete.
-                Some(time) if job.spec.saves() && !not_begun => time <= grace + STOP_ARRIVES,
+                Some(time) if job.spec.can_checkpoint() && !not_begun => {
+                    time <= grace + STOP_ARRIVES
+                }
                 // It can't save: it may run until the end.
                 Some(_) if !not_begun => false,
                 // It has done nothing yet: elsewhere it need not do it twice.
                 Some(_) => true,
-                None => not_begun || job.spec.saves(),
+                None => not_begun || job.spec.can_checkpoint(),
             };
-            if go && (not_begun && job.gang() && !job.begun) {
+            if go && (not_begun && job.gang() && !job.seen_running) {
                 // Only this member is replaced, under the same attempt.
-                decisions.halts.push(TaskStop {
+                decisions.terminations.push(TaskTermination {
                     task: id.task.clone(),
                     attempt: id.attempt,
                     machine: machine.id.clone(),
                     grace_s: 0.0,
                 });
             } else if go {
-                halt(
+                termination(
                     cluster,
                     decisions,
                     &machine.id,
--- a/src/service/reports.rs
+++ b/src/service/heartbeats.rs
@@ -1,23 +1,23 @@
 //! Decides the answer to a worker's report.
 //!
 //! [`decide`] is the only place that grants a 200, a token and orders, whether a report came to
-//! this node directly or was forwarded by another one. Freshness, lease and the time up to which
+//! this node directly or was forwarded by another one. ReplicaFreshness, lease and the time up to which
 //! a machine's tasks may live all count from the moment of this decision, which is never earlier
 //! than the moment at which the worker sent the report.
 
 use std::time::Instant;
 
 use super::Shared;
-use crate::cluster::{ReportSource, Verified};
-use crate::leader::Standing;
+use crate::cluster::{HeartbeatSource, Verified};
+use crate::leader::Role;
 use crate::model::{MachineId, Term};
-use crate::wire::{Report, ReportAnswer};
+use crate::wire::{Heartbeat, HeartbeatResponse};
 
 /// What a worker is told.
 #[derive(Debug, Clone, PartialEq)]
-pub enum ReportDecision {
+pub enum HeartbeatDecision {
     /// 200 with this body.
-    Accepted(ReportAnswer),
+    Accepted(HeartbeatResponse),
     /// 503: this node does not, or no longer, act for the term.
     Unavailable(&'static str),
 }
@@ -27,17 +27,17 @@
 /// lead, or its time to keep leases alive, be over.
 pub fn decide(
     shared: &Shared,
-    report: &Report,
+    heartbeat: &Heartbeat,
     term: Term,
     clock: &dyn Fn() -> Instant,
-) -> ReportDecision {
-    let passing_on = ReportDecision::Unavailable("the lead is passing on");
-    let id = MachineId(report.machine.as_str().into());
+) -> HeartbeatDecision {
+    let passing_on = HeartbeatDecision::Unavailable("the lead is passing on");
+    let id = MachineId(heartbeat.machine.as_str().into());
     let mut guard = shared.cluster.lock();
     let Some(cluster) = guard.as_mut().filter(|cluster| cluster.term == term) else {
         return passing_on;
     };
-    let verified = cluster.report(report, ReportSource::Worker, clock());
+    let verified = cluster.apply_heartbeat(heartbeat, HeartbeatSource::Worker, clock());
     if verified == Verified::Deposed {
         return passing_on;
     }
@@ -50,26 +50,26 @@
     let token = cluster.mark_answered(&id, now);
     // Stops and clears are safe from whoever holds a token that the worker still obeys. A copy or
     // an older report gets none: its worker does not wait for them.
-    let orders = match verified {
+    let commands = match verified {
         Verified::Newer => cluster.answer(&id, now, starts),
         Verified::Older | Verified::Deposed => Vec::new(),
     };
     if cluster.dirty {
-        shared.wake_round.notify_one();
+        shared.wake_scheduler.notify_one();
     }
     let token = token.0;
-    ReportDecision::Accepted(ReportAnswer { token, orders })
+    HeartbeatDecision::Accepted(HeartbeatResponse { token, commands })
 }
 
 /// Whether an answer given now may carry starts; `None` if there may be no answer.
 fn starts_allowed(shared: &Shared, term: Term, now: Instant) -> Option<bool> {
-    let role = shared.role.lock();
-    match role.standing(now) {
-        Standing::Lead(lead) if lead.term == term => {
+    let election = shared.election.lock();
+    match election.role(now) {
+        Role::Leader(leadership) if leadership.term == term => {
             let refused = shared.links.placement_refusal().is_some();
-            Some(!refused && role.starting(now).is_some())
+            Some(!refused && election.leadership_for_starts(now).is_some())
         }
-        Standing::KeepAlive(own) if own == term => Some(false),
+        Role::KeepAlive(own) if own == term => Some(false),
         _ => None,
     }
 }
--- a/src/service/links.rs
+++ b/src/service/links.rs
@@ -13,10 +13,10 @@
 use arc_swap::ArcSwap;
 use knotlanding_links::contact::{Contact, PeerContactAnswer, PeerContacts, CONTACT_LOST};
 use knotlanding_links::gate::{GateRefusal, GateVerdict};
-use knotlanding_links::leadership::{Decision, Leadership};
+use knotlanding_links::handover::{Decision, HandoverPolicy};
 use knotlanding_links::link::Judgement;
 use knotlanding_links::matrix::Matrix;
-use knotlanding_links::misdirected::MisdirectedReports;
+use knotlanding_links::misdirected::MisdirectedHeartbeats;
 use knotlanding_links::row::{Row, RowMessage, RowRejection, RowReply};
 use knotlanding_links::table::{LinkChange, LinkTable, RowStamp, StoreOperation};
 use knotlanding_links::timing::LinkTiming;
@@ -30,7 +30,7 @@
 use crate::time::secs;
 use crate::time::unix_ms;
 use crate::timing::lease_time;
-use crate::wire::Report;
+use crate::wire::Heartbeat;
 
 /// Time between two rows.
 pub const ROW_INTERVAL: Duration = Duration::from_secs(1);
@@ -43,8 +43,8 @@
     contact: Contact,
     peer_contacts: PeerContacts,
     /// When a leader last told its digest.
-    digest_heard: Option<Instant>,
-    misdirected: MisdirectedReports,
+    last_summary: Option<Instant>,
+    misdirected: MisdirectedHeartbeats,
 }
 
 /// A decision on the lead, with its time.
@@ -73,9 +73,9 @@
     pub table: Mutex<LinkTable>,
     /// The rows of the others.
     pub matrix: Mutex<Matrix>,
-    leadership: Mutex<Leadership>,
+    leadership: Mutex<HandoverPolicy>,
     snapshot: ArcSwap<LinkSnapshot>,
-    life: AtomicU64,
+    incarnation: AtomicU64,
     sequence: AtomicU64,
     /// Rows taken.
     pub rows_taken: AtomicU64,
@@ -159,13 +159,13 @@
     }
 
     /// A leader told its digest.
-    pub fn digest_came(&self, now: Instant) {
-        self.evidence.lock().digest_heard = Some(now);
+    pub fn summary_received(&self, now: Instant) {
+        self.evidence.lock().last_summary = Some(now);
     }
 
     /// When a leader last told its digest.
-    pub fn digest_heard(&self) -> Option<Instant> {
-        self.evidence.lock().digest_heard
+    pub fn last_summary(&self) -> Option<Instant> {
+        self.evidence.lock().last_summary
     }
 
     /// A node says how many reports it could neither answer nor forward so far.
@@ -184,7 +184,7 @@
         let lasts = |at: Instant| now.saturating_duration_since(at) <= CONTACT_LOST;
         let evidence = self.evidence.lock();
         let failing = evidence.contact.failing_since.is_some_and(|at| !lasts(at));
-        let heard = evidence.digest_heard;
+        let heard = evidence.last_summary;
         let peer_fine = heard.is_some_and(|at| now.saturating_duration_since(at) < CONTACT_LOST);
         let alone = has_peers && evidence.peer_contacts.we_alone(now);
         (loaded && !failing) || !(peer_fine || alone)
@@ -198,10 +198,10 @@
     }
 
     /// A worker's report came to this node, whoever decides it.
-    pub fn worker_reported(&self, report: &Report, now: Instant) {
+    pub fn worker_reported(&self, heartbeat: &Heartbeat, now: Instant) {
         if let Some(active) = &self.active {
-            let number = worker_number(&report.machine);
-            let newest = (report.session, report.seq);
+            let number = worker_number(&heartbeat.machine);
+            let newest = (heartbeat.epoch, heartbeat.sequence);
             active.table.lock().worker_reported(number, newest, now);
         }
     }
@@ -231,9 +231,9 @@
             features,
             table: Mutex::new(table),
             matrix: Mutex::new(Matrix::new(others(), timing)),
-            leadership: Mutex::new(Leadership::new(&timing, features.handovers_max)),
+            leadership: Mutex::new(HandoverPolicy::new(&timing, features.handovers_max)),
             snapshot: ArcSwap::from_pointee(snapshot),
-            life: AtomicU64::new(unix_ms(SystemTime::now())),
+            incarnation: AtomicU64::new(unix_ms(SystemTime::now())),
             sequence: AtomicU64::new(0),
             rows_taken: AtomicU64::new(0),
             rows_refused: AtomicU64::new(0),
@@ -295,7 +295,7 @@
     /// The row of this controller as it is now, numbered for sending.
     pub fn next_row(&self, leads_term: Option<u64>, now: Instant, wall: SystemTime) -> Row {
         let stamp = RowStamp {
-            life: self.life.load(Ordering::Relaxed),
+            incarnation: self.incarnation.load(Ordering::Relaxed),
             sequence: self.sequence.fetch_add(1, Ordering::Relaxed) + 1,
             wall_ms: unix_ms(wall),
             leads_term,
@@ -306,7 +306,7 @@
     /// The row of this controller as it is now, for judging and showing it here.
     pub fn own_row(&self, leads_term: Option<u64>, now: Instant) -> Row {
         let stamp = RowStamp {
-            life: self.life.load(Ordering::Relaxed),
+            incarnation: self.incarnation.load(Ordering::Relaxed),
             sequence: self.sequence.load(Ordering::Relaxed),
             wall_ms: 0,
             leads_term,
@@ -332,13 +332,13 @@
             Err(why) => {
                 self.refuse_row(&member, why);
                 // Told of the newer life, a process whose clock is behind takes a higher one.
-                if why != RowRejection::FormerLife {
+                if why != RowRejection::FormerIncarnation {
                     return Err(why);
                 }
             }
         }
-        let newest_life = self.matrix.lock().newest_life(&member);
-        Ok(RowReply { newest_life })
+        let newest_incarnation = self.matrix.lock().newest_incarnation(&member);
+        Ok(RowReply { newest_incarnation })
     }
 
     /// Whether a write of no consequence should show if transactions succeed: our own fail while we lead,
@@ -348,7 +348,7 @@
         (leads && own_fail) || self.matrix.lock().leader_lacks_store(now)
     }
 
-    /// Counts a refused row, and logs it once.
+    /// EventCounts a refused row, and logs it once.
     pub fn refuse_row(&self, member: &str, why: RowRejection) {
         self.rows_refused.fetch_add(1, Ordering::Relaxed);
         if self.matrix.lock().tell_once(member, why) {
@@ -359,15 +359,16 @@
     /// A peer answered a row. It may know a higher life under our name than ours, if the time of day
     /// was ahead then; rows of a lower one would be refused for ever.
     pub fn row_answered(&self, reply: RowReply) {
-        let life = self.life.load(Ordering::Relaxed);
-        if reply.newest_life > life {
+        let incarnation = self.incarnation.load(Ordering::Relaxed);
+        if reply.newest_incarnation > incarnation {
             info!("a former life has a higher number; taking one above it");
-            self.life.store(reply.newest_life + 1, Ordering::Relaxed);
+            self.incarnation
+                .store(reply.newest_incarnation + 1, Ordering::Relaxed);
         }
     }
 
     /// What the matrix says of the lead, while this controller leads.
-    pub fn decide_lead(&self, now: Instant) -> Decision {
+    pub fn decide_handover(&self, now: Instant) -> Decision {
         let own = self.own_row(None, now);
         let decision = {
             let matrix = self.matrix.lock();
@@ -413,7 +414,7 @@
         self.leadership.lock().exhausted(now)
     }
 
-    /// Counts for operators.
+    /// EventCounts for operators.
     pub fn metrics(&self, now: Instant) -> LinkMetrics {
         let (refused_for, suppressed) = {
             let table = self.table.lock();
@@ -434,7 +435,7 @@
             return false;
         }
         let own = self.own_row(None, now);
-        Leadership::should_yield(&own, &self.matrix.lock(), now)
+        HandoverPolicy::should_yield(&own, &self.matrix.lock(), now)
     }
 }
 
--- a/src/service/mod.rs
+++ b/src/service/mod.rs
@@ -3,9 +3,9 @@
 //! Locks are taken in the order replica, role, cluster, the rest; they are never held across
 //! an await, and nothing is sent, written or encoded under them.
 
+pub mod heartbeats;
 pub mod links;
 pub mod operator;
-pub mod reports;
 
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::Arc;
@@ -16,17 +16,17 @@
 use tokio::sync::Notify;
 use tracing::warn;
 
-use crate::cluster::{Catalog, Cluster, Drain};
+use crate::cluster::{Catalog, Cluster, DrainReason};
 use crate::config::Settings;
-use crate::digest::DigestView;
 use crate::features::Features;
 use crate::forwarding::{Forwarding, QueueLimits};
-use crate::leader::{Lead, Role};
+use crate::leader::{ElectionState, Leadership};
 use crate::metrics::{resident_bytes, Metrics, MetricsView};
 use crate::model::{JobId, MachineId};
-use crate::policy::Policy;
-use crate::rate_limit::Bucket;
+use crate::policy::SchedulingPolicy;
+use crate::rate_limit::TokenBucket;
 use crate::sockets::Sockets;
+use crate::state_summary::SummaryCache;
 use crate::store::from_value;
 use crate::store::observer::StoreObserver;
 use crate::store::replica::{Replica, ReplicaChange};
@@ -34,7 +34,7 @@
 use links::LinkMonitor;
 use operator::OperatorSettings;
 
-/// Counts a connection for as long as it is open.
+/// EventCounts a connection for as long as it is open.
 pub struct OpenConnection {
     count: Arc<AtomicUsize>,
     used: AtomicBool,
@@ -69,17 +69,17 @@
     /// How the sockets are shared out.
     pub sockets: Sockets,
     /// What scheduling needs of them.
-    pub policy: Policy,
+    pub policy: SchedulingPolicy,
     /// Our records.
     pub replica: Arc<SharedReplica>,
     /// Who leads.
-    pub role: Mutex<Role>,
+    pub election: Mutex<ElectionState>,
     /// The cluster state, while we lead.
     pub cluster: Mutex<Option<Cluster>>,
     /// Machine types, once known.
     pub catalog: Mutex<Option<Catalog>>,
     /// What the leader last told.
-    pub digest_view: Mutex<DigestView>,
+    pub summary_cache: Mutex<SummaryCache>,
     /// What is known of this process's links.
     pub links: LinkMonitor,
     /// Operators' settings in force.
@@ -91,19 +91,19 @@
     /// Wakes who forwards them.
     pub wake_forwarding: Notify,
     /// Workers that may yet be sent to the leader where reports can't be forwarded.
-    pub redirects: Mutex<Bucket>,
+    pub redirects: Mutex<TokenBucket>,
     /// Reports of workers that we could neither answer nor forward.
     pub misdirected: AtomicU64,
     /// Figures.
     pub metrics: Mutex<Metrics>,
     /// Wakes the round.
-    pub wake_round: Notify,
+    pub wake_scheduler: Notify,
     /// Jobs cancelled here that the other nodes have not been told of.
     pub cancelled: Mutex<Vec<JobId>>,
     /// Wakes who tells them.
     pub wake_peers: Notify,
     /// Wakes the election.
-    pub wake_leader: Notify,
+    pub wake_election: Notify,
 }
 
 /// Cancelled jobs that may wait to be told to the other nodes. Their watches bring the rest.
@@ -146,26 +146,26 @@
         let queue_limits = QueueLimits::new(sockets.public, settings.params.resources.mem_mb);
         Arc::new(Self {
             sockets,
-            policy: Policy::new(&settings),
-            role: Mutex::new(Role::new(&settings)),
+            policy: SchedulingPolicy::new(&settings),
+            election: Mutex::new(ElectionState::new(&settings)),
             replica: Arc::new(SharedReplica::new(Replica::keeping(most_verdicts(
                 settings.params.resources.mem_mb,
             )))),
             cluster: Mutex::default(),
             catalog: Mutex::default(),
-            digest_view: Mutex::default(),
+            summary_cache: Mutex::default(),
             links: LinkMonitor::new(&settings, features.links),
             operator: Mutex::default(),
             connections: Arc::default(),
             forwarding: Mutex::new(Forwarding::new(queue_limits)),
             wake_forwarding: Notify::new(),
-            redirects: Mutex::new(Bucket::new(redirect_rate(&settings), Instant::now())),
+            redirects: Mutex::new(TokenBucket::new(redirect_rate(&settings), Instant::now())),
             misdirected: AtomicU64::default(),
             metrics: Mutex::default(),
-            wake_round: Notify::new(),
+            wake_scheduler: Notify::new(),
             cancelled: Mutex::default(),
             wake_peers: Notify::new(),
-            wake_leader: Notify::new(),
+            wake_election: Notify::new(),
             settings,
         })
     }
@@ -179,9 +179,9 @@
     pub fn store_failed(&self, operation: StoreOperation, sent: Instant) {
         let now = Instant::now();
         let leads = {
-            let mut role = self.role.lock();
-            role.freshness().doubt(now);
-            role.own_term().is_some()
+            let mut election = self.election.lock();
+            election.freshness().doubt(now);
+            election.own_term().is_some()
         };
         self.links.store_failed(operation, sent, now);
         if leads {
@@ -191,14 +191,17 @@
 
     /// The lead, if starts may be decided and sent under it now: lease and replica allow it, and the
     /// links to the state service don't refuse it.
-    pub fn starting(&self, now: Instant) -> Option<Lead> {
-        let lead = self.role.lock().starting(now)?;
-        self.links.placement_refusal().is_none().then_some(lead)
+    pub fn leadership_for_starts(&self, now: Instant) -> Option<Leadership> {
+        let leadership = self.election.lock().leadership_for_starts(now)?;
+        self.links
+            .placement_refusal()
+            .is_none()
+            .then_some(leadership)
     }
 
     /// The replica and the cluster state have all that was confirmed before `sent`.
     pub fn replica_complete(&self, sent: Instant) {
-        self.role.lock().freshness().proved(sent);
+        self.election.lock().freshness().proved(sent);
     }
 
     /// Whether this node can take requests. In an outage that all nodes share none is better
@@ -228,7 +231,7 @@
                 cluster.cancel_tasks(id);
             }
         }
-        self.wake_round.notify_one();
+        self.wake_scheduler.notify_one();
     }
 
     /// Connections open on the public address.
@@ -267,16 +270,16 @@
         }
         if leader_changed {
             let record = replica.leader.as_ref().map(|leader| &leader.record);
-            let lost = self.role.lock().records_say(record);
+            let lost = self.election.lock().records_say(record);
             if lost {
                 warn!("the lead is lost");
                 *self.cluster.lock() = None;
             }
-            self.wake_leader.notify_one();
+            self.wake_election.notify_one();
         }
         drop(replica);
         if jobs {
-            self.wake_round.notify_one();
+            self.wake_scheduler.notify_one();
         }
     }
 
@@ -286,8 +289,8 @@
         for machine in cluster.machines.values_mut() {
             let wanted = operator.drained.iter().any(|name| **name == *machine.id.0);
             match (wanted, machine.drain) {
-                (true, None) => machine.drain = Some(Drain::Operator),
-                (false, Some(Drain::Operator)) => machine.drain = None,
+                (true, None) => machine.drain = Some(DrainReason::Operator),
+                (false, Some(DrainReason::Operator)) => machine.drain = None,
                 _ => {}
             }
         }
@@ -308,7 +311,7 @@
                 cluster.machine_gone(id);
             }
         }
-        self.wake_round.notify_one();
+        self.wake_scheduler.notify_one();
     }
 }
 
@@ -334,10 +337,10 @@
     }
 
     fn requires_read(&self, now: Instant) -> bool {
-        self.role.lock().wants_proof(now)
+        self.election.lock().requires_read(now)
     }
 
     fn leads(&self) -> bool {
-        self.role.lock().own_term().is_some()
+        self.election.lock().own_term().is_some()
     }
 }
--- a/src/sockets.rs
+++ b/src/sockets.rs
@@ -60,7 +60,7 @@
     /// Connections taken on the public address.
     pub public: usize,
     /// Open public ones from which on reports' connections are closed after their answer.
-    pub reports_close: usize,
+    pub heartbeats_close: usize,
     /// The same for users.
     pub users_close: usize,
     /// Public connections that may wait to be accepted.
@@ -77,7 +77,7 @@
     pub forwarding: usize,
     /// Connections to the other nodes for rows of the connectivity matrix.
     pub rows: usize,
-    /// Direct commands under way at once.
+    /// AddressedCommand commands under way at once.
     pub direct: usize,
     /// How long an idle public connection stays open.
     pub idle: Duration,
@@ -95,10 +95,10 @@
         let rows = (ROWS_EACH_PEER * peers).max(1);
         let others = peers_in + own + rows + TO_LEADER + TO_STORE + direct + part(SPARE_PART, all);
         let public = all.saturating_sub(others).max(part(PUBLIC_PART_MIN, all));
-        let report = secs(settings.params.workers.report_s);
+        let heartbeat = secs(settings.params.workers.report_s);
         Self {
             public,
-            reports_close: part(REPORTS_CLOSE_PART, public),
+            heartbeats_close: part(REPORTS_CLOSE_PART, public),
             users_close: part(USERS_CLOSE_PART, public),
             backlog: u32::try_from(public / BACKLOG_PART).map_or(BACKLOG_MAX, |backlog| {
                 backlog.clamp(BACKLOG_MIN, BACKLOG_MAX)
@@ -110,7 +110,7 @@
             forwarding: TO_LEADER,
             rows,
             direct,
-            idle: report.mul_f64(IDLE_REPORTS).max(IDLE_LEAST),
+            idle: heartbeat.mul_f64(IDLE_REPORTS).max(IDLE_LEAST),
         }
     }
 }
--- a/src/sockets/tests.rs
+++ b/src/sockets/tests.rs
@@ -26,7 +26,7 @@
             + shares.direct;
         assert!(sum * 100 <= limit * 96, "{limit}: {shares:?}");
         assert!(shares.public * 100 >= limit * 70, "{limit}: {shares:?}");
-        assert!(shares.reports_close < shares.users_close);
+        assert!(shares.heartbeats_close < shares.users_close);
         assert!(shares.users_close < shares.public);
     }
 }
--- a/src/digest.rs
+++ b/src/state_summary.rs
@@ -7,9 +7,9 @@
 
 use crate::model::{JobId, MachineId, Term};
 
-/// Largest digest taken. Senders leave out what does not fit, see [`DigestContents::shorten`]; the
+/// Largest digest taken. Senders leave out what does not fit, see [`SummaryContents::shorten`]; the
 /// limit is the same in all versions since 0.3.0.
-pub const DIGEST_LIMIT: usize = 2 * 1024 * 1024;
+pub const SUMMARY_BYTES_MAX: usize = 2 * 1024 * 1024;
 /// Bytes left for the head of a digest.
 const DIGEST_HEAD_BYTES: usize = 1024;
 /// Most bytes that `bincode` takes for a number or the length of a text.
@@ -22,7 +22,7 @@
 /// What a leader tells the others once a second. All of it is for display or a hint, and
 /// nothing that must be right hangs on it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Digest {
+pub struct StateSummary {
     /// Its term.
     pub term: Term,
     /// Its name.
@@ -32,23 +32,23 @@
     /// Everything, not only what changed since the digest before.
     pub full: bool,
     /// What there is to tell.
-    pub news: DigestContents,
+    pub contents: SummaryContents,
 }
 
 /// The contents of a digest.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct DigestContents {
+pub struct SummaryContents {
     /// Jobs under way.
     pub counts: Vec<Counts>,
     /// Jobs not under way any more.
     pub over: Vec<JobId>,
     /// Machines, for a leader to come.
-    pub hints: Vec<(MachineId, Hint)>,
+    pub hints: Vec<(MachineId, MachineHint)>,
     /// Machines that are gone.
     pub gone: Vec<MachineId>,
 }
 
-impl DigestContents {
+impl SummaryContents {
     /// Leaves out what would make a digest larger than peers take: counts of jobs first, which are
     /// only shown, then images of machines, those used longest ago first. Without it a peer would
     /// refuse the digest of a large fleet whole, again and again.
@@ -112,16 +112,16 @@
 
 /// What a new leader can't learn from reports, or can use before the first one.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Hint {
+pub struct MachineHint {
     /// Where the machine takes direct commands.
     pub address: String,
     /// Its session.
-    pub session: u64,
+    pub epoch: u64,
     /// Images it has with their sizes in GB, most recently used last.
     pub images: Vec<(String, f32)>,
 }
 
-impl Hint {
+impl MachineHint {
     fn bytes_without_images(&self) -> usize {
         text_bytes(&self.address) + 2 * NUMBER_BYTES
     }
@@ -144,13 +144,13 @@
 
 /// A peer as the leader's digests see it: whether it lacks what the next changes build on.
 #[derive(Debug, Default)]
-pub struct DigestRecipient {
+pub struct SummaryRecipient {
     lacks: bool,
     /// The last digest of everything sent to it: its number, and when.
     full: Option<(u64, Instant)>,
 }
 
-impl DigestRecipient {
+impl SummaryRecipient {
     /// Whether the next digest to it should hold everything.
     pub fn wants_full(&self, now: Instant) -> bool {
         let rested = |(_, at)| now.saturating_duration_since(at) >= FULL_DIGEST_INTERVAL;
@@ -180,39 +180,39 @@
 
 /// What a node keeps of the digests.
 #[derive(Debug, Default)]
-pub struct DigestView {
+pub struct SummaryCache {
     term: Term,
     number: u64,
     /// Completed and running tasks.
     pub counts: HashMap<JobId, (u32, u32)>,
     /// Machines.
-    pub hints: HashMap<MachineId, Hint>,
+    pub hints: HashMap<MachineId, MachineHint>,
     /// Machines that are gone, newest last.
     pub gone: VecDeque<MachineId>,
 }
 
-impl DigestView {
+impl SummaryCache {
     /// Takes a digest; whether it could be used. One that builds on another that did not
     /// arrive can't.
-    pub fn take(&mut self, digest: Digest) -> bool {
-        let follows = digest.term == self.term && digest.number == self.number + 1;
-        if digest.term < self.term || !(digest.full || follows) {
+    pub fn take(&mut self, summary: StateSummary) -> bool {
+        let follows = summary.term == self.term && summary.number == self.number + 1;
+        if summary.term < self.term || !(summary.full || follows) {
             return false;
         }
-        if digest.full {
+        if summary.full {
             self.counts.clear();
             self.hints.clear();
         }
-        self.term = digest.term;
-        self.number = digest.number;
-        let counts = digest.news.counts.into_iter();
+        self.term = summary.term;
+        self.number = summary.number;
+        let counts = summary.contents.counts.into_iter();
         self.counts
             .extend(counts.map(|c| (c.id, (c.done, c.running))));
-        for id in &digest.news.over {
+        for id in &summary.contents.over {
             self.counts.remove(id);
         }
-        self.hints.extend(digest.news.hints);
-        for id in digest.news.gone {
+        self.hints.extend(summary.contents.hints);
+        for id in summary.contents.gone {
             self.hints.remove(&id);
             self.gone.push_back(id);
         }
@@ -225,7 +225,7 @@
 
 /// What a node answers to a digest. Nodes of 0.2.0 answer without a body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct DigestReply {
+pub struct SummaryReply {
     /// Reports of workers that this node has sent elsewhere since it started.
     pub misdirected: u64,
 }
--- a/src/store/actor.rs
+++ b/src/store/actor.rs
@@ -19,7 +19,7 @@
 use super::observer::StoreObserver;
 use super::reads::{self, PendingReads};
 use super::shared_replica::SharedReplica;
-use super::{Change, Group, Outcome, StoreError, Urgency};
+use super::{Change, StoreError, Transaction, TransactionOutcome, WritePriority};
 use crate::config::{Settings, StateSettings};
 use crate::model::{JobId, Verdict};
 use crate::timing::slowness;
@@ -41,8 +41,8 @@
 
 /// A group for the state service, with what it may go before.
 #[derive(Message)]
-#[rtype(result = "Outcome")]
-pub struct Commit(pub Group, pub Urgency);
+#[rtype(result = "TransactionOutcome")]
+pub struct Commit(pub Transaction, pub WritePriority);
 
 /// Asks for a job's verdict as it stands now, not as it stood.
 #[derive(Message)]
@@ -58,15 +58,15 @@
 pub struct SetLeading(pub bool);
 
 struct Waiting {
-    group: Group,
+    group: Transaction,
     bytes: usize,
-    reply: oneshot::Sender<Outcome>,
+    reply: oneshot::Sender<TransactionOutcome>,
 }
 
 /// Groups that wait, by urgency.
 #[derive(Default)]
 struct Queue {
-    groups: BTreeMap<Urgency, VecDeque<Waiting>>,
+    groups: BTreeMap<WritePriority, VecDeque<Waiting>>,
 }
 
 impl Queue {
@@ -75,12 +75,12 @@
     }
 
     /// Changes waiting that go before, or along with, a group of this urgency.
-    fn changes_before(&self, urgency: Urgency) -> usize {
+    fn changes_before(&self, urgency: WritePriority) -> usize {
         let before = self.groups.range(..=urgency).flat_map(|(_, groups)| groups);
-        before.map(|waiting| waiting.group.apply.len()).sum()
+        before.map(|waiting| waiting.group.changes.len()).sum()
     }
 
-    fn push(&mut self, urgency: Urgency, waiting: Waiting) {
+    fn push(&mut self, urgency: WritePriority, waiting: Waiting) {
         self.groups.entry(urgency).or_default().push_back(waiting);
     }
 
@@ -96,12 +96,17 @@
         let mut touched: HashSet<String> = HashSet::new();
         for groups in self.groups.values_mut() {
             while let Some(next) = groups.front() {
-                let (more_ops, more_conditions) = (next.group.apply.len(), next.group.when.len());
+                let (more_ops, more_conditions) =
+                    (next.group.changes.len(), next.group.conditions.len());
                 let fits = ops + more_ops <= limits.txn_ops
                     && (ops + more_ops) as f64 <= allowed
                     && conditions + more_conditions <= limits.txn_ops * CONDITIONS_PER_OP
                     && bytes + next.bytes <= BATCH_BYTES
-                    && next.group.apply.iter().all(|c| !touched.contains(c.key()));
+                    && next
+                        .group
+                        .changes
+                        .iter()
+                        .all(|c| !touched.contains(c.key()));
                 if !fits && !batch.is_empty() {
                     return batch;
                 }
@@ -111,7 +116,7 @@
                 ops += more_ops;
                 conditions += more_conditions;
                 bytes += next.bytes;
-                touched.extend(next.group.apply.iter().map(|c| c.key().to_owned()));
+                touched.extend(next.group.changes.iter().map(|c| c.key().to_owned()));
                 batch.push(next);
             }
         }
@@ -174,12 +179,12 @@
 }
 
 impl Handler<Commit> for StoreActor {
-    type Result = ResponseFuture<Outcome>;
+    type Result = ResponseFuture<TransactionOutcome>;
 
     fn handle(&mut self, Commit(group, urgency): Commit, _: &mut Self::Context) -> Self::Result {
         let inner = self.0.clone();
         if inner.refuses(&group, urgency) {
-            return Box::pin(async { Outcome::Failed(StoreError::Refused(429)) });
+            return Box::pin(async { TransactionOutcome::Failed(StoreError::Refused(429)) });
         }
         let (reply, answer) = oneshot::channel();
         let bytes = weigh(&group);
@@ -190,7 +195,11 @@
         };
         inner.queue.borrow_mut().push(urgency, waiting);
         inner.wake_sender.notify_one();
-        Box::pin(async move { answer.await.unwrap_or(Outcome::Failed(StoreError::Unknown)) })
+        Box::pin(async move {
+            answer
+                .await
+                .unwrap_or(TransactionOutcome::Failed(StoreError::Unknown))
+        })
     }
 }
 
@@ -208,14 +217,17 @@
     type Result = ();
 
     fn handle(&mut self, SetLeading(leading): SetLeading, _: &mut Self::Context) {
-        self.0.limiter.borrow_mut().lead(leading, Instant::now());
+        self.0
+            .limiter
+            .borrow_mut()
+            .set_leading(leading, Instant::now());
     }
 }
 
-fn weigh(group: &Group) -> usize {
-    let conditions: usize = group.when.iter().map(|c| c.key.len() + 32).sum();
+fn weigh(group: &Transaction) -> usize {
+    let conditions: usize = group.conditions.iter().map(|c| c.key.len() + 32).sum();
     let changes: usize = group
-        .apply
+        .changes
         .iter()
         .map(|change| {
             let value = match change {
@@ -232,19 +244,19 @@
 impl Inner {
     /// Whether a group is better refused at once: by the limits its turn would come too late for
     /// whoever waits for it. The election and what nobody waits for only keep to the bound.
-    fn refuses(&self, group: &Group, urgency: Urgency) -> bool {
+    fn refuses(&self, group: &Transaction, urgency: WritePriority) -> bool {
         let queue = self.queue.borrow();
-        if urgency == Urgency::Lead {
+        if urgency == WritePriority::Election {
             return false;
         }
         if queue.len() >= COMMITS_QUEUED_MAX {
             return true;
         }
         let leads = self.observer.leads();
-        if urgency == Urgency::Progress || leads {
+        if urgency == WritePriority::Progress || leads {
             return false;
         }
-        let before = queue.changes_before(urgency) + group.apply.len();
+        let before = queue.changes_before(urgency) + group.changes.len();
         let wait = self
             .limiter
             .borrow_mut()
@@ -290,7 +302,7 @@
 async fn send_all(inner: Rc<Inner>) {
     loop {
         let free = inner.in_flight.get() < TRANSACTIONS_IN_FLIGHT_MAX;
-        let first = inner.queue.borrow().first().map(|w| w.group.apply.len());
+        let first = inner.queue.borrow().first().map(|w| w.group.changes.len());
         let Some(first) = first.filter(|_| free) else {
             inner.wake_sender.notified().await;
             continue;
@@ -303,7 +315,7 @@
         let now = Instant::now();
         let allowed = inner.limiter.borrow_mut().writes.level(now);
         let batch = inner.queue.borrow_mut().batch(&inner.limits, allowed);
-        let ops: usize = batch.iter().map(|w| w.group.apply.len()).sum();
+        let ops: usize = batch.iter().map(|w| w.group.changes.len()).sum();
         inner.limiter.borrow_mut().take(1.0, ops as f64, now);
         inner.in_flight.set(inner.in_flight.get() + 1);
         let inner = inner.clone();
@@ -320,38 +332,38 @@
     let mut again = false;
     let mut refused = 0;
     while !batch.is_empty() {
-        let mut all = Group::default();
+        let mut all = Transaction::default();
         for waiting in &batch {
-            for condition in &waiting.group.when {
-                if !all.when.contains(condition) {
-                    all.when.push(condition.clone());
+            for condition in &waiting.group.conditions {
+                if !all.conditions.contains(condition) {
+                    all.conditions.push(condition.clone());
                 }
             }
-            all.apply.extend(waiting.group.apply.iter().cloned());
+            all.changes.extend(waiting.group.changes.iter().cloned());
         }
         if std::mem::replace(&mut again, true) {
-            inner.wait_for_limit(1.0, all.apply.len() as f64).await;
+            inner.wait_for_limit(1.0, all.changes.len() as f64).await;
         }
         let sent = Instant::now();
         let outcome = inner.client.transact(&all).await;
         inner.note(StoreOperation::Write, sent, outcome.failure());
         match outcome {
-            Outcome::Conflict { failed, revision } => {
+            TransactionOutcome::Conflict { failed, revision } => {
                 let (fallen, left): (Vec<_>, Vec<_>) = batch.into_iter().partition(|waiting| {
-                    let mut when = waiting.group.when.iter();
+                    let mut when = waiting.group.conditions.iter();
                     when.any(|condition| failed.contains(&condition.key))
                 });
                 if fallen.is_empty() {
                     // A conflict that names no condition of ours: nothing was applied.
                     let error = StoreError::Nonsense("conflict without a cause".to_owned());
-                    answer_all(left, &Outcome::Failed(error));
+                    answer_all(left, &TransactionOutcome::Failed(error));
                     return;
                 }
-                answer_all(fallen, &Outcome::Conflict { failed, revision });
+                answer_all(fallen, &TransactionOutcome::Conflict { failed, revision });
                 batch = left;
             }
             // Nothing was executed. Nodes that had saved up changes let them go together.
-            Outcome::Failed(StoreError::Refused(429)) if refused < REFUSALS_MAX => {
+            TransactionOutcome::Failed(StoreError::Refused(429)) if refused < REFUSALS_MAX => {
                 refused += 1;
                 actix::clock::sleep(REFUSAL_RETRY_DELAY).await;
             }
@@ -364,7 +376,7 @@
     }
 }
 
-fn answer_all(batch: Vec<Waiting>, outcome: &Outcome) {
+fn answer_all(batch: Vec<Waiting>, outcome: &TransactionOutcome) {
     for waiting in batch {
         // Whoever asked may have gone; what was applied stays applied.
         let _ = waiting.reply.send(outcome.clone());
--- a/src/store/actor/tests.rs
+++ b/src/store/actor/tests.rs
@@ -2,12 +2,9 @@
 
 use super::*;
 
-fn put(queue: &mut Queue, urgency: Urgency, key: &str, ops: usize) {
+fn put(queue: &mut Queue, urgency: WritePriority, key: &str, ops: usize) {
     let apply = (0..ops).map(|n| Change::delete(format!("{key}/{n}")));
-    let group = Group {
-        when: Vec::new(),
-        apply: apply.collect(),
-    };
+    let group = Transaction::new(Vec::new(), apply.collect());
     let (reply, _) = oneshot::channel();
     let bytes = weigh(&group);
     let waiting = Waiting {
@@ -19,7 +16,7 @@
 }
 
 fn keys(batch: &[Waiting]) -> Vec<&str> {
-    batch.iter().map(|w| w.group.apply[0].key()).collect()
+    batch.iter().map(|w| w.group.changes[0].key()).collect()
 }
 
 /// Many jobs that can wait used up the limits, and urgent submissions came too late.
@@ -32,15 +29,15 @@
         txn_ops: 12,
     };
     let mut queue = Queue::default();
-    put(&mut queue, Urgency::Progress, "chunk", 1);
-    put(&mut queue, Urgency::Low, "bulk", 3);
-    put(&mut queue, Urgency::High, "gang", 2);
-    assert_eq!(queue.changes_before(Urgency::High), 2);
-    assert_eq!(queue.changes_before(Urgency::Low), 5);
+    put(&mut queue, WritePriority::Progress, "chunk", 1);
+    put(&mut queue, WritePriority::Low, "bulk", 3);
+    put(&mut queue, WritePriority::High, "gang", 2);
+    assert_eq!(queue.changes_before(WritePriority::High), 2);
+    assert_eq!(queue.changes_before(WritePriority::Low), 5);
     assert_eq!(keys(&queue.batch(&limits, 4.9)), ["gang/0"]);
     let rest = queue.batch(&limits, 4.9);
     assert_eq!(keys(&rest), ["bulk/0", "chunk/0"]);
-    put(&mut queue, Urgency::High, "many", 12);
+    put(&mut queue, WritePriority::High, "many", 12);
     assert_eq!(
         keys(&queue.batch(&limits, 2.0)),
         ["many/0"],
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -7,7 +7,7 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-use super::{Change, Condition, Follow, Group, Outcome, Page, StoreError};
+use super::{Change, Condition, Follow, Page, StoreError, Transaction, TransactionOutcome};
 use crate::config::Settings;
 use crate::http::{OutgoingRequest, Remote, RequestFailure};
 use crate::timing::slowness;
@@ -114,27 +114,27 @@
     }
 
     /// One transaction, as it stands.
-    pub async fn transact(&self, group: &Group) -> Outcome {
+    pub async fn transact(&self, group: &Transaction) -> TransactionOutcome {
         let body = wire::encode(&Multi {
-            when: &group.when,
-            apply: &group.apply,
+            when: &group.conditions,
+            apply: &group.changes,
         });
         let sent = self.call(Method::POST, "/multi", Some(body), self.answer_limit);
         match sent.await {
-            Err(error) => Outcome::Failed(error),
+            Err(error) => TransactionOutcome::Failed(error),
             Ok((200, body)) => match Self::read::<Revision>(&body) {
-                Ok(read) => Outcome::Committed(read.revision),
+                Ok(read) => TransactionOutcome::Committed(read.revision),
                 // It was executed, but not at a revision we can tell.
-                Err(_) => Outcome::Failed(StoreError::Unknown),
+                Err(_) => TransactionOutcome::Failed(StoreError::Unknown),
             },
             Ok((409, body)) => match Self::read::<Revision>(&body) {
-                Ok(read) => Outcome::Conflict {
+                Ok(read) => TransactionOutcome::Conflict {
                     failed: read.failed,
                     revision: read.revision,
                 },
-                Err(error) => Outcome::Failed(error),
+                Err(error) => TransactionOutcome::Failed(error),
             },
-            Ok((status, body)) => Outcome::Failed(Self::refusal(status, &body)),
+            Ok((status, body)) => TransactionOutcome::Failed(Self::refusal(status, &body)),
         }
     }
 
--- a/src/store/keys.rs
+++ b/src/store/keys.rs
@@ -19,7 +19,7 @@
 const JOB: &str = "kl/job/";
 const LIVE: &str = "kl/live/";
 const DONE: &str = "kl/done/";
-const ROSTER: &str = "kl/roster/";
+const INVENTORY: &str = "kl/roster/";
 const SENT: &str = "kl/sent/";
 const MISDIRECTED: &str = "kl/knocks/";
 const PROBE: &str = "kl/probe/";
@@ -40,8 +40,8 @@
 }
 
 /// One shard of the list of machines that may hold tasks.
-pub fn roster(shard: usize) -> String {
-    format!("{ROSTER}{shard:04}")
+pub fn inventory(shard: usize) -> String {
+    format!("{INVENTORY}{shard:04}")
 }
 
 /// One list of where starts of several jobs may have been sent. Its number is given out once.
@@ -70,8 +70,8 @@
     Live(JobId),
     /// See [`done`].
     Done(JobId, usize),
-    /// See [`roster`].
-    Roster(usize),
+    /// See [`inventory`].
+    Inventory(usize),
     /// See [`sent`].
     Sent(String),
     /// See [`misdirected`].
@@ -102,8 +102,8 @@
     if let Some(member) = key.strip_prefix(MISDIRECTED) {
         return Some(Key::Misdirected(member.to_owned()));
     }
-    let shard = key.strip_prefix(ROSTER)?;
-    shard.parse().ok().map(Key::Roster)
+    let shard = key.strip_prefix(INVENTORY)?;
+    shard.parse().ok().map(Key::Inventory)
 }
 
 /// Record below [`LEADER`].
@@ -189,9 +189,9 @@
     pub count: u64,
 }
 
-/// Record below [`roster`].
+/// Record below [`inventory`].
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
-pub struct RosterRecord {
+pub struct InventoryRecord {
     /// The machines.
     pub machines: Vec<String>,
 }
--- a/src/store/limiter.rs
+++ b/src/store/limiter.rs
@@ -3,7 +3,7 @@
 
 use std::time::{Duration, Instant};
 
-use crate::rate_limit::Bucket;
+use crate::rate_limit::TokenBucket;
 
 /// Part of the service's limits that all nodes together leave unused, since each node's clock
 /// and the service's differ and bursts meet.
@@ -25,9 +25,9 @@
     rps: f64,
     write_rps: f64,
     /// Requests.
-    pub requests: Bucket,
+    pub requests: TokenBucket,
     /// Puts and deletes.
-    pub writes: Bucket,
+    pub writes: TokenBucket,
 }
 
 impl Limiter {
@@ -38,10 +38,10 @@
             nodes,
             rps,
             write_rps,
-            requests: Bucket::new(rps * part, now),
-            writes: Bucket::new(write_rps * part, now),
+            requests: TokenBucket::new(rps * part, now),
+            writes: TokenBucket::new(write_rps * part, now),
         };
-        limiter.lead(false, now);
+        limiter.set_leading(false, now);
         limiter
     }
 
@@ -70,7 +70,7 @@
     }
 
     /// Takes the leader's or a follower's part.
-    pub fn lead(&mut self, leading: bool, now: Instant) {
+    pub fn set_leading(&mut self, leading: bool, now: Instant) {
         let part = Self::part(self.nodes, leading);
         self.requests.set_rate(self.rps * part, 1.0, now);
         let saved_up = (SAVED_UP_PART / part).clamp(1.0, SAVED_UP_S);
--- a/src/store/limiter/tests.rs
+++ b/src/store/limiter/tests.rs
@@ -25,7 +25,7 @@
         let saved = limiter.writes.level(later);
         assert!(saved >= rate && saved <= rate * SAVED_UP_S + 1e-9);
         assert!(saved <= (write_rps * SAVED_UP_PART).max(rate) + 1e-9);
-        limiter.lead(true, later);
+        limiter.set_leading(true, later);
         let level = limiter.writes.level(later + Duration::from_secs(60));
         assert!(
             level <= limiter.writes.rate() + 1e-9,
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -66,7 +66,7 @@
 }
 
 impl Condition {
-    /// Short form.
+    /// UnmetDemand form.
     pub fn new(key: impl Into<String>, version: u64) -> Self {
         Self {
             key: key.into(),
@@ -124,19 +124,29 @@
 
 /// Conditions and changes that stand or fall together.
 #[derive(Debug, Clone, Default)]
-pub struct Group {
+pub struct Transaction {
     /// What must hold.
-    pub when: Vec<Condition>,
+    pub conditions: Vec<Condition>,
     /// What changes then.
-    pub apply: Vec<Change>,
+    pub changes: Vec<Change>,
+}
+
+impl Transaction {
+    /// Makes these changes if these conditions hold.
+    pub fn new(conditions: Vec<Condition>, changes: Vec<Change>) -> Self {
+        Self {
+            conditions,
+            changes,
+        }
+    }
 }
 
 /// What goes before what, when more is to be written than the limits allow. Within each, first
 /// come, first served.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Urgency {
+pub enum WritePriority {
     /// The election.
-    Lead,
+    Election,
     /// What users wait for: verdicts, and what has to be written before starts.
     High,
     /// The same for jobs of the lowest rank.
@@ -147,7 +157,7 @@
 
 /// What became of a group.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Outcome {
+pub enum TransactionOutcome {
     /// Applied, at this revision.
     Committed(u64),
     /// Not applied: these keys had other versions, as of this revision.
@@ -161,17 +171,17 @@
     Failed(StoreError),
 }
 
-impl Outcome {
+impl TransactionOutcome {
     /// Whether it was applied for sure.
     pub fn committed(&self) -> bool {
-        matches!(self, Outcome::Committed(_))
+        matches!(self, TransactionOutcome::Committed(_))
     }
 
     /// Why it was not applied, or is not known to be.
     pub fn failure(&self) -> Option<&StoreError> {
         match self {
-            Outcome::Failed(error) => Some(error),
-            Outcome::Committed(_) | Outcome::Conflict { .. } => None,
+            TransactionOutcome::Failed(error) => Some(error),
+            TransactionOutcome::Committed(_) | TransactionOutcome::Conflict { .. } => None,
         }
     }
 }
