--- a/src/store/reads.rs
+++ b/src/store/reads.rs
@@ -16,7 +16,7 @@
 use tracing::{debug, info};
 
 use super::actor::{Inner, VerdictAnswer, CONDITIONS_PER_OP};
-use super::{keys, Condition, Follow, Group, Outcome, Row, StoreError};
+use super::{keys, Condition, Follow, Row, StoreError, Transaction, TransactionOutcome};
 use crate::model::JobId;
 use crate::timing::{LEADER_WATCH_HOLD, WATCH_GRACE, WATCH_HOLD};
 
@@ -178,18 +178,15 @@
         let batch = std::mem::replace(&mut unknown, later);
         debug!(%first, jobs = batch.len(), "verdicts to be asked for");
         let when = batch.keys().map(|id| Condition::new(keys::job(id), 0));
-        let group = Group {
-            when: when.collect(),
-            apply: Vec::new(),
-        };
+        let group = Transaction::new(when.collect(), Vec::new());
         inner.wait_for_limit(1.0, 0.0).await;
         let sent = Instant::now();
         let outcome = inner.client.transact(&group).await;
         inner.note(StoreOperation::Read, sent, outcome.failure());
         let there = match outcome {
-            Outcome::Committed(_) => Ok(Vec::new()),
-            Outcome::Conflict { failed, .. } => Ok(failed),
-            Outcome::Failed(error) => Err(error),
+            TransactionOutcome::Committed(_) => Ok(Vec::new()),
+            TransactionOutcome::Conflict { failed, .. } => Ok(failed),
+            TransactionOutcome::Failed(error) => Err(error),
         };
         for (id, replies) in batch {
             let said = match &there {
--- a/src/store/replica.rs
+++ b/src/store/replica.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
 use super::keys::{
-    self, DoneRecord, JobRecord, Key, LeaderRecord, LiveRecord, MisdirectedRecord, RosterRecord,
+    self, DoneRecord, InventoryRecord, JobRecord, Key, LeaderRecord, LiveRecord, MisdirectedRecord,
     SentRecord,
 };
 use super::{from_value, Event, Row, Value};
@@ -46,7 +46,7 @@
     /// Completed tasks.
     pub done: BTreeMap<(JobId, usize), Versioned<DoneRecord>>,
     /// Machines that may hold tasks.
-    pub roster: BTreeMap<usize, Versioned<RosterRecord>>,
+    pub inventory: BTreeMap<usize, Versioned<InventoryRecord>>,
     /// Versions of what nodes said of the workers that report to them in vain.
     pub misdirected: BTreeMap<String, u64>,
     /// Where starts may have been sent, by key.
@@ -61,7 +61,7 @@
     /// The description.
     pub record: LiveRecord,
     /// Whether it has a key of its own, as versions up to 0.3.0 wrote it.
-    pub apart: bool,
+    pub has_own_key: bool,
 }
 
 impl<T: Default> Default for Versioned<T> {
@@ -165,10 +165,10 @@
                         let live = Live {
                             version,
                             record,
-                            apart: false,
+                            has_own_key: false,
                         };
                         self.live.insert(id.clone(), live);
-                    } else if self.live.get(&id).is_some_and(|live| !live.apart) {
+                    } else if self.live.get(&id).is_some_and(|live| !live.has_own_key) {
                         self.live.remove(&id);
                     }
                     if read.verdict != Verdict::Accepted {
@@ -184,7 +184,7 @@
                     let live = Live {
                         version,
                         record,
-                        apart: true,
+                        has_own_key: true,
                     };
                     self.live.insert(id.clone(), live);
                 }
@@ -195,9 +195,9 @@
                 self.done.insert((id, chunk), Versioned { version, record });
                 None
             }
-            Key::Roster(shard) => {
-                let record: RosterRecord = from_value(value)?;
-                self.roster.insert(shard, Versioned { version, record });
+            Key::Inventory(shard) => {
+                let record: InventoryRecord = from_value(value)?;
+                self.inventory.insert(shard, Versioned { version, record });
                 None
             }
             Key::Misdirected(member) => {
@@ -229,8 +229,8 @@
                 self.done.remove(&(id, chunk));
                 None
             }
-            Key::Roster(shard) => {
-                self.roster.remove(&shard);
+            Key::Inventory(shard) => {
+                self.inventory.remove(&shard);
                 None
             }
             Key::Sent(key) => {
@@ -283,8 +283,8 @@
     }
 
     /// The version of a shard of the roster; 0: there is none.
-    pub fn roster_version(&self, shard: usize) -> u64 {
-        self.roster.get(&shard).map_or(0, |kept| kept.version)
+    pub fn inventory_version(&self, shard: usize) -> u64 {
+        self.inventory.get(&shard).map_or(0, |kept| kept.version)
     }
 
     /// The version of what a node said of the workers that report to it in vain; 0: nothing.
--- a/src/timing.rs
+++ b/src/timing.rs
@@ -74,39 +74,39 @@
 const LOST_REPORTS: f64 = 3.0;
 /// The workers' timing as durations.
 #[derive(Clone, Debug)]
-pub struct Timing {
+pub struct WorkerTiming {
     /// Time between reports.
-    pub report: Duration,
+    pub heartbeat_interval: Duration,
     /// A worker's lease, as long as it may last on a slow clock, and a margin.
     pub lease: Duration,
     /// No placement on a machine silent for that long.
-    pub quiet: Duration,
+    pub suspect_after: Duration,
     /// A machine silent for that long is given up.
-    pub lost: Duration,
+    pub failed_after: Duration,
     /// When a worker that nobody of this term has answered has lost what an earlier leader let
     /// start on it, counted from the take-over: the lead before ended then, whoever had it may
     /// have kept leases alive for its time, and a lease counts from the report answered.
     pub inherited_lease: Duration,
     /// How soon members of a gang notice a missing one.
-    pub gang_peer: Duration,
+    pub gang_loss_notice: Duration,
     /// How long a member waits for the others.
-    pub gang_wait: Duration,
+    pub gang_barrier_timeout: Duration,
 }
 
-impl Timing {
+impl WorkerTiming {
     /// From the settings.
     pub fn new(settings: &Settings) -> Self {
         let w = &settings.params.workers;
         Self {
-            report: secs(w.report_s),
+            heartbeat_interval: secs(w.report_s),
             lease: secs(w.lease_s * (1.0 + CLOCK_DRIFT)) + LEASE_MARGIN,
-            quiet: secs(w.report_s * QUIET_REPORTS),
-            lost: secs(w.report_s * LOST_REPORTS),
+            suspect_after: secs(w.report_s * QUIET_REPORTS),
+            failed_after: secs(w.report_s * LOST_REPORTS),
             inherited_lease: secs(w.lease_s * (1.0 + CLOCK_DRIFT))
                 + LEASE_MARGIN
                 + keep_alive_time(settings),
-            gang_peer: secs(w.gang_peer_s),
-            gang_wait: secs(w.gang_wait_s),
+            gang_loss_notice: secs(w.gang_peer_s),
+            gang_barrier_timeout: secs(w.gang_wait_s),
         }
     }
 }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::model::{Amount, Build, JobId, JobSpec, Rank, Shape};
+use crate::model::{JobId, JobKind, JobSpec, MachineType, Priority, Resources};
 
 /// Largest body either way.
 pub const BODY_LIMIT: usize = 64 * 1024;
@@ -86,8 +86,10 @@
     class: String,
     #[serde(rename = "owner")]
     team: String,
-    shape: String,
-    rank: String,
+    #[serde(rename = "shape")]
+    kind: String,
+    #[serde(rename = "rank")]
+    priority: String,
     #[serde(rename = "strands", deserialize_with = "num")]
     tasks: f64,
     #[serde(rename = "cores", deserialize_with = "num")]
@@ -100,43 +102,43 @@
     image: String,
     #[serde(rename = "sizeGb", deserialize_with = "num")]
     image_gb: f64,
-    #[serde(default)]
-    builds: Option<Vec<String>>,
+    #[serde(rename = "builds", default)]
+    machine_types: Option<Vec<String>>,
     #[serde(rename = "yard", default)]
     zone: Option<String>,
     #[serde(rename = "oneZone")]
-    one_zone: bool,
+    single_zone: bool,
     #[serde(rename = "apart")]
-    spread: bool,
+    zone_spread: bool,
     #[serde(rename = "loaners")]
     spot: bool,
     #[serde(rename = "expectS", deserialize_with = "num")]
     estimate_s: f64,
     #[serde(rename = "markEveryS", deserialize_with = "num")]
-    checkpoint_s: f64,
+    checkpoint_interval_s: f64,
     #[serde(rename = "markCostS", deserialize_with = "num")]
-    save_s: f64,
+    checkpoint_cost_s: f64,
     #[serde(rename = "dueS", default, deserialize_with = "opt_num")]
-    due_s: Option<f64>,
+    deadline_s: Option<f64>,
 }
 
 impl JobBody {
     /// Checks every field.
     pub fn check(self) -> Result<JobSpec, WireError> {
         let id = JobId::parse(&self.id).ok_or(WireError::Field("nameId"))?;
-        let shape = match self.shape.as_str() {
-            "array" => Shape::Array,
-            "group" => Shape::Gang,
+        let kind = match self.kind.as_str() {
+            "array" => JobKind::Array,
+            "group" => JobKind::Gang,
             // Not on the protocol's page, but the users' loopback check submits one; see
             // docs/questions.md.
-            "standing" => Shape::Service,
+            "standing" => JobKind::Service,
             _ => return Err(WireError::Field("shape")),
         };
-        let rank = match self.rank.as_str() {
-            "prod" => Rank::Production,
-            "urgent" => Rank::Urgent,
-            "standard" => Rank::Standard,
-            "best_effort" => Rank::BestEffort,
+        let priority = match self.priority.as_str() {
+            "prod" => Priority::Production,
+            "urgent" => Priority::Urgent,
+            "standard" => Priority::Standard,
+            "best_effort" => Priority::BestEffort,
             _ => return Err(WireError::Field("rank")),
         };
         let whole = self.tasks.fract() == 0.0;
@@ -149,9 +151,9 @@
             ("ramGb", self.memory),
             ("sizeGb", self.image_gb),
             ("expectS", self.estimate_s),
-            ("markEveryS", self.checkpoint_s),
-            ("markCostS", self.save_s),
-            ("dueS", self.due_s.unwrap_or(0.0)),
+            ("markEveryS", self.checkpoint_interval_s),
+            ("markCostS", self.checkpoint_cost_s),
+            ("dueS", self.deadline_s.unwrap_or(0.0)),
         ];
         for (field, amount) in amounts {
             if !amount.is_finite() || amount < 0.0 {
@@ -172,25 +174,25 @@
             id,
             class: self.class,
             team: self.team,
-            shape,
-            rank,
+            kind,
+            priority,
             tasks: self.tasks as u32,
-            need: Amount {
+            task_resources: Resources {
                 cpus: self.cpus,
                 gpus: self.gpus,
                 memory: self.memory,
             },
-            builds: self.builds,
+            machine_types: self.machine_types,
             zone: self.zone,
-            one_zone: self.one_zone,
-            spread: self.spread,
+            single_zone: self.single_zone,
+            zone_spread: self.zone_spread,
             spot: self.spot,
             image: self.image,
             image_gb: self.image_gb,
             estimate_s: self.estimate_s,
-            checkpoint_s: self.checkpoint_s,
-            save_s: self.save_s,
-            due_s: self.due_s,
+            checkpoint_interval_s: self.checkpoint_interval_s,
+            checkpoint_cost_s: self.checkpoint_cost_s,
+            deadline_s: self.deadline_s,
         })
     }
 }
@@ -221,13 +223,16 @@
 #[serde(rename_all = "snake_case")]
 pub enum TaskPhase {
     /// Waits for its image.
-    Pulling,
+    #[serde(rename = "pulling")]
+    PullingImage,
     /// Waits for its gang.
-    Gathering,
+    #[serde(rename = "gathering")]
+    AwaitingGang,
     /// Runs.
     Running,
     /// Saves.
-    Flushing,
+    #[serde(rename = "flushing")]
+    Checkpointing,
     /// Ended.
     Exited,
 }
@@ -235,23 +240,28 @@
 /// Why a task exited.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Cause {
+pub enum ExitCause {
     /// Completed.
     Done,
     /// By command.
     Stopped,
     /// Another member of its gang is gone.
-    MatesGone,
+    #[serde(rename = "mates_gone")]
+    GangMemberLost,
     /// Its gang was not complete in time.
-    Alone,
+    #[serde(rename = "alone")]
+    GangBarrierTimeout,
     /// Failed.
     Error,
     /// Refused: no room.
-    NoRoom,
+    #[serde(rename = "no_room")]
+    InsufficientCapacity,
     /// Refused: here already with another attempt.
-    InUse,
+    #[serde(rename = "in_use")]
+    AlreadyPresent,
     /// Refused: not known.
-    Unknown,
+    #[serde(rename = "unknown")]
+    UnknownTask,
     /// A cause this version does not know; handled like a failure nobody is blamed for.
     #[serde(other)]
     Other,
@@ -259,7 +269,7 @@
 
 /// One task in a report.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct ReportedTask {
+pub struct TaskStatus {
     /// `job/number`.
     #[serde(rename = "strand")]
     pub task: String,
@@ -271,7 +281,7 @@
     pub phase: TaskPhase,
     /// Why it exited.
     #[serde(default)]
-    pub cause: Option<Cause>,
+    pub cause: Option<ExitCause>,
     /// Whether it saved.
     #[serde(default)]
     pub saved: Option<bool>,
@@ -279,7 +289,7 @@
 
 /// A worker's report.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Report {
+pub struct Heartbeat {
     /// The machine.
     #[serde(rename = "host")]
     pub machine: String,
@@ -287,8 +297,8 @@
     #[serde(default)]
     pub address: String,
     /// Its type.
-    #[serde(default)]
-    pub build: String,
+    #[serde(rename = "build", default)]
+    pub machine_type: String,
     /// Its zone.
     #[serde(rename = "yard", default)]
     pub zone: String,
@@ -297,10 +307,10 @@
     pub spot: bool,
     /// The session.
     #[serde(rename = "tenure")]
-    pub session: u64,
+    pub epoch: u64,
     /// The report's number.
     #[serde(rename = "tally")]
-    pub seq: u64,
+    pub sequence: u64,
     /// Highest token seen.
     #[serde(rename = "baton")]
     pub token: u64,
@@ -309,13 +319,13 @@
     pub notice_s: Option<f64>,
     /// All tasks on the machine.
     #[serde(rename = "strands", default)]
-    pub tasks: Vec<ReportedTask>,
+    pub tasks: Vec<TaskStatus>,
 }
 
 /// A command to a worker.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "verb", rename_all = "snake_case")]
-pub enum Order {
+pub enum WorkerCommand {
     /// Start.
     Run {
         /// The task.
@@ -350,12 +360,13 @@
 
 /// The answer to a report.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct ReportAnswer {
+pub struct HeartbeatResponse {
     /// Our token.
     #[serde(rename = "baton")]
     pub token: u64,
     /// What the worker is to do.
-    pub orders: Vec<Order>,
+    #[serde(rename = "orders")]
+    pub commands: Vec<WorkerCommand>,
 }
 
 /// Sends a worker elsewhere.
@@ -368,25 +379,27 @@
 
 /// Commands straight to a worker.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct DirectOrders {
+pub struct DirectCommand {
     /// Our token.
     #[serde(rename = "baton")]
     pub token: u64,
     /// The session meant.
     #[serde(rename = "tenure")]
-    pub session: u64,
+    pub epoch: u64,
     /// The commands.
-    pub orders: Vec<Order>,
+    #[serde(rename = "orders")]
+    pub commands: Vec<WorkerCommand>,
 }
 
 /// The cloud's catalog of machine types.
 #[derive(Debug, Deserialize)]
-pub struct Flavors {
-    builds: Vec<Flavor>,
+pub struct MachineTypeCatalog {
+    #[serde(rename = "builds")]
+    machine_types: Vec<MachineTypeEntry>,
 }
 
 #[derive(Debug, Deserialize)]
-struct Flavor {
+struct MachineTypeEntry {
     name: String,
     #[serde(rename = "cores", deserialize_with = "num")]
     cpus: f64,
@@ -408,14 +421,14 @@
     zones: Vec<String>,
 }
 
-impl Flavors {
+impl MachineTypeCatalog {
     /// The catalog in the model's terms.
-    pub fn builds(self) -> Vec<Build> {
-        self.builds
+    pub fn machine_types(self) -> Vec<MachineType> {
+        self.machine_types
             .into_iter()
-            .map(|f| Build {
+            .map(|f| MachineType {
                 name: f.name,
-                room: Amount {
+                room: Resources {
                     cpus: f.cpus,
                     gpus: f.gpus,
                     memory: f.memory,
@@ -433,12 +446,13 @@
 
 /// A rental request.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct HireBody {
+pub struct RentalRequest {
     /// The request's name, never used twice.
     #[serde(rename = "hire")]
     pub request: String,
     /// Machine type.
-    pub build: String,
+    #[serde(rename = "build")]
+    pub machine_type: String,
     /// Zone.
     #[serde(rename = "yard")]
     pub zone: String,
@@ -468,8 +482,8 @@
     #[serde(default)]
     pub address: String,
     /// Its type.
-    #[serde(default)]
-    pub build: String,
+    #[serde(rename = "build", default)]
+    pub machine_type: String,
     /// Its zone.
     #[serde(rename = "yard", default)]
     pub zone: String,
--- a/tests/common/node.rs
+++ b/tests/common/node.rs
@@ -84,9 +84,9 @@
     }
 }
 
-pub fn job(id: &str, shape: &str, tasks: u64, cpus: f64) -> Value {
+pub fn job(id: &str, kind: &str, tasks: u64, cpus: f64) -> Value {
     cbor!({
-        "nameId" => id, "lane" => "batch", "owner" => "blue", "shape" => shape,
+        "nameId" => id, "lane" => "batch", "owner" => "blue", "shape" => kind,
         "rank" => "standard", "strands" => tasks, "cores" => cpus, "cards" => 0.0,
         "ramGb" => 4.0, "bundle" => "img", "sizeGb" => 1.0, "builds" => null, "yard" => null,
         "oneZone" => false, "apart" => false, "loaners" => true, "expectS" => 5.0,
--- a/tests/common/play.rs
+++ b/tests/common/play.rs
@@ -5,7 +5,7 @@
 use std::fs::OpenOptions;
 use std::io::Write;
 
-use knotlanding::model::{JobSpec, Rank};
+use knotlanding::model::{JobSpec, Priority};
 
 use crate::common;
 use crate::scene::{array, gang};
@@ -28,14 +28,14 @@
         1 => (array(&id, 3), 12.0),
         2 => {
             let mut job = array(&id, 1);
-            job.rank = Rank::BestEffort;
+            job.priority = Priority::BestEffort;
             (job, 6.0)
         }
         3 => {
             let mut job = array(&id, 2);
             job.team = "blue".to_owned();
             // An array bound to one zone.
-            job.one_zone = true;
+            job.single_zone = true;
             (job, 40.0)
         }
         _ => (gang(&id, 3), 15.0),
--- a/tests/common/scene.rs
+++ b/tests/common/scene.rs
@@ -6,34 +6,39 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime};
 
-use knotlanding::cluster::{Cluster, Direct, RecordKind, ReportSource, Sent, Verified};
+use knotlanding::cluster::{
+    AddressedCommand, Cluster, HeartbeatSource, RecordKind, Sent, Verified,
+};
 use knotlanding::config::Settings;
 use knotlanding::fleet::{self, FleetView, IdlePolicy, Market};
 use knotlanding::model::{
-    Amount, Build, JobId, JobSpec, MachineId, Rank, Shape, Term, Token, Verdict,
+    FencingToken, JobId, JobKind, JobSpec, MachineId, MachineType, Priority, Resources, Term,
+    Verdict,
 };
-use knotlanding::policy::Policy;
+use knotlanding::policy::SchedulingPolicy;
 use knotlanding::sched::{self, Decisions};
-use knotlanding::store::keys::{self, JobRecord, LiveRecord, RosterRecord, SentRecord};
+use knotlanding::store::keys::{self, InventoryRecord, JobRecord, LiveRecord, SentRecord};
 use knotlanding::store::replica::Replica;
-use knotlanding::store::{to_value, Outcome, Row, StoreError};
-use knotlanding::wire::{Cause, ListedMachine, Order, Report, ReportedTask, TaskPhase};
+use knotlanding::store::{to_value, Row, StoreError, TransactionOutcome};
+use knotlanding::wire::{
+    ExitCause, Heartbeat, ListedMachine, TaskPhase, TaskStatus, WorkerCommand,
+};
 
 /// A small cluster with a clock, and what has happened in it so far as text.
 pub struct Scene {
     pub settings: Settings,
-    pub policy: Policy,
+    pub policy: SchedulingPolicy,
     pub cluster: Cluster,
     pub records: Vec<(String, knotlanding::store::Value)>,
     /// Records written over, so that versions only grow.
     pub rewritten: u64,
     pub now: Instant,
     pub start: Instant,
-    pub seq: u64,
+    pub sequence: u64,
     pub revision: u64,
     pub log: String,
     /// The token that the next report shows, if it is not a term's first.
-    pub heard: Option<Token>,
+    pub heard: Option<FencingToken>,
 }
 
 /// The time of day in all scenes: with the real one, jobs submitted together would differ in age
@@ -42,10 +47,10 @@
     SystemTime::UNIX_EPOCH + Duration::from_secs(1_800_000_000)
 }
 
-pub fn builds() -> Vec<Build> {
-    let build = |name: &str, cpus: f64, gpus: f64, price: f64| Build {
+pub fn machine_types() -> Vec<MachineType> {
+    let machine_type = |name: &str, cpus: f64, gpus: f64, price: f64| MachineType {
         name: name.to_owned(),
-        room: Amount {
+        room: Resources {
             cpus,
             gpus,
             memory: 64.0,
@@ -58,8 +63,8 @@
         zones: vec!["north".to_owned(), "south".to_owned()],
     };
     vec![
-        build("cpu16", 16.0, 0.0, 0.9),
-        build("gpu2", 12.0, 2.0, 6.0),
+        machine_type("cpu16", 16.0, 0.0, 0.9),
+        machine_type("gpu2", 12.0, 2.0, 6.0),
     ]
 }
 
@@ -68,43 +73,43 @@
         id: JobId::parse(id).unwrap(),
         class: "prompt".to_owned(),
         team: "blue".to_owned(),
-        shape: Shape::Gang,
-        rank: Rank::Urgent,
+        kind: JobKind::Gang,
+        priority: Priority::Urgent,
         tasks,
-        need: Amount {
+        task_resources: Resources {
             cpus: 15.0,
             gpus: 0.0,
             memory: 20.0,
         },
-        builds: None,
+        machine_types: None,
         zone: None,
-        one_zone: true,
-        spread: false,
+        single_zone: true,
+        zone_spread: false,
         spot: true,
         image: "img-1".to_owned(),
         image_gb: 3.0,
         estimate_s: 100.0,
-        checkpoint_s: 30.0,
-        save_s: 5.0,
-        due_s: None,
+        checkpoint_interval_s: 30.0,
+        checkpoint_cost_s: 5.0,
+        deadline_s: None,
     }
 }
 
 pub fn array(id: &str, tasks: u32) -> JobSpec {
     JobSpec {
-        shape: Shape::Array,
-        rank: Rank::Standard,
+        kind: JobKind::Array,
+        priority: Priority::Standard,
         class: "batch".to_owned(),
         team: "red".to_owned(),
-        need: Amount {
+        task_resources: Resources {
             cpus: 5.0,
             gpus: 1.0,
             memory: 20.0,
         },
-        one_zone: false,
-        checkpoint_s: 0.0,
-        save_s: 0.0,
-        due_s: Some(300.0),
+        single_zone: false,
+        checkpoint_interval_s: 0.0,
+        checkpoint_cost_s: 0.0,
+        deadline_s: Some(300.0),
         ..gang(id, tasks)
     }
 }
@@ -116,12 +121,12 @@
         let settings = Settings::parse(&text, "test").unwrap();
         let start = Instant::now() + Duration::from_secs(100_000);
         let mut scene = Self {
-            policy: Policy::new(&settings),
-            cluster: Cluster::take_over(
+            policy: SchedulingPolicy::new(&settings),
+            cluster: Cluster::recover(
                 Term(1),
                 &settings,
                 &Replica::default(),
-                Arc::new(builds()),
+                Arc::new(machine_types()),
                 start,
                 wall(),
             ),
@@ -130,12 +135,12 @@
             rewritten: 0,
             now: start,
             start,
-            seq: 0,
+            sequence: 0,
             revision: 100,
             log: String::new(),
             heard: None,
         };
-        scene.take_over(1);
+        scene.recover(1);
         scene
     }
 
@@ -167,18 +172,18 @@
         self.records.push((key, value));
     }
 
-    pub fn take_over(&mut self, term: u64) {
-        self.cluster = Cluster::take_over(
+    pub fn recover(&mut self, term: u64) {
+        self.cluster = Cluster::recover(
             Term(term),
             &self.settings,
             &self.replica(),
-            Arc::new(builds()),
+            Arc::new(machine_types()),
             self.now,
             wall(),
         );
-        let unsettled = self.cluster.unsettled.len();
+        let unreconciled = self.cluster.unreconciled.len();
         self.note(&format!(
-            "term {term} begins, {unsettled} machines unsettled"
+            "term {term} begins, {unreconciled} machines unsettled"
         ));
     }
 
@@ -236,20 +241,23 @@
         for (job, why) in &decisions.gang_stops {
             self.note(&format!("round: stop gang {job}: {why}"));
         }
-        for halt in &decisions.halts {
-            self.note(&format!("round: stop {} on {}", halt.task, halt.machine));
+        for termination in &decisions.terminations {
+            self.note(&format!(
+                "round: stop {} on {}",
+                termination.task, termination.machine
+            ));
         }
         for (job, why) in &decisions.waits {
             self.note(&format!("round: {job} waits for {why}"));
         }
         self.write(writes_work);
-        let direct = self.cluster.direct_orders(self.now);
+        let direct = self.cluster.direct_commands(self.now);
         for direct in &direct {
-            let Direct { machine, body, .. } = direct;
+            let AddressedCommand { machine, body, .. } = direct;
             let raised = body.token & 0xfffff;
-            let orders = shown(&body.orders);
+            let commands = shown(&body.commands);
             self.note(&format!(
-                "straight to {machine} (raised {raised}): {orders}"
+                "straight to {machine} (raised {raised}): {commands}"
             ));
         }
         decisions
@@ -260,9 +268,9 @@
         for write in self.cluster.due_writes(&replica, self.now) {
             let outcome = if works {
                 self.revision += 1;
-                Outcome::Committed(self.revision)
+                TransactionOutcome::Committed(self.revision)
             } else {
-                Outcome::Failed(StoreError::Refused(503))
+                TransactionOutcome::Failed(StoreError::Refused(503))
             };
             let what = match &write.kind {
                 RecordKind::Sent(_, jobs) => {
@@ -275,7 +283,7 @@
                 RecordKind::Done(id, chunk, bits) => format!("{id} done chunk {chunk} = {bits}"),
                 RecordKind::Finished(id) => format!("{id} is done"),
                 RecordKind::Retired(id) => format!("{id} retired"),
-                RecordKind::Roster(shard, names) => format!("roster {shard} = {names:?}"),
+                RecordKind::Inventory(shard, names) => format!("roster {shard} = {names:?}"),
             };
             self.note(&format!(
                 "write {}: {what}",
@@ -289,19 +297,19 @@
     pub fn report_as(
         &mut self,
         machine: &str,
-        (session, seq, token): (u64, u64, u64),
-        tasks: &[(&str, u64, TaskPhase, Option<Cause>)],
+        (epoch, sequence, token): (u64, u64, u64),
+        tasks: &[(&str, u64, TaskPhase, Option<ExitCause>)],
         own: bool,
     ) -> Verified {
         let source = if own {
-            ReportSource::Worker
+            HeartbeatSource::Worker
         } else {
-            ReportSource::Command(self.now)
+            HeartbeatSource::Command(self.now)
         };
-        let (build, zone) = place_of(machine);
-        let tasks: Vec<ReportedTask> = tasks
+        let (machine_type, zone) = place_of(machine);
+        let tasks: Vec<TaskStatus> = tasks
             .iter()
-            .map(|(task, attempt, phase, cause)| ReportedTask {
+            .map(|(task, attempt, phase, cause)| TaskStatus {
                 task: (*task).to_owned(),
                 attempt: *attempt,
                 phase: *phase,
@@ -313,45 +321,49 @@
             .iter()
             .map(|t| format!("{}#{:x} {:?}{}", t.task, t.attempt, t.phase, cause(t.cause)))
             .collect();
-        let report = Report {
+        let heartbeat = Heartbeat {
             machine: machine.to_owned(),
             address: "127.0.0.1:9".to_owned(),
-            build: build.to_owned(),
+            machine_type: machine_type.to_owned(),
             zone: zone.to_owned(),
             spot: false,
-            session,
-            seq,
+            epoch,
+            sequence,
             token: self
                 .heard
                 .unwrap_or_default()
                 .0
-                .max(Token::first(Term(token)).0),
+                .max(FencingToken::first(Term(token)).0),
             notice_s: None,
             tasks,
         };
-        let verified = self.cluster.report(&report, source, self.now);
+        let verified = self.cluster.apply_heartbeat(&heartbeat, source, self.now);
         let kind = if own { "report" } else { "direct answer" };
         self.note(&format!(
-            "{kind} of {machine} ({session}.{seq} token {token}): [{}] {verified:?}",
+            "{kind} of {machine} ({epoch}.{sequence} token {token}): [{}] {verified:?}",
             list.join(", ")
         ));
         if own && verified == Verified::Newer {
             let id = MachineId(machine.into());
-            let orders = self.cluster.answer(&id, self.now, true);
-            if !orders.is_empty() {
-                self.note(&format!("answer to {machine}: {}", shown(&orders)));
+            let commands = self.cluster.answer(&id, self.now, true);
+            if !commands.is_empty() {
+                self.note(&format!("answer to {machine}: {}", shown(&commands)));
             }
         }
         verified
     }
 
     /// The next report of a machine in session 1 that hears all it is told.
-    pub fn report(&mut self, machine: &str, tasks: &[(&str, u64, TaskPhase, Option<Cause>)]) {
-        self.seq += 1;
+    pub fn heartbeat(
+        &mut self,
+        machine: &str,
+        tasks: &[(&str, u64, TaskPhase, Option<ExitCause>)],
+    ) {
+        self.sequence += 1;
         let token = self.cluster.term.0;
         let id = MachineId(machine.into());
         self.heard = self.cluster.machines.get(&id).map(|m| m.token);
-        self.report_as(machine, (1, self.seq, token), tasks, true);
+        self.report_as(machine, (1, self.sequence, token), tasks, true);
         self.heard = None;
     }
 
@@ -362,7 +374,7 @@
             .map(|name| ListedMachine {
                 id: (*name).to_owned(),
                 address: "127.0.0.1:9".to_owned(),
-                build: place_of(name).0.to_owned(),
+                machine_type: place_of(name).0.to_owned(),
                 zone: place_of(name).1.to_owned(),
                 spot: false,
                 status: "running".to_owned(),
@@ -375,7 +387,7 @@
     /// Machines that have reported and are on the roster.
     pub fn machines(&mut self, names: &[&str]) {
         for name in names {
-            self.report(name, &[]);
+            self.heartbeat(name, &[]);
         }
         self.round();
     }
@@ -387,7 +399,7 @@
         let actions = fleet::plan(&FleetView {
             cluster: &self.cluster,
             policy: &self.policy,
-            short: &decisions.short,
+            unmet_demand: &decisions.unmet_demand,
             market: &market,
             idle_policy,
             now: self.now,
@@ -404,10 +416,10 @@
     s.machines(&["m-c1n", "m-c2n", "m-c3n"]);
     s.submit(gang("wk-000001", 2));
     s.round();
-    s.report("m-c1n", &[]);
-    s.report("m-c2n", &[]);
-    s.report("m-c1n", &[("wk-000001/0", FIRST, RUNNING, None)]);
-    s.report("m-c2n", &[("wk-000001/1", FIRST, RUNNING, None)]);
+    s.heartbeat("m-c1n", &[]);
+    s.heartbeat("m-c2n", &[]);
+    s.heartbeat("m-c1n", &[("wk-000001/0", FIRST, RUNNING, None)]);
+    s.heartbeat("m-c2n", &[("wk-000001/1", FIRST, RUNNING, None)]);
     s
 }
 
@@ -456,14 +468,14 @@
     ]
 }
 
-pub fn roster(machines: &[&str]) -> (String, knotlanding::store::Value) {
+pub fn inventory(machines: &[&str]) -> (String, knotlanding::store::Value) {
     let machines = machines.iter().map(|m| (*m).to_owned()).collect();
-    (keys::roster(0), to_value(&RosterRecord { machines }))
+    (keys::inventory(0), to_value(&InventoryRecord { machines }))
 }
 
 /// `m-c1n`: the first cpu machine in the north; `m-g2s`: the second gpu one in the south.
 pub fn place_of(machine: &str) -> (&'static str, &'static str) {
-    let build = if machine.contains('c') {
+    let machine_type = if machine.contains('c') {
         "cpu16"
     } else {
         "gpu2"
@@ -473,22 +485,22 @@
     } else {
         "south"
     };
-    (build, zone)
+    (machine_type, zone)
 }
 
-pub fn cause(cause: Option<Cause>) -> String {
+pub fn cause(cause: Option<ExitCause>) -> String {
     cause.map_or(String::new(), |cause| format!("({cause:?})"))
 }
 
-pub fn shown(orders: &[Order]) -> String {
-    let each = orders.iter().map(|order| match order {
-        Order::Run { task, attempt } => format!("run {task}#{attempt:x}"),
-        Order::Kill {
+pub fn shown(commands: &[WorkerCommand]) -> String {
+    let each = commands.iter().map(|command| match command {
+        WorkerCommand::Run { task, attempt } => format!("run {task}#{attempt:x}"),
+        WorkerCommand::Kill {
             task,
             attempt,
             grace_s,
         } => format!("kill {task}#{attempt:x} grace {grace_s}"),
-        Order::Clear { task, attempt } => format!("clear {task}#{attempt:x}"),
+        WorkerCommand::Clear { task, attempt } => format!("clear {task}#{attempt:x}"),
     });
     each.collect::<Vec<_>>().join("; ")
 }
@@ -497,12 +509,16 @@
 pub const FIRST: u64 = 1 << 32 | 1;
 pub const SECOND: u64 = FIRST + 1;
 pub const RUNNING: TaskPhase = TaskPhase::Running;
-pub const GATHERING: TaskPhase = TaskPhase::Gathering;
+pub const GATHERING: TaskPhase = TaskPhase::AwaitingGang;
 pub const EXITED: TaskPhase = TaskPhase::Exited;
 
 /// A machine whose reports arrive, in the words of the report that shows only the first token.
-pub fn deaf_report(s: &mut Scene, machine: &str, tasks: &[(&str, u64, TaskPhase, Option<Cause>)]) {
-    s.seq += 1;
-    let seq = s.seq;
-    s.report_as(machine, (1, seq, 1), tasks, true);
+pub fn deaf_report(
+    s: &mut Scene,
+    machine: &str,
+    tasks: &[(&str, u64, TaskPhase, Option<ExitCause>)],
+) {
+    s.sequence += 1;
+    let sequence = s.sequence;
+    s.report_as(machine, (1, sequence, 1), tasks, true);
 }
--- a/tests/common/world.rs
+++ b/tests/common/world.rs
@@ -36,27 +36,32 @@
 use actix_web::HttpResponse;
 use futures_util::FutureExt;
 use knotlanding::api::workers::{receive, Reception};
-use knotlanding::cluster::{Cluster, Direct, Machine, RecordKind, ReportSource, Verified};
+use knotlanding::cluster::{
+    AddressedCommand, Cluster, HeartbeatSource, Machine, RecordKind, Verified,
+};
 use knotlanding::config::{Peer, Settings, WorkerSettings};
-use knotlanding::demand::Short;
+use knotlanding::demand::UnmetDemand;
 use knotlanding::fleet::{self, Action, FleetView, IdlePolicy, Market};
-use knotlanding::leader::{Lead, OwnLease};
-use knotlanding::model::{Amount, JobId, JobSpec, MachineId, Offer, Shape, Term, Token, Verdict};
-use knotlanding::policy::Policy;
+use knotlanding::leader::{HeldLease, Leadership};
+use knotlanding::model::{
+    FencingToken, JobId, JobKind, JobSpec, MachineId, MachinePool, Resources, Term, Verdict,
+};
+use knotlanding::policy::SchedulingPolicy;
 use knotlanding::sched::{self, Decisions};
 use knotlanding::service::Shared;
 use knotlanding::store::keys::{self, JobRecord, LeaderRecord, LiveRecord, TermRecord};
 use knotlanding::store::{
-    to_value, Change, Condition, Event, Group, Outcome, Row, StoreError, Value,
+    to_value, Change, Condition, Event, Row, StoreError, Transaction, TransactionOutcome, Value,
 };
 use knotlanding::timing::{renew_every, LEASE_TIME_MIN};
 use knotlanding::wire::{
-    self, Cause, ListedMachine, Order, Redirect, Report, ReportAnswer, ReportedTask, TaskPhase,
+    self, ExitCause, Heartbeat, HeartbeatResponse, ListedMachine, Redirect, TaskPhase, TaskStatus,
+    WorkerCommand,
 };
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-use crate::scene::builds;
+use crate::scene::machine_types;
 use controllers::Node;
 use delivery::Mail;
 pub use faults::{trouble, Fault, Trouble};
@@ -84,7 +89,7 @@
     pub t: f64,
     start: Instant,
     settings: Settings,
-    policy: Policy,
+    policy: SchedulingPolicy,
     store: Store,
     out_until: f64,
     slow: (f64, f64),
@@ -108,12 +113,12 @@
     pub stale_batches: usize,
     /// Answers that followers passed on.
     pub passed_on: usize,
-    kept: Vec<Report>,
+    kept: Vec<Heartbeat>,
     nodes: Vec<Node>,
     workers: BTreeMap<String, Worker>,
     machines_ever: usize,
     /// Gone machines that the list still shows, with the time until which it does.
-    dead: BTreeMap<String, (Offer, f64)>,
+    dead: BTreeMap<String, (MachinePool, f64)>,
     mail: Vec<(f64, u64, Mail)>,
     posted: u64,
     jobs: BTreeMap<String, Wanted>,
@@ -123,7 +128,7 @@
     pub started_cancelled: usize,
     /// Started tasks.
     pub starts: usize,
-    pub take_overs: usize,
+    pub failovers: usize,
     pub kept_delivered: usize,
     /// The nodes refuse each other's connections.
     pub peers_refuse: bool,
@@ -147,7 +152,7 @@
             rng: StdRng::seed_from_u64(seed),
             t: 0.0,
             start,
-            policy: Policy::new(&settings),
+            policy: SchedulingPolicy::new(&settings),
             store: Store::default(),
             out_until: 0.0,
             slow: (0.0, 0.0),
@@ -178,7 +183,7 @@
             broken: Vec::new(),
             started_cancelled: 0,
             starts: 0,
-            take_overs: 0,
+            failovers: 0,
             kept_delivered: 0,
             // What peers tell only makes things faster; nothing may hang on it.
             peers_refuse: seed % 2 == 1,
@@ -192,13 +197,13 @@
             world.nodes.push(node);
         }
         for at in 0..6 {
-            let offer = Offer {
-                build: if at % 2 == 0 { "cpu16" } else { "gpu2" }.to_owned(),
+            let pool = MachinePool {
+                machine_type: if at % 2 == 0 { "cpu16" } else { "gpu2" }.to_owned(),
                 zone: if at % 4 < 2 { "north" } else { "south" }.to_owned(),
                 spot: false,
             };
             let name = world.new_name();
-            world.boot(name, offer);
+            world.boot(name, pool);
         }
         world
     }
@@ -294,7 +299,7 @@
 
     /// Sessions that ended with their lease, on the machines that are there.
     pub fn sessions_ended(&self) -> u64 {
-        self.workers.values().map(|w| w.session - 1).sum()
+        self.workers.values().map(|w| w.epoch - 1).sum()
     }
 
     /// Who leads.
@@ -319,7 +324,7 @@
                 let job = cluster.jobs.get(&JobId::parse(id).unwrap());
                 lines.push(format!(
                     "knot-{n}: {job:?}, unsettled {:?}",
-                    cluster.unsettled
+                    cluster.unreconciled
                 ));
             }
         }
--- a/tests/common/world/controllers.rs
+++ b/tests/common/world/controllers.rs
@@ -5,7 +5,7 @@
 pub(super) struct Node {
     pub(super) name: String,
     pub(super) shared: Arc<Shared>,
-    pub(super) life: u64,
+    pub(super) incarnation: u64,
     pub(super) up: bool,
     pub(super) back_at: f64,
     pub(super) frozen_until: f64,
@@ -19,7 +19,7 @@
     pub(super) round_due: Option<(Term, f64)>,
     pub(super) rest_until: f64,
     pub(super) fleet_at: f64,
-    pub(super) short: Vec<Short>,
+    pub(super) unmet_demand: Vec<UnmetDemand>,
     pub(super) market: Market,
     pub(super) held: Vec<Mail>,
     pub(super) forwarded: Forwarded,
@@ -27,7 +27,7 @@
 }
 
 impl World {
-    pub(super) fn fresh_node(&self, number: usize, life: u64) -> Node {
+    pub(super) fn fresh_node(&self, number: usize, incarnation: u64) -> Node {
         let mut settings = self.settings.clone();
         settings.member = format!("knot-{number}");
         let others = (0..3).filter(|other| *other != number);
@@ -39,11 +39,11 @@
             })
             .collect();
         let shared = Shared::with_features(settings, self.features());
-        *shared.catalog.lock() = Some(Arc::new(builds()));
+        *shared.catalog.lock() = Some(Arc::new(machine_types()));
         Node {
             name: format!("knot-{number}"),
             shared,
-            life,
+            incarnation,
             up: true,
             back_at: 0.0,
             frozen_until: 0.0,
@@ -57,7 +57,7 @@
             round_due: None,
             rest_until: 0.0,
             fleet_at: self.t + 1.0,
-            short: Vec::new(),
+            unmet_demand: Vec::new(),
             market: Market::default(),
             held: Vec::new(),
             forwarded: Forwarded::default(),
@@ -77,11 +77,13 @@
         let shared = self.nodes[n].shared.clone();
         let failed = match &answered {
             StoreResponse::Failed(error) => Some(error.clone()),
-            StoreResponse::Outcome(Outcome::Failed(error)) => Some(error.clone()),
+            StoreResponse::TransactionOutcome(TransactionOutcome::Failed(error)) => {
+                Some(error.clone())
+            }
             _ => None,
         };
         if failed.as_ref().is_some_and(StoreError::contact_lost) {
-            shared.role.lock().freshness().doubt(now);
+            shared.election.lock().freshness().doubt(now);
         }
         self.note_store(n, &why, failed.as_ref(), sent);
         match (&why, answered) {
@@ -100,7 +102,7 @@
                 shared.replica_complete(sent_at);
             }
             (RequestPurpose::Grant, StoreResponse::Lease(id)) => {
-                shared.role.lock().lease = Some(OwnLease {
+                shared.election.lock().lease = Some(HeldLease {
                     id,
                     renewed: sent_at,
                 });
@@ -108,34 +110,53 @@
                 return;
             }
             (RequestPurpose::Renew(id), StoreResponse::Fine) => {
-                shared.role.lock().renewed(*id, sent_at)
+                shared.election.lock().renewed(*id, sent_at)
             }
             (RequestPurpose::Renew(_), StoreResponse::LeaseOver) => self.step_down(n),
-            (RequestPurpose::Write(kind, term), StoreResponse::Outcome(outcome)) => {
+            (RequestPurpose::Write(kind, term), StoreResponse::TransactionOutcome(outcome)) => {
                 self.written(n, kind, *term, &outcome);
             }
             (RequestPurpose::Write(kind, term), StoreResponse::Failed(error)) => {
-                self.written(n, kind, *term, &Outcome::Failed(error));
+                self.written(n, kind, *term, &TransactionOutcome::Failed(error));
             }
-            (RequestPurpose::Submit(id), StoreResponse::Outcome(Outcome::Committed(_))) => {
+            (
+                RequestPurpose::Submit(id),
+                StoreResponse::TransactionOutcome(TransactionOutcome::Committed(_)),
+            ) => {
                 // The answer reaches the user a little later; by then others may know more.
                 self.told(id, sent, Some(Verdict::Accepted));
             }
-            (RequestPurpose::Submit(id), StoreResponse::Outcome(Outcome::Conflict { .. })) => {
-                self.poll(id)
-            }
-            (RequestPurpose::Cancel(id), StoreResponse::Outcome(Outcome::Committed(_))) => {
-                let job = JobId::parse(id).unwrap();
-                shared.cancellation_recorded(&job);
-                let jobs = std::mem::take(&mut *shared.cancelled.lock());
-                let refuse = self.peers_refuse;
-                for peer in (0..3).filter(|peer| *peer != n && !refuse) {
-                    self.send(Mail::Cancelled(peer, jobs.clone()));
-                }
+            (
+                RequestPurpose::Submit(id),
+                StoreResponse::TransactionOutcome(TransactionOutcome::Conflict { .. }),
+            ) => self.poll(id),
+            (
+                RequestPurpose::Cancel(id),
+                StoreResponse::TransactionOutcome(TransactionOutcome::Committed(_)),
+            ) => {
+                self.notify_cancellation(n, id);
                 self.told(id, sent, Some(Verdict::Cancelled));
             }
             _ => {}
         }
+        self.request_ended(n, why, failed.is_none(), sent);
+    }
+
+    /// A cancellation is on record: the node tells its peers.
+    fn notify_cancellation(&mut self, n: usize, id: &str) {
+        let shared = self.nodes[n].shared.clone();
+        let job = JobId::parse(id).unwrap();
+        shared.cancellation_recorded(&job);
+        let jobs = std::mem::take(&mut *shared.cancelled.lock());
+        let refuse = self.peers_refuse;
+        for peer in (0..3).filter(|peer| *peer != n && !refuse) {
+            self.send(Mail::Cancelled(peer, jobs.clone()));
+        }
+    }
+
+    /// What follows the end of a request, whatever its answer was.
+    fn request_ended(&mut self, n: usize, why: RequestPurpose, succeeded: bool, sent: f64) {
+        let shared = self.nodes[n].shared.clone();
         match why {
             RequestPurpose::Load | RequestPurpose::Read => self.nodes[n].reading = false,
             RequestPurpose::Renew(_) => self.nodes[n].renewing = false,
@@ -143,14 +164,12 @@
                 self.nodes[n].electing = false;
                 self.nodes[n].elect_at = self.t + self.rng.random_range(0.15..0.3);
             }
-            RequestPurpose::Poll(id) if failed.is_none() => {
+            RequestPurpose::Poll(id) if succeeded => {
                 let verdict = shared.replica.lock().verdict(&JobId::parse(&id).unwrap());
                 let verdict = verdict.unwrap().map(|(verdict, _)| verdict);
                 self.told(&id, sent, verdict);
             }
-            RequestPurpose::CancelRead(id) if failed.is_none() => {
-                self.write_cancellation(n, &id, sent)
-            }
+            RequestPurpose::CancelRead(id) if succeeded => self.write_cancellation(n, &id, sent),
             _ => {}
         }
     }
@@ -173,9 +192,9 @@
             tasks: self.jobs[id].spec.tasks,
             live,
         };
-        let group = Group {
-            when: vec![Condition::new(keys::job(&job), version)],
-            apply: vec![Change::put(keys::job(&job), to_value(&record))],
+        let group = Transaction {
+            conditions: vec![Condition::new(keys::job(&job), version)],
+            changes: vec![Change::put(keys::job(&job), to_value(&record))],
         };
         self.ask(
             n,
@@ -196,12 +215,12 @@
             term,
             lease,
         };
-        let group = Group {
-            when: vec![
+        let group = Transaction {
+            conditions: vec![
                 Condition::new(keys::LEADER, 0),
                 Condition::new(keys::TERM, version),
             ],
-            apply: vec![
+            changes: vec![
                 Change::Put {
                     key: keys::LEADER.to_owned(),
                     value: to_value(&record),
@@ -215,14 +234,19 @@
 
     pub(super) fn step_down(&mut self, n: usize) {
         let shared = &self.nodes[n].shared;
-        let mut role = shared.role.lock();
-        role.lease = None;
-        role.drop_lead();
+        let mut election = shared.election.lock();
+        election.lease = None;
+        election.step_down();
         *shared.cluster.lock() = None;
     }
 
     pub(super) fn leave_lease(&mut self, n: usize) {
-        let lease = self.nodes[n].shared.role.lock().lease.map(|lease| lease.id);
+        let lease = self.nodes[n]
+            .shared
+            .election
+            .lock()
+            .lease
+            .map(|lease| lease.id);
         self.step_down(n);
         if let Some(lease) = lease {
             self.ask(n, StoreRequest::End(lease), RequestPurpose::End);
@@ -234,8 +258,8 @@
         let now = self.instant();
         let leader = shared.replica.lock().leader.clone();
         let Some(leader) = leader else {
-            let stands_back = shared.role.lock().stands_back(now);
-            let may = self.t >= self.nodes[n].elect_at && !stands_back;
+            let in_backoff = shared.election.lock().in_backoff(now);
+            let may = self.t >= self.nodes[n].elect_at && !in_backoff;
             if !self.nodes[n].electing && may && !self.yields(n) {
                 self.leave_lease(n);
                 self.nodes[n].electing = true;
@@ -244,16 +268,16 @@
             return;
         };
         self.nodes[n].links.vacant_since = None;
-        if shared.role.lock().record_is_ours(&leader.record) {
-            if shared.role.lock().own_term().is_none() {
-                self.take_over(n, leader.record.term, leader.version);
+        if shared.election.lock().record_is_ours(&leader.record) {
+            if shared.election.lock().own_term().is_none() {
+                self.recover(n, leader.record.term, leader.version);
             }
-            if shared.role.lock().reads_nothing(now) || self.outclassed(n) {
-                shared.role.lock().stand_back(now);
+            if shared.election.lock().reads_nothing(now) || self.outclassed(n) {
+                shared.election.lock().back_off(now);
                 self.leave_lease(n);
                 return;
             }
-            let lease = shared.role.lock().lease.unwrap();
+            let lease = shared.election.lock().lease.unwrap();
             if !self.nodes[n].renewing && now >= lease.renewed + renew_every(LEASE_TIME_MIN) {
                 self.nodes[n].renewing = true;
                 self.ask(
@@ -264,7 +288,7 @@
             }
             return;
         }
-        if shared.role.lock().lease.is_some() && !self.nodes[n].electing {
+        if shared.election.lock().lease.is_some() && !self.nodes[n].electing {
             self.leave_lease(n);
         }
         let former = leader.record.member == self.nodes[n].name;
@@ -278,11 +302,11 @@
         }
     }
 
-    pub(super) fn take_over(&mut self, n: usize, term: Term, version: u64) {
-        self.take_overs += 1;
+    pub(super) fn recover(&mut self, n: usize, term: Term, version: u64) {
+        self.failovers += 1;
         let shared = self.nodes[n].shared.clone();
         let catalog = shared.catalog.lock().clone().unwrap();
-        let cluster = Cluster::take_over(
+        let cluster = Cluster::recover(
             term,
             &shared.settings,
             &shared.replica.lock(),
@@ -291,19 +315,25 @@
             self.wall(),
         );
         *shared.cluster.lock() = Some(cluster);
-        shared.role.lock().take(Lead { term, version });
+        shared.election.lock().take(Leadership { term, version });
         // Copies that were kept for the next leader come to every node now.
-        for report in std::mem::take(&mut self.kept) {
+        for heartbeat in std::mem::take(&mut self.kept) {
             for node in 0..3 {
                 self.kept_delivered += 1;
                 let after = self.rng.random_range(0.0..3.0);
-                let report = Box::new(report.clone());
-                self.post(after, Mail::Report(node, report, None));
+                let heartbeat = Box::new(heartbeat.clone());
+                self.post(after, Mail::Heartbeat(node, heartbeat, None));
             }
         }
     }
 
-    pub(super) fn written(&mut self, n: usize, kind: &RecordKind, term: Term, outcome: &Outcome) {
+    pub(super) fn written(
+        &mut self,
+        n: usize,
+        kind: &RecordKind,
+        term: Term,
+        outcome: &TransactionOutcome,
+    ) {
         if !outcome.committed() {
             self.nodes[n].rest_until = self.t + 0.4;
         }
@@ -317,17 +347,19 @@
     pub(super) fn round(&mut self, n: usize) {
         let now = self.instant();
         let shared = self.nodes[n].shared.clone();
-        let Some(lead) = shared.role.lock().leading(now) else {
+        let Some(leadership) = shared.election.lock().leadership(now) else {
             return;
         };
-        let starting = shared.starting(now).is_some();
-        let due = self.nodes[n].round_due.replace((lead.term, self.t + 1.0));
+        let starting = shared.leadership_for_starts(now).is_some();
+        let due = self.nodes[n]
+            .round_due
+            .replace((leadership.term, self.t + 1.0));
         let direct = {
             let mut guard = shared.cluster.lock();
-            let Some(cluster) = guard.as_mut().filter(|c| c.term == lead.term) else {
+            let Some(cluster) = guard.as_mut().filter(|c| c.term == leadership.term) else {
                 return;
             };
-            if let Some((_, due)) = due.filter(|(term, _)| *term == lead.term) {
+            if let Some((_, due)) = due.filter(|(term, _)| *term == leadership.term) {
                 if self.t - due > 1.5 {
                     cluster.resume(Duration::from_secs_f64(self.t - due), now);
                 }
@@ -341,9 +373,9 @@
             sched::apply(cluster, &decisions, now);
             cluster.dirty = false;
             if starting {
-                self.nodes[n].short = decisions.short;
+                self.nodes[n].unmet_demand = decisions.unmet_demand;
             }
-            cluster.direct_orders(now)
+            cluster.direct_commands(now)
         };
         if self.t >= self.nodes[n].rest_until {
             let writes = {
@@ -352,16 +384,24 @@
                 guard.as_mut().unwrap().due_writes(&replica, now)
             };
             for mut write in writes {
-                let condition = Condition::new(keys::LEADER, lead.version);
-                write.group.when.push(condition);
-                let why = RequestPurpose::Write(write.kind, lead.term);
+                let condition = Condition::new(keys::LEADER, leadership.version);
+                write.group.conditions.push(condition);
+                let why = RequestPurpose::Write(write.kind, leadership.term);
                 self.ask(n, StoreRequest::Multi(write.group), why);
             }
         }
-        for Direct { machine, body, .. } in direct {
-            let life = self.nodes[n].life;
+        for AddressedCommand { machine, body, .. } in direct {
+            let incarnation = self.nodes[n].incarnation;
             let machine = machine.0.to_string();
-            let mail = Mail::Direct(n, life, machine, body.token, body.session, body.orders, now);
+            let mail = Mail::AddressedCommand(
+                n,
+                incarnation,
+                machine,
+                body.token,
+                body.epoch,
+                body.commands,
+                now,
+            );
             if !self.cut_from_workers(n) {
                 self.send(mail);
             }
@@ -376,11 +416,11 @@
     pub(super) fn fleet(&mut self, n: usize) {
         let now = self.instant();
         let shared = self.nodes[n].shared.clone();
-        if shared.role.lock().leading(now).is_none() {
+        if shared.election.lock().leadership(now).is_none() {
             return;
         }
         let list = self.list();
-        let life = self.nodes[n].life;
+        let incarnation = self.nodes[n].incarnation;
         let actions = {
             let mut guard = shared.cluster.lock();
             let Some(cluster) = guard.as_mut() else {
@@ -395,7 +435,7 @@
             let actions = fleet::plan(&FleetView {
                 cluster,
                 policy: &self.policy,
-                short: &self.nodes[n].short,
+                unmet_demand: &self.nodes[n].unmet_demand,
                 market: &self.nodes[n].market,
                 idle_policy: IdlePolicy::default(),
                 now,
@@ -404,7 +444,7 @@
                 if let Action::Return(ids, _) = action {
                     for id in ids {
                         if let Some(machine) = cluster.machines.get_mut(id) {
-                            machine.returning = true;
+                            machine.releasing = true;
                         }
                     }
                 }
@@ -413,8 +453,8 @@
         };
         for action in actions {
             match action {
-                Action::Rent(offer, count) => self.send(Mail::Rent(n, life, offer, count)),
-                Action::Return(ids, _) => self.send(Mail::Return(n, life, ids)),
+                Action::Rent(pool, count) => self.send(Mail::Rent(n, incarnation, pool, count)),
+                Action::Return(ids, _) => self.send(Mail::Return(n, incarnation, ids)),
             }
         }
     }
@@ -422,9 +462,9 @@
     pub(super) fn node(&mut self, n: usize) {
         if !self.nodes[n].up {
             if self.t >= self.nodes[n].back_at {
-                let life = self.nodes[n].life + 1;
-                self.nodes[n] = self.fresh_node(n, life);
-                self.number_life(n, life);
+                let incarnation = self.nodes[n].incarnation + 1;
+                self.nodes[n] = self.fresh_node(n, incarnation);
+                self.number_incarnation(n, incarnation);
             }
             return;
         }
@@ -435,7 +475,7 @@
             self.deliver(mail);
         }
         let now = self.instant();
-        let wants = self.nodes[n].shared.role.lock().wants_proof(now);
+        let wants = self.nodes[n].shared.election.lock().requires_read(now);
         let due = self.t >= self.nodes[n].read_at || wants;
         if !self.nodes[n].reading && due {
             self.nodes[n].reading = true;
@@ -466,11 +506,11 @@
     pub(super) fn at_node(
         &mut self,
         n: usize,
-        life: Option<u64>,
+        incarnation: Option<u64>,
         again: impl Fn() -> Mail,
     ) -> bool {
         let node = &mut self.nodes[n];
-        if !node.up || life.is_some_and(|life| life != node.life) {
+        if !node.up || incarnation.is_some_and(|incarnation| incarnation != node.incarnation) {
             return false;
         }
         if node.frozen_until > self.t {
@@ -481,9 +521,9 @@
     }
 
     pub(super) fn leader(&self) -> Option<usize> {
-        let leads = |node: &Node| node.up && node.shared.role.lock().own_term().is_some();
+        let leads = |node: &Node| node.up && node.shared.election.lock().own_term().is_some();
         let mut leading: Vec<usize> = (0..3).filter(|n| leads(&self.nodes[*n])).collect();
-        leading.sort_by_key(|n| self.nodes[*n].shared.role.lock().own_term());
+        leading.sort_by_key(|n| self.nodes[*n].shared.election.lock().own_term());
         leading.pop()
     }
 
--- a/tests/common/world/delivery.rs
+++ b/tests/common/world/delivery.rs
@@ -10,24 +10,24 @@
     ToStore(usize, u64, StoreRequest, RequestPurpose, f64),
     FromStore(usize, u64, StoreResponse, RequestPurpose, f64),
     /// Applied late, nobody waits for it.
-    LateWrite(Group),
-    Report(usize, Box<Report>, Option<u64>),
+    LateWrite(Transaction),
+    Heartbeat(usize, Box<Heartbeat>, Option<u64>),
     Reply(
         String,
         u64,
         u64,
         u16,
         Option<String>,
-        Option<(u64, Vec<Order>)>,
+        Option<(u64, Vec<WorkerCommand>)>,
     ),
-    Direct(usize, u64, String, u64, u64, Vec<Order>, Instant),
-    DirectReply(usize, u64, Box<Report>, u64, Instant),
+    AddressedCommand(usize, u64, String, u64, u64, Vec<WorkerCommand>, Instant),
+    DirectReply(usize, u64, Box<Heartbeat>, u64, Instant),
     Cancelled(usize, Vec<JobId>),
     Return(usize, u64, Vec<MachineId>),
     Returned(usize, u64, Vec<MachineId>),
-    Rent(usize, u64, Offer, u32),
-    Rented(usize, u64, Offer, Vec<String>),
-    Boot(String, Offer),
+    Rent(usize, u64, MachinePool, u32),
+    Rented(usize, u64, MachinePool, Vec<String>),
+    Boot(String, MachinePool),
     /// To a node: the bytes, the follower with its life, and the batch's number there.
     Batch(usize, Vec<u8>, usize, u64, u64),
     /// To a follower: its life, the batch's number, and the body or the status.
@@ -47,7 +47,9 @@
     pub(super) fn deliver(&mut self, mail: Mail) {
         let t = self.t;
         match mail {
-            Mail::ToStore(n, life, ask, why, sent) => self.serve(n, life, ask, why, sent),
+            Mail::ToStore(n, incarnation, ask, why, sent) => {
+                self.serve(n, incarnation, ask, why, sent)
+            }
             Mail::LateWrite(group) => {
                 if t < self.out_until {
                     self.post(1.0, Mail::LateWrite(group));
@@ -56,9 +58,9 @@
                     self.store.multi(&group);
                 }
             }
-            Mail::FromStore(n, life, answered, why, sent) => {
-                if self.at_node(n, Some(life), || {
-                    Mail::FromStore(n, life, answered.clone(), why.clone(), sent)
+            Mail::FromStore(n, incarnation, answered, why, sent) => {
+                if self.at_node(n, Some(incarnation), || {
+                    Mail::FromStore(n, incarnation, answered.clone(), why.clone(), sent)
                 }) {
                     self.answered(n, answered, why, sent);
                 }
@@ -68,67 +70,71 @@
                     self.nodes[n].shared.cancel_tasks(&jobs);
                 }
             }
-            Mail::Report(n, report, number) => self.report_arrives(n, report, number),
-            Mail::Batch(to, bytes, from, life, id) => {
-                let again = || Mail::Batch(to, bytes.clone(), from, life, id);
+            Mail::Heartbeat(n, heartbeat, number) => self.report_arrives(n, heartbeat, number),
+            Mail::Batch(to, bytes, from, incarnation, id) => {
+                let again = || Mail::Batch(to, bytes.clone(), from, incarnation, id);
                 if self.at_node(to, None, again) {
-                    self.batch_arrives(to, &bytes, (from, life, id));
+                    self.batch_arrives(to, &bytes, (from, incarnation, id));
                 }
             }
-            Mail::BatchAnswer(n, life, id, answer) => {
-                let again = || Mail::BatchAnswer(n, life, id, answer.clone());
-                if self.at_node(n, Some(life), again) {
+            Mail::BatchAnswer(n, incarnation, id, answer) => {
+                let again = || Mail::BatchAnswer(n, incarnation, id, answer.clone());
+                if self.at_node(n, Some(incarnation), again) {
                     self.batch_answered(n, id, answer);
                 }
             }
             Mail::Row(..) | Mail::RowAnswered(..) => self.deliver_row(mail),
-            Mail::Reply(name, session, number, status, redirect, told) => {
+            Mail::Reply(name, epoch, number, status, redirect, told) => {
                 let hung = |w: &Worker| w.hung_until > t;
                 if self.workers.get(&name).is_some_and(hung) {
                     return;
                 }
-                self.reply(&name, (session, number, status), redirect, told);
+                self.reply(&name, (epoch, number, status), redirect, told);
             }
-            Mail::Direct(n, life, name, token, session, orders, asked) => {
-                let command = (token, session, orders);
-                self.command_arrives((n, life), name, command, asked);
+            Mail::AddressedCommand(n, incarnation, name, token, epoch, commands, asked) => {
+                let command = (token, epoch, commands);
+                self.command_arrives((n, incarnation), name, command, asked);
             }
-            Mail::DirectReply(n, life, report, token, asked) => {
-                self.command_answered(n, life, report, token, asked)
+            Mail::DirectReply(n, incarnation, heartbeat, token, asked) => {
+                self.command_answered(n, incarnation, heartbeat, token, asked)
             }
-            Mail::Return(n, life, ids) => {
+            Mail::Return(n, incarnation, ids) => {
                 for id in &ids {
                     self.workers.remove(&*id.0);
                     self.dead.remove(&*id.0);
                 }
-                self.send(Mail::Returned(n, life, ids));
+                self.send(Mail::Returned(n, incarnation, ids));
             }
-            Mail::Returned(n, life, ids) => {
-                if self.at_node(n, Some(life), || Mail::Returned(n, life, ids.clone())) {
+            Mail::Returned(n, incarnation, ids) => {
+                if self.at_node(n, Some(incarnation), || {
+                    Mail::Returned(n, incarnation, ids.clone())
+                }) {
                     self.nodes[n].shared.machine_gone(&ids);
                 }
             }
-            Mail::Rent(n, life, offer, count) => {
-                let names = self.rent(&offer, count);
-                self.send(Mail::Rented(n, life, offer, names));
+            Mail::Rent(n, incarnation, pool, count) => {
+                let names = self.rent(&pool, count);
+                self.send(Mail::Rented(n, incarnation, pool, names));
+            }
+            Mail::Rented(n, incarnation, pool, names) => {
+                self.rental_answered(n, incarnation, pool, names)
             }
-            Mail::Rented(n, life, offer, names) => self.rental_answered(n, life, offer, names),
-            Mail::Boot(name, offer) => self.boot(name, offer),
+            Mail::Boot(name, pool) => self.boot(name, pool),
         }
     }
 
     /// A row, or what became of one, reaches a node.
     fn deliver_row(&mut self, mail: Mail) {
         match mail {
-            Mail::Row(to, bytes, from, life, sent) => {
-                let again = || Mail::Row(to, bytes.clone(), from, life, sent);
+            Mail::Row(to, bytes, from, incarnation, sent) => {
+                let again = || Mail::Row(to, bytes.clone(), from, incarnation, sent);
                 if self.at_node(to, None, again) {
-                    self.row_arrives(to, &bytes, (from, life, sent));
+                    self.row_arrives(to, &bytes, (from, incarnation, sent));
                 }
             }
-            Mail::RowAnswered(n, life, answer) => {
-                let again = || Mail::RowAnswered(n, life, answer.clone());
-                if self.at_node(n, Some(life), again) {
+            Mail::RowAnswered(n, incarnation, answer) => {
+                let again = || Mail::RowAnswered(n, incarnation, answer.clone());
+                if self.at_node(n, Some(incarnation), again) {
                     self.row_answered(n, answer);
                 }
             }
@@ -137,33 +143,33 @@
     }
 
     /// A worker's report, or a copy of one without a number, reaches a node.
-    fn report_arrives(&mut self, n: usize, report: Box<Report>, number: Option<u64>) {
+    fn report_arrives(&mut self, n: usize, heartbeat: Box<Heartbeat>, number: Option<u64>) {
         if self.cut_from_workers(n) {
             return;
         }
-        let cut = self.link_mode(LinkId::Workers(zone_number(&report.zone), n));
-        let late = Mail::Report(n, report.clone(), None);
+        let cut = self.link_mode(LinkId::Workers(zone_number(&heartbeat.zone), n));
+        let late = Mail::Heartbeat(n, heartbeat.clone(), None);
         if self.keeps_request(&cut, Some(late)) {
             return;
         }
-        if !self.at_node(n, None, || Mail::Report(n, report.clone(), number)) {
+        if !self.at_node(n, None, || Mail::Heartbeat(n, heartbeat.clone(), number)) {
             return;
         }
         let now = self.instant();
-        let body = wire::encode(&*report);
+        let body = wire::encode(&*heartbeat);
         let received = receive(&self.nodes[n].shared, Ok(body.into()), &|| now);
-        let (name, session) = (report.machine.clone(), report.session);
+        let (name, epoch) = (heartbeat.machine.clone(), heartbeat.epoch);
         let answers = cut.mode.answers == Flow::Pass;
         match (received, number.filter(|_| answers)) {
             (Reception::Answered(answer), Some(number)) => {
-                self.answer_worker(&name, (session, number), answer);
+                self.answer_worker(&name, (epoch, number), answer);
             }
             (Reception::Forwarded(pending), Some(number)) => {
-                self.wait_for_leader(n, pending, (name, session, number));
+                self.await_leader(n, pending, (name, epoch, number));
             }
             // A copy: it is forwarded as any report, and nobody waits for its answer.
             (Reception::Forwarded(pending), None) => {
-                self.wait_for_leader(n, pending, (name, session, 0));
+                self.await_leader(n, pending, (name, epoch, 0));
             }
             (Reception::Answered(_), None) => {}
         }
@@ -173,13 +179,13 @@
     fn command_answered(
         &mut self,
         n: usize,
-        life: u64,
-        report: Box<Report>,
+        incarnation: u64,
+        heartbeat: Box<Heartbeat>,
         token: u64,
         asked: Instant,
     ) {
-        if !self.at_node(n, Some(life), || {
-            Mail::DirectReply(n, life, report.clone(), token, asked)
+        if !self.at_node(n, Some(incarnation), || {
+            Mail::DirectReply(n, incarnation, heartbeat.clone(), token, asked)
         }) {
             return;
         }
@@ -187,36 +193,43 @@
         let late = now.saturating_duration_since(asked) > Duration::from_secs(2);
         let shared = self.nodes[n].shared.clone();
         let mut guard = shared.cluster.lock();
-        let term = Token(token).term();
+        let term = FencingToken(token).term();
         if let Some(cluster) = guard.as_mut().filter(|c| c.term == term && !late) {
-            let verified = cluster.report(&report, ReportSource::Command(asked), now);
+            let verified =
+                cluster.apply_heartbeat(&heartbeat, HeartbeatSource::Command(asked), now);
             assert_ne!(verified, Verified::Deposed, "ours was executed or refused");
         }
     }
 
     /// The cloud's answer to a rental reaches the node that asked.
-    fn rental_answered(&mut self, n: usize, life: u64, offer: Offer, names: Vec<String>) {
-        if !self.at_node(n, Some(life), || {
-            Mail::Rented(n, life, offer.clone(), names.clone())
+    fn rental_answered(
+        &mut self,
+        n: usize,
+        incarnation: u64,
+        pool: MachinePool,
+        names: Vec<String>,
+    ) {
+        if !self.at_node(n, Some(incarnation), || {
+            Mail::Rented(n, incarnation, pool.clone(), names.clone())
         }) {
             return;
         }
         let now = self.instant();
         let shared = self.nodes[n].shared.clone();
         if let Some(cluster) = shared.cluster.lock().as_mut() {
-            cluster.hired(&names, &offer, now);
+            cluster.machines_rented(&names, &pool, now);
         }
         if names.is_empty() {
-            self.nodes[n].market.exhausted(&offer, now);
+            self.nodes[n].market.exhausted(&pool, now);
         }
     }
 
     /// A direct command reaches a worker.
     fn command_arrives(
         &mut self,
-        (n, life): (usize, u64),
+        (n, incarnation): (usize, u64),
         name: String,
-        (token, session, orders): (u64, u64, Vec<Order>),
+        (token, epoch, commands): (u64, u64, Vec<WorkerCommand>),
         asked: Instant,
     ) {
         let t = self.t;
@@ -227,11 +240,11 @@
             return;
         }
         if worker.hung_until > t {
-            let mail = Mail::Direct(n, life, name, token, session, orders, asked);
+            let mail = Mail::AddressedCommand(n, incarnation, name, token, epoch, commands, asked);
             worker.held.push(mail);
             return;
         }
-        let obeys = token >= worker.token && session == worker.session;
+        let obeys = token >= worker.token && epoch == worker.epoch;
         if obeys {
             // Heeded once in half a lease.
             let heeds = t - worker.rose_at > self.settings.params.workers.lease_s / 2.0;
@@ -240,9 +253,9 @@
                 worker.changed = true;
             }
             worker.token = token;
-            self.obey(&name, &orders);
+            self.obey(&name, &commands);
         }
-        let report = self.report_of(&name);
-        self.send(Mail::DirectReply(n, life, report, token, asked));
+        let heartbeat = self.report_of(&name);
+        self.send(Mail::DirectReply(n, incarnation, heartbeat, token, asked));
     }
 }
--- a/tests/common/world/faults.rs
+++ b/tests/common/world/faults.rs
@@ -155,12 +155,12 @@
             }
             let name = &names[self.rng.random_range(0..names.len())];
             let worker = self.workers.remove(name).unwrap();
-            let offer = Offer {
-                build: worker.build,
+            let pool = MachinePool {
+                machine_type: worker.machine_type,
                 zone: worker.zone,
                 spot: worker.spot,
             };
-            self.dead.insert(name.clone(), (offer, self.t + 30.0));
+            self.dead.insert(name.clone(), (pool, self.t + 30.0));
         }
     }
 
--- a/tests/common/world/forwarding.rs
+++ b/tests/common/world/forwarding.rs
@@ -5,12 +5,12 @@
 
 use futures_util::FutureExt;
 use knotlanding::api::workers::{no_answer, pass_on};
-use knotlanding::forwarding::messages::{BatchAnswer, ReportBatch, BATCH_VERSION};
+use knotlanding::forwarding::messages::{BatchAnswer, HeartbeatBatch, BATCH_VERSION};
 use knotlanding::forwarding::{
-    gather_time, PathFailure, PendingReport, QueuedReport, ANSWER_LIMIT, BATCH_LIMIT,
+    gather_time, PathFailure, PendingHeartbeat, QueuedHeartbeat, ANSWER_LIMIT, BATCH_LIMIT,
 };
-use knotlanding::leader::Standing;
-use knotlanding::peer::reports::{answer_batch, BatchError};
+use knotlanding::leader::Role;
+use knotlanding::peer::heartbeats::{answer_batch, BatchError};
 use knotlanding::peer::{decode, encode};
 use knotlanding::time::unix_ms;
 use knotlanding_testbed::proxy::Flow;
@@ -34,16 +34,16 @@
 
 /// A worker's connection that waits at a follower.
 struct Waiting {
-    pending: PendingReport,
+    pending: PendingHeartbeat,
     name: String,
-    session: u64,
+    epoch: u64,
     number: u64,
 }
 
 /// A batch under way, with the time by which it is given up.
 struct Underway {
-    batch: Vec<QueuedReport>,
-    leader: knotlanding::leader::KnownLeader,
+    batch: Vec<QueuedHeartbeat>,
+    leader: knotlanding::leader::LeaderHint,
     until: f64,
 }
 
@@ -58,16 +58,16 @@
 
 impl World {
     /// A report was queued at a follower.
-    pub(super) fn wait_for_leader(
+    pub(super) fn await_leader(
         &mut self,
         n: usize,
-        pending: PendingReport,
-        (name, session, number): (String, u64, u64),
+        pending: PendingHeartbeat,
+        (name, epoch, number): (String, u64, u64),
     ) {
         let waiting = Waiting {
             pending,
             name,
-            session,
+            epoch,
             number,
         };
         self.nodes[n].forwarded.waiting.push(waiting);
@@ -84,8 +84,8 @@
         self.nodes[n].forwarded.batch_at = self.t;
         let now = self.instant();
         let shared = self.nodes[n].shared.clone();
-        let standing = shared.role.lock().standing(now);
-        let Standing::Follow(Some(leader)) = standing else {
+        let role = shared.election.lock().role(now);
+        let Role::Follower(Some(leader)) = role else {
             return shared.forwarding.lock().give_up_queued();
         };
         let to = self
@@ -102,12 +102,15 @@
                 shared.forwarding.lock().failed(&leader, failure, now);
                 continue;
             }
-            let message = ReportBatch {
+            let message = HeartbeatBatch {
                 version: BATCH_VERSION,
                 member: self.nodes[n].name.clone(),
                 term: leader.term,
                 sent_at_ms: unix_ms(self.wall_of(n)),
-                reports: batch.iter().map(|queued| queued.report.clone()).collect(),
+                heartbeats: batch
+                    .iter()
+                    .map(|queued| queued.heartbeat.clone())
+                    .collect(),
             };
             let bytes = encode(&message).unwrap();
             let forwarded = &mut self.nodes[n].forwarded;
@@ -137,8 +140,8 @@
         if is_cut || self.rng.random_bool(trouble.lost) {
             return;
         }
-        let life = self.nodes[n].life;
-        let mail = |bytes| Mail::Batch(to, bytes, n, life, id);
+        let incarnation = self.nodes[n].incarnation;
+        let mail = |bytes| Mail::Batch(to, bytes, n, incarnation, id);
         if self.rng.random_bool(trouble.held) {
             let after = self.rng.random_range(2.0..60.0);
             return self.post(after, mail(bytes));
@@ -159,7 +162,7 @@
         &mut self,
         to: usize,
         bytes: &[u8],
-        (from, life, id): (usize, u64, u64),
+        (from, incarnation, id): (usize, u64, u64),
     ) {
         let now = self.instant();
         let wall = self.wall_of(to);
@@ -175,7 +178,7 @@
             return;
         }
         let (trouble, until) = self.batch_trouble;
-        let mail = Mail::BatchAnswer(from, life, id, answer);
+        let mail = Mail::BatchAnswer(from, incarnation, id, answer);
         if self.t < until && self.rng.random_bool(trouble.answers_held) {
             let after = self.rng.random_range(1.0..8.0);
             self.post(after, mail);
@@ -246,7 +249,7 @@
                 self.passed_on += 1;
                 shared.links.worker_answered(&each.pending.machine);
             }
-            self.answer_worker(&each.name, (each.session, each.number), answer);
+            self.answer_worker(&each.name, (each.epoch, each.number), answer);
         }
     }
 }
--- a/tests/common/world/invariants.rs
+++ b/tests/common/world/invariants.rs
@@ -10,7 +10,7 @@
     pub(super) fn check(&mut self) {
         let cancel_s = self.timing().cancel_s;
         let mut broken = Vec::new();
-        let mut used: HashMap<String, Amount> = HashMap::new();
+        let mut used: HashMap<String, Resources> = HashMap::new();
         for (name, worker) in self.workers.iter().filter(|(_, w)| self.goes_on(w)) {
             for ((task, _), state) in &worker.tasks {
                 let (job, _) = task_parts(task);
@@ -18,7 +18,7 @@
                     continue;
                 };
                 let sum = used.entry(job.spec.team.clone()).or_default();
-                sum.add(&job.spec.need);
+                sum.add(&job.spec.task_resources);
                 let late = job.told_cancelled.is_some_and(|at| self.t > at + cancel_s);
                 if late && worker.hung_until <= self.t {
                     broken.push(("ran_cancelled", format!("{task} on {name}")));
@@ -54,33 +54,35 @@
         if waiting == 0 {
             return false;
         }
-        let gang = job.spec.shape == Shape::Gang;
+        let gang = job.spec.kind == JobKind::Gang;
         if gang && waiting < job.spec.tasks {
             // The rest of it has to stop first.
             return false;
         }
         let wanted = if gang { waiting } else { 1 };
-        let mut used = job.spec.need.times(wanted);
+        let mut used = job.spec.task_resources.times(wanted);
         let mut zones: BTreeMap<&str, u32> = BTreeMap::new();
         for worker in self.workers.values() {
-            let mut taken = job.spec.need;
+            let mut taken = job.spec.task_resources;
             for ((task, _), state) in &worker.tasks {
                 let other = &self.jobs[task_parts(task).0].spec;
                 if state.phase != TaskPhase::Exited {
-                    taken.add(&other.need);
+                    taken.add(&other.task_resources);
                     if other.team == job.spec.team {
-                        used.add(&other.need);
+                        used.add(&other.task_resources);
                     }
                 }
             }
-            let build = builds().into_iter().find(|b| b.name == worker.build);
-            if build.is_some_and(|build| taken.fits(&build.room)) {
+            let machine_type = machine_types()
+                .into_iter()
+                .find(|b| b.name == worker.machine_type);
+            if machine_type.is_some_and(|machine_type| taken.fits(&machine_type.room)) {
                 *zones.entry(&worker.zone).or_default() += 1;
             }
         }
         let room = zones.values().any(|count| *count >= wanted);
         // An array bound to one zone has room where its other tasks are, or anywhere without any.
-        let bound = job.spec.one_zone && !gang && waiting < job.spec.tasks;
+        let bound = job.spec.single_zone && !gang && waiting < job.spec.tasks;
         room && !bound && self.policy.within_limit(&job.spec.team, &used)
     }
 
--- a/tests/common/world/links.rs
+++ b/tests/common/world/links.rs
@@ -7,9 +7,9 @@
 use knotlanding::peer::encode;
 use knotlanding::peer::links::take_bytes;
 use knotlanding::store::keys::{self, ProbeRecord};
-use knotlanding::store::{to_value, Change, Group, StoreError};
+use knotlanding::store::{to_value, Change, StoreError, Transaction};
 use knotlanding::time::unix_ms;
-use knotlanding_links::leadership::Decision;
+use knotlanding_links::handover::Decision;
 use knotlanding_links::row::{RowRejection, RowReply};
 use knotlanding_links::table::StoreOperation;
 use knotlanding_testbed::proxy::{Flow, LinkMode};
@@ -133,14 +133,18 @@
             active.stood_still(now);
         }
         active.evaluate(now);
-        let leads = shared.role.lock().leading(now);
+        let leads = shared.election.lock().leadership(now);
         if active.wants_probe(leads.is_some(), now) {
             self.probe_writes(n);
         }
         if self.peers_refuse {
             return;
         }
-        let row = active.next_row(leads.map(|lead| lead.term.0), now, self.wall_of(n));
+        let row = active.next_row(
+            leads.map(|leadership| leadership.term.0),
+            now,
+            self.wall_of(n),
+        );
         let bytes = encode(&row.to_message()).unwrap();
         for to in (0..3).filter(|to| *to != n) {
             self.send_row(n, to, bytes.clone());
@@ -151,23 +155,23 @@
         self.nodes[n].links.probes += 1;
         let count = self.nodes[n].links.probes;
         let key = keys::probe(&self.nodes[n].name);
-        let group = Group {
-            when: Vec::new(),
-            apply: vec![Change::put(key, to_value(&ProbeRecord { count }))],
+        let group = Transaction {
+            conditions: Vec::new(),
+            changes: vec![Change::put(key, to_value(&ProbeRecord { count }))],
         };
         self.ask(n, StoreRequest::Multi(group), RequestPurpose::Probe);
     }
 
     fn send_row(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
-        let life = self.nodes[from].life;
+        let incarnation = self.nodes[from].incarnation;
         let unanswered = RowAnswer {
             to,
             sent: self.t,
             answer: None,
         };
         // Nobody hears of an answer after this one.
-        self.post(ROW_LIMIT, Mail::RowAnswered(from, life, unanswered));
-        let mail = Mail::Row(to, bytes.clone(), from, life, self.t);
+        self.post(ROW_LIMIT, Mail::RowAnswered(from, incarnation, unanswered));
+        let mail = Mail::Row(to, bytes.clone(), from, incarnation, self.t);
         // Some rows come again, seconds to a minute later.
         if self.rng.random_bool(0.02) {
             let after = self.rng.random_range(1.0..60.0);
@@ -185,7 +189,7 @@
         &mut self,
         to: usize,
         bytes: &[u8],
-        (from, life, sent): (usize, u64, f64),
+        (from, incarnation, sent): (usize, u64, f64),
     ) {
         let (now, wall) = (self.instant(), self.wall_of(to));
         let shared = self.nodes[to].shared.clone();
@@ -205,7 +209,7 @@
         let after = self.latency() + cut.mode.delay.as_secs_f64();
         self.post(
             after,
-            Mail::RowAnswered(from, life, RowAnswer { to, sent, answer }),
+            Mail::RowAnswered(from, incarnation, RowAnswer { to, sent, answer }),
         );
     }
 
@@ -249,10 +253,10 @@
         let Some(active) = shared.links.active() else {
             return false;
         };
-        if shared.role.lock().leading(now).is_none() {
+        if shared.election.lock().leadership(now).is_none() {
             return false;
         }
-        let decision = active.decide_lead(now);
+        let decision = active.decide_handover(now);
         if !matches!(decision, Decision::HandOver { .. }) {
             return false;
         }
@@ -293,11 +297,11 @@
     }
 
     /// Sets the numbers of a new life: all processes of the model start within the same millisecond.
-    pub(super) fn number_life(&self, n: usize, life: u64) {
+    pub(super) fn number_incarnation(&self, n: usize, incarnation: u64) {
         let base = unix_ms(std::time::SystemTime::now());
         if let Some(active) = self.nodes[n].shared.links.active() {
             active.row_answered(RowReply {
-                newest_life: base + life * 1_000,
+                newest_incarnation: base + incarnation * 1_000,
             });
         }
     }
--- a/tests/common/world/run_hash.rs
+++ b/tests/common/world/run_hash.rs
@@ -38,7 +38,7 @@
         run.events = self.store.events.len();
         for (name, worker) in &self.workers {
             name.hash(hasher);
-            (worker.session, worker.seq, worker.token, worker.node).hash(hasher);
+            (worker.epoch, worker.sequence, worker.token, worker.node).hash(hasher);
             for ((task, attempt), state) in &worker.tasks {
                 (task, attempt).hash(hasher);
                 wire::encode(&state.phase).hash(hasher);
--- a/tests/common/world/state_service.rs
+++ b/tests/common/world/state_service.rs
@@ -26,7 +26,7 @@
     Grant,
     Renew(u64),
     End(u64),
-    Multi(Group),
+    Multi(Transaction),
 }
 
 #[derive(Clone, Debug)]
@@ -36,7 +36,7 @@
     Lease(u64),
     Fine,
     LeaseOver,
-    Outcome(Outcome),
+    TransactionOutcome(TransactionOutcome),
     Failed(StoreError),
 }
 
@@ -101,41 +101,41 @@
         self.events.push((version, event));
     }
 
-    pub(super) fn multi(&mut self, group: &Group) -> Outcome {
+    pub(super) fn multi(&mut self, group: &Transaction) -> TransactionOutcome {
         let failed: Vec<String> = group
-            .when
+            .conditions
             .iter()
             .filter(|c| self.keys.get(&c.key).map_or(0, |k| k.1) != c.version)
             .map(|c| c.key.clone())
             .collect();
         let revision = self.revision;
         if !failed.is_empty() {
-            return Outcome::Conflict { failed, revision };
+            return TransactionOutcome::Conflict { failed, revision };
         }
-        let leases = group.apply.iter().filter_map(|change| match change {
+        let leases = group.changes.iter().filter_map(|change| match change {
             Change::Put { lease, .. } => *lease,
             Change::Delete { .. } => None,
         });
         if leases.into_iter().any(|l| !self.leases.contains_key(&l)) {
-            return Outcome::Failed(StoreError::LeaseOver);
+            return TransactionOutcome::Failed(StoreError::LeaseOver);
         }
         self.revision += 1;
-        group.apply.iter().for_each(|change| self.change(change));
-        Outcome::Committed(self.revision)
+        group.changes.iter().for_each(|change| self.change(change));
+        TransactionOutcome::Committed(self.revision)
     }
 }
 
 impl World {
     pub(super) fn ask(&mut self, node: usize, ask: StoreRequest, why: RequestPurpose) {
-        let life = self.nodes[node].life;
+        let incarnation = self.nodes[node].incarnation;
         let sent = self.t;
-        self.send(Mail::ToStore(node, life, ask, why, sent));
+        self.send(Mail::ToStore(node, incarnation, ask, why, sent));
     }
 
     pub(super) fn serve(
         &mut self,
         node: usize,
-        life: u64,
+        incarnation: u64,
         ask: StoreRequest,
         why: RequestPurpose,
         sent: f64,
@@ -149,15 +149,15 @@
         if unread && matches!(ask, StoreRequest::Load | StoreRequest::Read(_)) {
             let left = (sent + ANSWER_LIMIT - self.t).max(0.0);
             let unknown = StoreResponse::Failed(StoreError::Unknown);
-            self.post(left, Mail::FromStore(node, life, unknown, why, sent));
+            self.post(left, Mail::FromStore(node, incarnation, unknown, why, sent));
             return;
         }
         if let Some(unknown) = self.cut_from_state(node, &ask) {
             let left = (sent + ANSWER_LIMIT - self.t).max(0.0);
-            self.post(left, Mail::FromStore(node, life, unknown, why, sent));
+            self.post(left, Mail::FromStore(node, incarnation, unknown, why, sent));
             return;
         }
-        let changes = matches!(&ask, StoreRequest::Multi(group) if !group.apply.is_empty());
+        let changes = matches!(&ask, StoreRequest::Multi(group) if !group.changes.is_empty());
         let unwritten = changes && self.t < self.writes_fail_until;
         let answered = if self.t < self.out_until || refused || unwritten {
             StoreResponse::Failed(StoreError::Refused(503))
@@ -167,7 +167,7 @@
                 if self.answer_is_lost(group) {
                     let left = (sent + ANSWER_LIMIT - self.t).max(0.0);
                     let unknown = StoreResponse::Failed(StoreError::Unknown);
-                    self.post(left, Mail::FromStore(node, life, unknown, why, sent));
+                    self.post(left, Mail::FromStore(node, incarnation, unknown, why, sent));
                     return;
                 }
             }
@@ -182,14 +182,17 @@
         let left = (sent + ANSWER_LIMIT - self.t).max(0.0);
         if after > left {
             let unknown = StoreResponse::Failed(StoreError::Unknown);
-            self.post(left, Mail::FromStore(node, life, unknown, why, sent));
+            self.post(left, Mail::FromStore(node, incarnation, unknown, why, sent));
         } else {
-            self.post(after, Mail::FromStore(node, life, answered, why, sent));
+            self.post(
+                after,
+                Mail::FromStore(node, incarnation, answered, why, sent),
+            );
         }
     }
 
     /// Whether a transaction gets no answer; it is carried out at once or later.
-    fn answer_is_lost(&mut self, group: &Group) -> bool {
+    fn answer_is_lost(&mut self, group: &Transaction) -> bool {
         let (share, at_once, until) = self.late_writes;
         if self.t >= until || !self.rng.random_bool(share) {
             return false;
@@ -241,7 +244,9 @@
                 self.store.end(id);
                 StoreResponse::Fine
             }
-            StoreRequest::Multi(group) => StoreResponse::Outcome(self.store.multi(&group)),
+            StoreRequest::Multi(group) => {
+                StoreResponse::TransactionOutcome(self.store.multi(&group))
+            }
         }
     }
 }
--- a/tests/common/world/users.rs
+++ b/tests/common/world/users.rs
@@ -49,9 +49,9 @@
             }),
         };
         let key = keys::job(&JobId::parse(id).unwrap());
-        let group = Group {
-            when: vec![Condition::new(key.clone(), 0)],
-            apply: vec![Change::put(key, to_value(&job))],
+        let group = Transaction {
+            conditions: vec![Condition::new(key.clone(), 0)],
+            changes: vec![Change::put(key, to_value(&job))],
         };
         self.ask(
             node,
--- a/tests/common/world/workers.rs
+++ b/tests/common/world/workers.rs
@@ -5,7 +5,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Task {
     pub(super) phase: TaskPhase,
-    pub(super) cause: Option<Cause>,
+    pub(super) cause: Option<ExitCause>,
     pub(super) until: f64,
     pub(super) began: f64,
     pub(super) missing_since: Option<f64>,
@@ -13,10 +13,10 @@
 
 pub(super) struct Worker {
     pub(super) zone: String,
-    pub(super) build: String,
+    pub(super) machine_type: String,
     pub(super) spot: bool,
-    pub(super) session: u64,
-    pub(super) seq: u64,
+    pub(super) epoch: u64,
+    pub(super) sequence: u64,
     pub(super) token: u64,
     pub(super) base: f64,
     pub(super) node: usize,
@@ -41,32 +41,32 @@
 pub(super) fn on_machine(task: &Task) -> bool {
     matches!(
         task.phase,
-        TaskPhase::Gathering | TaskPhase::Running | TaskPhase::Flushing
+        TaskPhase::AwaitingGang | TaskPhase::Running | TaskPhase::Checkpointing
     )
 }
 
 impl World {
-    pub(super) fn report_of(&mut self, name: &str) -> Box<Report> {
+    pub(super) fn report_of(&mut self, name: &str) -> Box<Heartbeat> {
         let worker = self.workers.get_mut(name).unwrap();
-        worker.seq += 1;
+        worker.sequence += 1;
         let tasks = worker
             .tasks
             .iter()
-            .map(|((task, attempt), state)| ReportedTask {
+            .map(|((task, attempt), state)| TaskStatus {
                 task: task.clone(),
                 attempt: *attempt,
                 phase: state.phase,
                 cause: state.cause,
                 saved: None,
             });
-        Box::new(Report {
+        Box::new(Heartbeat {
             machine: name.to_owned(),
             address: "127.0.0.1:9".to_owned(),
-            build: worker.build.clone(),
+            machine_type: worker.machine_type.clone(),
             zone: worker.zone.clone(),
             spot: worker.spot,
-            session: worker.session,
-            seq: worker.seq,
+            epoch: worker.epoch,
+            sequence: worker.sequence,
             token: worker.token,
             notice_s: None,
             tasks: tasks.collect(),
@@ -81,7 +81,7 @@
             return;
         }
         if t - worker.base > timing.lease_s {
-            worker.session += 1;
+            worker.epoch += 1;
             worker.base = t;
             worker.tasks.clear();
             worker.waits = None;
@@ -108,23 +108,23 @@
         }
         worker.changed = false;
         worker.last_report = t;
-        worker.waits = Some((worker.seq + 1, worker.session, t));
+        worker.waits = Some((worker.sequence + 1, worker.epoch, t));
         let (node, mute) = (worker.node, worker.mute_until > t);
         let every = timing.report_s * self.rng.random_range(0.75..1.25);
         self.workers.get_mut(name).unwrap().next_report = t + every;
-        let report = self.report_of(name);
+        let heartbeat = self.report_of(name);
         if !mute {
             let (share, for_next, until) = self.late_reports;
             if t < until && self.rng.random_bool(share) {
                 if for_next {
-                    self.kept.push((*report).clone());
+                    self.kept.push((*heartbeat).clone());
                 } else {
                     let after = self.rng.random_range(2.0..timing.lease_s * 2.0);
-                    self.post(after, Mail::Report(node, report.clone(), None));
+                    self.post(after, Mail::Heartbeat(node, heartbeat.clone(), None));
                 }
             }
-            let number = report.seq;
-            self.send(Mail::Report(node, report, Some(number)));
+            let number = heartbeat.sequence;
+            self.send(Mail::Heartbeat(node, heartbeat, Some(number)));
         }
     }
 
@@ -139,35 +139,35 @@
             let gang = self
                 .jobs
                 .get(job)
-                .is_some_and(|j| j.spec.shape == Shape::Gang);
+                .is_some_and(|j| j.spec.kind == JobKind::Gang);
             let next = match state.phase {
-                TaskPhase::Pulling if t >= state.until => {
+                TaskPhase::PullingImage if t >= state.until => {
                     self.starts_on(name, &key.0);
                     if self.completed.contains(&key.0) {
-                        Some((TaskPhase::Exited, Some(Cause::Done)))
+                        Some((TaskPhase::Exited, Some(ExitCause::Done)))
                     } else if gang {
-                        Some((TaskPhase::Gathering, None))
+                        Some((TaskPhase::AwaitingGang, None))
                     } else {
                         Some((TaskPhase::Running, None))
                     }
                 }
-                TaskPhase::Gathering if self.gathered(&key) => Some((TaskPhase::Running, None)),
-                TaskPhase::Gathering if t - state.began > timing.gang_wait_s => {
-                    Some((TaskPhase::Exited, Some(Cause::Alone)))
+                TaskPhase::AwaitingGang if self.gathered(&key) => Some((TaskPhase::Running, None)),
+                TaskPhase::AwaitingGang if t - state.began > timing.gang_wait_s => {
+                    Some((TaskPhase::Exited, Some(ExitCause::GangBarrierTimeout)))
                 }
                 TaskPhase::Running if gang && self.gang_done(&key) => {
-                    Some((TaskPhase::Exited, Some(Cause::Done)))
+                    Some((TaskPhase::Exited, Some(ExitCause::Done)))
                 }
                 TaskPhase::Running if gang && !self.gang_whole(&key) => {
                     let since = *self.task(name, &key).missing_since.get_or_insert(t);
                     (t - since > timing.gang_peer_s)
-                        .then_some((TaskPhase::Exited, Some(Cause::MatesGone)))
+                        .then_some((TaskPhase::Exited, Some(ExitCause::GangMemberLost)))
                 }
                 TaskPhase::Running if !gang && t - state.began > self.jobs[job].run_s => {
-                    Some((TaskPhase::Exited, Some(Cause::Done)))
+                    Some((TaskPhase::Exited, Some(ExitCause::Done)))
                 }
-                TaskPhase::Flushing if t >= state.until => {
-                    Some((TaskPhase::Exited, Some(Cause::Stopped)))
+                TaskPhase::Checkpointing if t >= state.until => {
+                    Some((TaskPhase::Exited, Some(ExitCause::Stopped)))
                 }
                 _ => None,
             };
@@ -178,7 +178,7 @@
                 state.began = t;
                 let worker = self.workers.get_mut(name).unwrap();
                 worker.changed = true;
-                if cause == Some(Cause::Done) {
+                if cause == Some(ExitCause::Done) {
                     self.completed.insert(key.0.clone());
                 }
             }
@@ -212,15 +212,15 @@
     pub(super) fn gathered(&self, key: &(String, u64)) -> bool {
         let ready = self.members(key).into_iter().filter(|(task, hung)| {
             !hung
-                && (matches!(task.phase, TaskPhase::Gathering | TaskPhase::Running)
-                    || task.cause == Some(Cause::Done))
+                && (matches!(task.phase, TaskPhase::AwaitingGang | TaskPhase::Running)
+                    || task.cause == Some(ExitCause::Done))
         });
         ready.count() >= self.gang_size(key)
     }
 
     pub(super) fn gang_whole(&self, key: &(String, u64)) -> bool {
         let there = self.members(key).into_iter().filter(|(task, hung)| {
-            !hung && (task.phase == TaskPhase::Running || task.cause == Some(Cause::Done))
+            !hung && (task.phase == TaskPhase::Running || task.cause == Some(ExitCause::Done))
         });
         there.count() >= self.gang_size(key)
     }
@@ -231,7 +231,7 @@
         let members = self.members(key);
         let any = members
             .iter()
-            .any(|(task, _)| task.cause == Some(Cause::Done));
+            .any(|(task, _)| task.cause == Some(ExitCause::Done));
         let ran = |task: &Task| task.phase == TaskPhase::Running && self.t - task.began > run_s;
         any || (self.gang_whole(key) && members.iter().all(|(task, _)| ran(task)))
     }
@@ -249,12 +249,16 @@
             self.break_rule("ran_twice", what);
         }
         let spec = self.jobs[job].spec.clone();
-        let (build, zone) = {
+        let (machine_type, zone) = {
             let worker = &self.workers[name];
-            (worker.build.clone(), worker.zone.clone())
+            (worker.machine_type.clone(), worker.zone.clone())
         };
-        if spec.builds.as_ref().is_some_and(|b| !b.contains(&build)) {
-            self.break_rule("wrong_place", format!("{task} on {build}"));
+        if spec
+            .machine_types
+            .as_ref()
+            .is_some_and(|b| !b.contains(&machine_type))
+        {
+            self.break_rule("wrong_place", format!("{task} on {machine_type}"));
         }
         let mut zones: Vec<String> = Vec::new();
         for (other, worker) in &self.workers {
@@ -265,7 +269,7 @@
                 zones.push(worker.zone.clone());
             }
         }
-        if spec.one_zone && zones.iter().any(|other| *other != zone) {
+        if spec.single_zone && zones.iter().any(|other| *other != zone) {
             self.break_rule(
                 "wrong_place",
                 format!("{task} in {zone}, others in {zones:?}"),
@@ -282,11 +286,11 @@
         worker.hung_until <= self.t || self.t - worker.base <= lease_s
     }
 
-    pub(super) fn obey(&mut self, name: &str, orders: &[Order]) {
+    pub(super) fn obey(&mut self, name: &str, commands: &[WorkerCommand]) {
         let t = self.t;
-        for order in orders {
-            match order {
-                Order::Run { task, attempt } => {
+        for command in commands {
+            match command {
+                WorkerCommand::Run { task, attempt } => {
                     // Some machines have the image.
                     let until = t + [0.0, 0.3, 4.0][self.rng.random_range(0..3)];
                     let worker = self.workers.get_mut(name).unwrap();
@@ -304,16 +308,16 @@
                             phase: if refused {
                                 TaskPhase::Exited
                             } else {
-                                TaskPhase::Pulling
+                                TaskPhase::PullingImage
                             },
-                            cause: refused.then_some(Cause::InUse),
+                            cause: refused.then_some(ExitCause::AlreadyPresent),
                             until,
                             began: t,
                             missing_since: None,
                         },
                     );
                 }
-                Order::Kill {
+                WorkerCommand::Kill {
                     task,
                     attempt,
                     grace_s,
@@ -324,15 +328,15 @@
                         continue;
                     };
                     if state.phase == TaskPhase::Running && *grace_s > 0.0 {
-                        state.phase = TaskPhase::Flushing;
+                        state.phase = TaskPhase::Checkpointing;
                         state.until = t + 1.0;
                     } else if state.phase != TaskPhase::Exited {
                         state.phase = TaskPhase::Exited;
-                        state.cause = Some(Cause::Stopped);
+                        state.cause = Some(ExitCause::Stopped);
                     }
                     worker.changed = true;
                 }
-                Order::Clear { task, attempt } => {
+                WorkerCommand::Clear { task, attempt } => {
                     let worker = self.workers.get_mut(name).unwrap();
                     let key = (task.clone(), *attempt);
                     let exited = worker.tasks.get(&key);
@@ -347,9 +351,9 @@
     pub(super) fn reply(
         &mut self,
         name: &str,
-        (session, number, status): (u64, u64, u16),
+        (epoch, number, status): (u64, u64, u16),
         redirect: Option<String>,
-        body: Option<(u64, Vec<Order>)>,
+        body: Option<(u64, Vec<WorkerCommand>)>,
     ) {
         let t = self.t;
         let Some(worker) = self.workers.get_mut(name) else {
@@ -358,18 +362,18 @@
         let Some((waits, _, sent)) = worker.waits else {
             return;
         };
-        if waits != number || worker.session != session || t - sent > GIVES_UP {
+        if waits != number || worker.epoch != epoch || t - sent > GIVES_UP {
             return;
         }
         worker.waits = None;
         match (status, body) {
-            (200, Some((token, orders))) => {
+            (200, Some((token, commands))) => {
                 if token < worker.token {
                     return;
                 }
                 worker.base = sent;
                 worker.token = token;
-                self.obey(name, &orders);
+                self.obey(name, &commands);
             }
             (421, _) => {
                 let to = redirect.and_then(|member| {
@@ -398,7 +402,7 @@
     pub(super) fn answer_worker(
         &mut self,
         name: &str,
-        (session, number): (u64, u64),
+        (epoch, number): (u64, u64),
         answer: HttpResponse,
     ) {
         let status = answer.status().as_u16();
@@ -410,14 +414,14 @@
         });
         let redirect = redirect.flatten();
         let told = (status == 200).then(|| {
-            let answer: ReportAnswer = wire::decode(&body).unwrap();
-            (answer.token, answer.orders)
+            let answer: HeartbeatResponse = wire::decode(&body).unwrap();
+            (answer.token, answer.commands)
         });
         let t = self.t;
         let deaf = |w: &Worker| w.deaf_until > t;
         if !self.workers.get(name).is_some_and(deaf) {
             let name = name.to_owned();
-            self.send(Mail::Reply(name, session, number, status, redirect, told));
+            self.send(Mail::Reply(name, epoch, number, status, redirect, told));
         }
     }
 
--- a/tests/formats/admin.rs
+++ b/tests/formats/admin.rs
@@ -6,8 +6,8 @@
 use std::time::{Duration, Instant};
 
 use knotlanding_links::gate::GateRefusal;
+use knotlanding_links::handover::{Connectivity, Decision};
 use knotlanding_links::health::{HealthState, LostDirection};
-use knotlanding_links::leadership::{Connectivity, Decision};
 use knotlanding_links::link::LinkState;
 use serde::Serialize;
 use serde_json::Value;
--- a/tests/formats/peers.rs
+++ b/tests/formats/peers.rs
@@ -1,19 +1,21 @@
 //! Messages between controllers.
 
-use knotlanding::digest::{Counts, Digest, DigestContents, DigestReply, Hint};
 use knotlanding::forwarding::messages::{
-    BatchAnswer, ForwardedAnswer, ForwardedOrder, ForwardedVerb, ReportBatch, BATCH_VERSION,
+    BatchAnswer, ForwardedAction, ForwardedAnswer, ForwardedCommand, HeartbeatBatch, BATCH_VERSION,
 };
 use knotlanding::model::{JobId, MachineId, Term};
 use knotlanding::peer::cancelled::{Cancelled, CANCELLED};
 use knotlanding::peer::contact::CONTACT;
-use knotlanding::peer::digest::DIGEST;
+use knotlanding::peer::heartbeats::HEARTBEATS;
 use knotlanding::peer::links::LINKS;
-use knotlanding::peer::reports::REPORTS;
+use knotlanding::peer::summary::SUMMARY;
 use knotlanding::peer::{decode, encode, BINCODE};
-use knotlanding::wire::{Cause, Report, ReportedTask, TaskPhase};
+use knotlanding::state_summary::{
+    Counts, MachineHint, StateSummary, SummaryContents, SummaryReply,
+};
+use knotlanding::wire::{ExitCause, Heartbeat, TaskPhase, TaskStatus};
 use knotlanding_links::link::LinkState;
-use knotlanding_links::row::{LinkReport, PeerLinks, RowMessage, RowReply, ROW_VERSION};
+use knotlanding_links::row::{LinkStatus, PeerLinks, RowMessage, RowReply, ROW_VERSION};
 use knotlanding_links::workers::WorkerSet;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -32,9 +34,9 @@
 #[test]
 fn paths_and_versions_stay() {
     assert_eq!(BINCODE, "application/x-bincode");
-    assert_eq!(DIGEST, "/peer/digest");
+    assert_eq!(SUMMARY, "/peer/digest");
     assert_eq!(CANCELLED, "/peer/cancelled");
-    assert_eq!(REPORTS, "/peer/reports");
+    assert_eq!(HEARTBEATS, "/peer/reports");
     assert_eq!(LINKS, "/peer/links");
     assert_eq!(CONTACT, "/peer/pulse");
     assert_eq!((BATCH_VERSION, ROW_VERSION), (1, 1));
@@ -42,17 +44,17 @@
 
 #[test]
 fn digests_keep_their_form() {
-    let hint = Hint {
+    let hint = MachineHint {
         address: "10.1.0.232:9000".to_owned(),
-        session: 3,
+        epoch: 3,
         images: vec![("img-07".to_owned(), 6.25)],
     };
-    let digest = Digest {
+    let summary = StateSummary {
         term: Term(41),
         member: "knot-1".to_owned(),
         number: 300,
         full: true,
-        news: DigestContents {
+        contents: SummaryContents {
             counts: vec![Counts {
                 id: JobId::parse("wk-000412").unwrap(),
                 done: 3,
@@ -63,8 +65,11 @@
             gone: vec![MachineId("m-000230".into())],
         },
     };
-    assert_message("peer-digest.hex", &digest);
-    assert_message("peer-digest-reply.hex", &DigestReply { misdirected: 5_000 });
+    assert_message("peer-digest.hex", &summary);
+    assert_message(
+        "peer-digest-reply.hex",
+        &SummaryReply { misdirected: 5_000 },
+    );
 }
 
 #[test]
@@ -76,50 +81,50 @@
     assert_message("peer-cancelled.hex", &cancelled);
 }
 
-fn task(index: usize, phase: TaskPhase, cause: Option<Cause>) -> ReportedTask {
-    ReportedTask {
+fn task(index: usize, phase: TaskPhase, cause: Option<ExitCause>) -> TaskStatus {
+    TaskStatus {
         task: format!("wk-000412/{index}"),
         attempt: 0x2900000002,
         phase,
         cause,
-        saved: cause.map(|cause| cause == Cause::Stopped),
+        saved: cause.map(|cause| cause == ExitCause::Stopped),
     }
 }
 
 /// A report with a value in every field, and every phase and cause.
-pub fn full_report() -> Report {
+pub fn full_report() -> Heartbeat {
     let phases = [
-        TaskPhase::Pulling,
-        TaskPhase::Gathering,
+        TaskPhase::PullingImage,
+        TaskPhase::AwaitingGang,
         TaskPhase::Running,
-        TaskPhase::Flushing,
+        TaskPhase::Checkpointing,
     ];
     let causes = [
-        Cause::Done,
-        Cause::Stopped,
-        Cause::MatesGone,
-        Cause::Alone,
-        Cause::Error,
-        Cause::NoRoom,
-        Cause::InUse,
-        Cause::Unknown,
-        Cause::Other,
+        ExitCause::Done,
+        ExitCause::Stopped,
+        ExitCause::GangMemberLost,
+        ExitCause::GangBarrierTimeout,
+        ExitCause::Error,
+        ExitCause::InsufficientCapacity,
+        ExitCause::AlreadyPresent,
+        ExitCause::UnknownTask,
+        ExitCause::Other,
     ];
-    let mut tasks: Vec<ReportedTask> = Vec::new();
+    let mut tasks: Vec<TaskStatus> = Vec::new();
     for phase in phases {
         tasks.push(task(tasks.len(), phase, None));
     }
     for cause in causes {
         tasks.push(task(tasks.len(), TaskPhase::Exited, Some(cause)));
     }
-    Report {
+    Heartbeat {
         machine: "m-000231".to_owned(),
         address: "10.1.0.232:9000".to_owned(),
-        build: "g8".to_owned(),
+        machine_type: "g8".to_owned(),
         zone: "north".to_owned(),
         spot: true,
-        session: 2,
-        seq: 88,
+        epoch: 2,
+        sequence: 88,
         token: 41 << 20,
         notice_s: Some(61.5),
         tasks,
@@ -128,25 +133,25 @@
 
 #[test]
 fn batches_of_reports_keep_their_form() {
-    let batch = ReportBatch {
+    let batch = HeartbeatBatch {
         version: BATCH_VERSION,
         member: "knot-1".to_owned(),
         term: Term(41),
         sent_at_ms: 1_800_000_000_123,
-        reports: vec![full_report().into()],
+        heartbeats: vec![full_report().into()],
     };
     assert_message("peer-report-batch.hex", &batch);
-    let order = |verb| ForwardedOrder {
+    let command = |verb| ForwardedCommand {
         verb,
         task: "wk-000412/3".to_owned(),
         attempt: 0x2900000002,
     };
     let accepted = ForwardedAnswer::Accepted {
         token: 41 << 20,
-        orders: vec![
-            order(ForwardedVerb::Run),
-            order(ForwardedVerb::Kill { grace_s: 10.0 }),
-            order(ForwardedVerb::Clear),
+        commands: vec![
+            command(ForwardedAction::Run),
+            command(ForwardedAction::Kill { grace_s: 10.0 }),
+            command(ForwardedAction::Clear),
         ],
     };
     let answer = BatchAnswer {
@@ -158,7 +163,7 @@
 
 #[test]
 fn rows_of_the_connectivity_matrix_keep_their_form() {
-    let link = |state, suppressed, evidence_age_ms| LinkReport {
+    let link = |state, suppressed, evidence_age_ms| LinkStatus {
         state,
         suppressed,
         evidence_age_ms,
@@ -167,7 +172,7 @@
     let row = RowMessage {
         version: ROW_VERSION,
         member: "knot-1".to_owned(),
-        life: 1_800_000_000_123,
+        incarnation: 1_800_000_000_123,
         sequence: 17,
         sent_at_ms: 1_800_000_000_456,
         leads_term: Some(41),
@@ -183,7 +188,7 @@
     };
     assert_message("peer-row.hex", &row);
     let reply = RowReply {
-        newest_life: 1_800_000_000_123,
+        newest_incarnation: 1_800_000_000_123,
     };
     assert_message("peer-row-reply.hex", &reply);
 }
--- a/tests/formats/records.rs
+++ b/tests/formats/records.rs
@@ -1,10 +1,10 @@
 //! Records in the state service, and their keys.
 
-use knotlanding::model::{Amount, JobId, JobSpec, Rank, Shape, Term, Verdict};
+use knotlanding::model::{JobId, JobKind, JobSpec, Priority, Resources, Term, Verdict};
 use knotlanding::service::operator::OperatorSettings;
 use knotlanding::store::keys::{
-    self, DoneRecord, JobRecord, LeaderRecord, LiveRecord, MisdirectedRecord, ProbeRecord,
-    RosterRecord, SentRecord, TermRecord,
+    self, DoneRecord, InventoryRecord, JobRecord, LeaderRecord, LiveRecord, MisdirectedRecord,
+    ProbeRecord, SentRecord, TermRecord,
 };
 use knotlanding::store::{from_value, to_value, Value};
 use knotlanding::wire;
@@ -36,38 +36,38 @@
         id: id("wk-000412"),
         class: "train".to_owned(),
         team: "vision".to_owned(),
-        shape: Shape::Gang,
-        rank: Rank::Urgent,
+        kind: JobKind::Gang,
+        priority: Priority::Urgent,
         tasks: 16,
-        need: Amount {
+        task_resources: Resources {
             cpus: 8.0,
             gpus: 1.5,
             memory: 64.25,
         },
-        builds: Some(vec!["g8".to_owned(), "g4".to_owned()]),
+        machine_types: Some(vec!["g8".to_owned(), "g4".to_owned()]),
         zone: Some("north".to_owned()),
-        one_zone: true,
-        spread: true,
+        single_zone: true,
+        zone_spread: true,
         spot: true,
         image: "img-07".to_owned(),
         image_gb: 6.2,
         estimate_s: 240.0,
-        checkpoint_s: 30.0,
-        save_s: 4.0,
-        due_s: Some(900.0),
+        checkpoint_interval_s: 30.0,
+        checkpoint_cost_s: 4.0,
+        deadline_s: Some(900.0),
     }
 }
 
-fn spec(shape: Shape, rank: Rank) -> JobSpec {
+fn spec(kind: JobKind, priority: Priority) -> JobSpec {
     JobSpec {
-        shape,
-        rank,
-        builds: None,
+        kind,
+        priority,
+        machine_types: None,
         zone: None,
-        one_zone: false,
-        spread: false,
+        single_zone: false,
+        zone_spread: false,
         spot: false,
-        due_s: None,
+        deadline_s: None,
         ..full_spec()
     }
 }
@@ -91,7 +91,7 @@
     assert_eq!(keys::job(&job), "kl/job/wk-000412");
     assert_eq!(keys::live(&job), "kl/live/wk-000412");
     assert_eq!(keys::done(&job, 3), "kl/done/wk-000412/3");
-    assert_eq!(keys::roster(7), "kl/roster/0007");
+    assert_eq!(keys::inventory(7), "kl/roster/0007");
     assert_eq!(keys::sent(Term(12), 34), "kl/sent/0000000012-000034");
     assert_eq!(keys::misdirected("knot-1"), "kl/knocks/knot-1");
     assert_eq!(keys::probe("knot-1"), "kl/probe/knot-1");
@@ -128,14 +128,17 @@
     }
     for (name, spec) in [
         ("record-job-gang.hex", full_spec()),
-        ("record-job-array.hex", spec(Shape::Array, Rank::BestEffort)),
+        (
+            "record-job-array.hex",
+            spec(JobKind::Array, Priority::BestEffort),
+        ),
         (
             "record-job-service.hex",
-            spec(Shape::Service, Rank::Production),
+            spec(JobKind::Service, Priority::Production),
         ),
         (
             "record-job-standard.hex",
-            spec(Shape::Array, Rank::Standard),
+            spec(JobKind::Array, Priority::Standard),
         ),
     ] {
         let record = JobRecord {
@@ -157,7 +160,7 @@
     assert_record("record-live-with-hosts.hex", &started);
     let anywhere = LiveRecord {
         started: true,
-        ..live(spec(Shape::Array, Rank::Standard))
+        ..live(spec(JobKind::Array, Priority::Standard))
     };
     assert_record("record-live-anywhere.hex", &anywhere);
     assert_record("record-live-not-started.hex", &live(full_spec()));
@@ -177,8 +180,8 @@
         bits: "f03".to_owned(),
     };
     assert_record("record-done.hex", &done);
-    let roster = RosterRecord {
+    let inventory = InventoryRecord {
         machines: vec!["m-000231".to_owned(), "m-000232".to_owned()],
     };
-    assert_record("record-roster.hex", &roster);
+    assert_record("record-roster.hex", &inventory);
 }
--- a/tests/formats/requests.rs
+++ b/tests/formats/requests.rs
@@ -7,10 +7,10 @@
 use ciborium::{cbor, Value};
 use knotlanding::config::Settings;
 use knotlanding::fleet::client::{CloudClient, CloudError};
-use knotlanding::model::{Amount, MachineId};
+use knotlanding::model::{MachineId, Resources};
 use knotlanding::store::client::StoreClient;
-use knotlanding::store::{Change, Condition, Group, Outcome, StoreError};
-use knotlanding::wire::{self, HireBody};
+use knotlanding::store::{Change, Condition, StoreError, Transaction, TransactionOutcome};
+use knotlanding::wire::{self, RentalRequest};
 
 use crate::common;
 use crate::fixture;
@@ -84,9 +84,9 @@
     settings.external.state = recorder.start();
     let client = StoreClient::new(&settings, http());
 
-    let group = Group {
-        when: vec![Condition::new("kl/leader", 0), Condition::new("kl/term", 7)],
-        apply: vec![
+    let group = Transaction {
+        conditions: vec![Condition::new("kl/leader", 0), Condition::new("kl/term", 7)],
+        changes: vec![
             Change::Put {
                 key: "kl/leader".to_owned(),
                 value: cbor!({"member" => "knot-1"}).unwrap(),
@@ -97,16 +97,19 @@
         ],
     };
     recorder.answer(200, cbor!({"epoch" => 432}).unwrap());
-    assert_eq!(client.transact(&group).await, Outcome::Committed(432));
-    let compare = Group {
-        when: vec![Condition::new("kl/job/wk-000412", 0)],
-        apply: Vec::new(),
+    assert_eq!(
+        client.transact(&group).await,
+        TransactionOutcome::Committed(432)
+    );
+    let compare = Transaction {
+        conditions: vec![Condition::new("kl/job/wk-000412", 0)],
+        changes: Vec::new(),
     };
     let failed = cbor!({"failed" => ["kl/job/wk-000412"], "epoch" => 431}).unwrap();
     recorder.answer(409, failed);
     assert_eq!(
         client.transact(&compare).await,
-        Outcome::Conflict {
+        TransactionOutcome::Conflict {
             failed: vec!["kl/job/wk-000412".to_owned()],
             revision: 431,
         }
@@ -164,7 +167,7 @@
     let flavors = cbor!({"builds" => [flavor.unwrap()]});
     recorder.answer(200, flavors.unwrap());
     let read = client.catalog().await.unwrap().remove(0);
-    let whole = Amount {
+    let whole = Resources {
         cpus: 96.0,
         gpus: 8.0,
         memory: 768.0,
@@ -175,22 +178,22 @@
     assert_eq!((read.cache_gb, read.fetch_rate), (200.0, 1.0));
     assert_eq!(read.zones, ["a", "b"]);
 
-    let hire = HireBody {
+    let request = RentalRequest {
         request: "kl-41-17".to_owned(),
-        build: "g8".to_owned(),
+        machine_type: "g8".to_owned(),
         zone: "a".to_owned(),
         spot: true,
         count: 12,
     };
     recorder.answer(200, cbor!({"hosts" => ["m-000231"]}).unwrap());
-    assert_eq!(client.hire(&hire).await.unwrap(), ["m-000231"]);
+    assert_eq!(client.rent(&request).await.unwrap(), ["m-000231"]);
     recorder.answer(503, cbor!({"error" => "no capacity"}).unwrap());
-    let refused = client.hire(&hire).await.unwrap_err();
+    let refused = client.rent(&request).await.unwrap_err();
     assert!(matches!(refused, CloudError::NoCapacity));
 
     recorder.answer(200, cbor!({}).unwrap());
     let machines = [MachineId("m-000231".into()), MachineId("m-000232".into())];
-    client.give_back(&machines).await.unwrap();
+    client.release(&machines).await.unwrap();
 
     let listed = cbor!({"nameId" => "m-000231", "address" => "10.1.0.232:9000", "build" => "g8",
         "yard" => "a", "loaners" => true, "status" => "running", "heldS" => 61.5});
--- a/tests/formats/wire.rs
+++ b/tests/formats/wire.rs
@@ -2,7 +2,8 @@
 
 use ciborium::cbor;
 use knotlanding::wire::{
-    self, DirectOrders, JobBody, JobState, Order, Problem, Redirect, Report, ReportAnswer,
+    self, DirectCommand, Heartbeat, HeartbeatResponse, JobBody, JobState, Problem, Redirect,
+    WorkerCommand,
 };
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -56,30 +57,30 @@
             "cause" => "a cause that is not known"}]
     });
     fixture::assert_bytes("body-report-bare.hex", &wire::encode(&bare.unwrap()));
-    let read: Report = wire::decode(&fixture::bytes("body-report-bare.hex")).unwrap();
+    let read: Heartbeat = wire::decode(&fixture::bytes("body-report-bare.hex")).unwrap();
     fixture::assert_bytes("body-report-bare-again.hex", &wire::encode(&read));
     let (task, attempt) = ("wk-000412/3".to_owned(), 0x2900000002);
-    let orders = vec![
-        Order::Run {
+    let commands = vec![
+        WorkerCommand::Run {
             task: task.clone(),
             attempt,
         },
-        Order::Kill {
+        WorkerCommand::Kill {
             task: task.clone(),
             attempt,
             grace_s: 10.0,
         },
-        Order::Clear { task, attempt },
+        WorkerCommand::Clear { task, attempt },
     ];
-    let answer = ReportAnswer {
+    let answer = HeartbeatResponse {
         token: 41 << 20,
-        orders: orders.clone(),
+        commands: commands.clone(),
     };
     assert_body("body-report-answer.hex", &answer);
-    let direct = DirectOrders {
+    let direct = DirectCommand {
         token: 41 << 20,
-        session: 2,
-        orders,
+        epoch: 2,
+        commands,
     };
     assert_body("body-direct-orders.hex", &direct);
     for (name, report_to) in [
--- a/tests/forwarding.rs
+++ b/tests/forwarding.rs
@@ -31,8 +31,8 @@
         world.peers_refuse = peers_refuse;
         let mut work = array("wk-000001", 8);
         work.team = "blue".to_owned();
-        work.need.cpus = 14.0;
-        work.need.gpus = 0.0;
+        work.task_resources.cpus = 14.0;
+        work.task_resources.gpus = 0.0;
         world.want(work, 400.0);
         let lines = Vec::new();
         Self { world, lines }
--- a/tests/forwarding_service.rs
+++ b/tests/forwarding_service.rs
@@ -15,14 +15,14 @@
 use actix_web::{web, App, HttpResponse, HttpServer};
 use ciborium::{cbor, Value};
 use knotlanding::forwarding::messages::{
-    BatchAnswer, ForwardedAnswer, ForwardedOrder, ForwardedReport, ForwardedVerb, ReportBatch,
-    BATCH_VERSION,
+    BatchAnswer, ForwardedAction, ForwardedAnswer, ForwardedCommand, ForwardedHeartbeat,
+    HeartbeatBatch, BATCH_VERSION,
 };
-use knotlanding::model::{Term, Token};
-use knotlanding::peer::reports::REPORTS;
+use knotlanding::model::{FencingToken, Term};
+use knotlanding::peer::heartbeats::HEARTBEATS;
 use knotlanding::peer::{decode, encode as encode_for_peer};
 use knotlanding::time::unix_ms;
-use knotlanding::wire::Report;
+use knotlanding::wire::Heartbeat;
 use knotlanding_testbed::message::{encode, field, number, text};
 use node::{Bench, Node, TEST_TIMEOUT};
 
@@ -46,7 +46,7 @@
 #[derive(Clone)]
 struct PeerStandIn {
     answer: Arc<Mutex<PeerAnswer>>,
-    batches: Arc<Mutex<Vec<ReportBatch>>>,
+    batches: Arc<Mutex<Vec<HeartbeatBatch>>>,
 }
 
 impl PeerStandIn {
@@ -62,7 +62,7 @@
         let server = HttpServer::new(move || {
             App::new()
                 .app_data(data.clone())
-                .route(REPORTS, web::post().to(take_batch))
+                .route(HEARTBEATS, web::post().to(take_batch))
         });
         let server = server.workers(1).disable_signals();
         actix::spawn(server.listen(listener).unwrap().run());
@@ -81,16 +81,16 @@
     if how == PeerAnswer::Rubbish {
         return HttpResponse::Ok().body(vec![0xff; 40]);
     }
-    let batch: ReportBatch = decode(&body).unwrap();
+    let batch: HeartbeatBatch = decode(&body).unwrap();
     let accepted = ForwardedAnswer::Accepted {
-        token: Token::first(batch.term).0,
-        orders: vec![ForwardedOrder {
-            verb: ForwardedVerb::Run,
+        token: FencingToken::first(batch.term).0,
+        commands: vec![ForwardedCommand {
+            verb: ForwardedAction::Run,
             task: "wk-000001/0".to_owned(),
             attempt: 9,
         }],
     };
-    let count = batch.reports.len() - usize::from(how == PeerAnswer::TooFew);
+    let count = batch.heartbeats.len() - usize::from(how == PeerAnswer::TooFew);
     peer.batches.lock().unwrap().push(batch);
     let answer = BatchAnswer {
         version: BATCH_VERSION,
@@ -99,13 +99,13 @@
     HttpResponse::Ok().body(encode_for_peer(&answer).unwrap())
 }
 
-fn report(seq: u64, token: u64) -> Vec<u8> {
-    let report = cbor!({
+fn heartbeat(sequence: u64, token: u64) -> Vec<u8> {
+    let heartbeat = cbor!({
         "host" => "m-000001", "address" => "127.0.0.1:9", "build" => "cpu16", "yard" => "north",
-        "loaners" => false, "tenure" => 1, "tally" => seq, "baton" => token,
+        "loaners" => false, "tenure" => 1, "tally" => sequence, "baton" => token,
         "strands" => Vec::<Value>::new()
     });
-    encode(&report.unwrap())
+    encode(&heartbeat.unwrap())
 }
 
 /// A node of three that knows `knot-1`, at this address, as another one.
@@ -129,10 +129,10 @@
 /// Reports until the answer has this status.
 async fn until(node: &Node, token: u64, status: u16) -> Value {
     let began = Instant::now();
-    let mut seq = 0;
+    let mut sequence = 0;
     loop {
-        seq += 1;
-        let (got, body, _) = node.post("/hello", report(seq, token)).await;
+        sequence += 1;
+        let (got, body, _) = node.post("/hello", heartbeat(sequence, token)).await;
         if got == status {
             return body;
         }
@@ -147,11 +147,14 @@
     let bench = bench_with_peer("forward", &address);
     let node = follower(&bench);
     let body = until(&node, 0, 200).await;
-    assert_eq!(number(&body, "baton"), Token::first(Term(LEADER_TERM)).0);
-    let orders = field(&body, "orders").unwrap().as_array().unwrap();
-    assert_eq!(orders.len(), 1);
-    assert_eq!(text(&orders[0], "verb"), "run");
-    assert_eq!(text(&orders[0], "strand"), "wk-000001/0");
+    assert_eq!(
+        number(&body, "baton"),
+        FencingToken::first(Term(LEADER_TERM)).0
+    );
+    let commands = field(&body, "orders").unwrap().as_array().unwrap();
+    assert_eq!(commands.len(), 1);
+    assert_eq!(text(&commands[0], "verb"), "run");
+    assert_eq!(text(&commands[0], "strand"), "wk-000001/0");
     {
         let batches = peer.batches.lock().unwrap();
         let last = batches.last().unwrap();
@@ -162,7 +165,7 @@
     }
 
     // A worker that has seen more than this leader's token is not held at this node.
-    let higher = Token::first(Term(LEADER_TERM)).0 + 1;
+    let higher = FencingToken::first(Term(LEADER_TERM)).0 + 1;
     until(&node, higher, 503).await;
 
     for (answer, status) in [(PeerAnswer::OtherTerm, 503), (PeerAnswer::Rubbish, 421)] {
@@ -174,10 +177,13 @@
     }
     let (status, metrics) = node.admin("GET", "metrics", "").await;
     assert_eq!(status, 200);
-    let reports = &metrics["reports"];
-    assert!(reports["forwarded"].as_u64() >= reports["batches_sent"].as_u64());
+    let heartbeats = &metrics["reports"];
+    assert!(heartbeats["forwarded"].as_u64() >= heartbeats["batches_sent"].as_u64());
     for counted in ["accepted", "redirected", "unavailable", "new_connection"] {
-        assert!(reports[counted].as_u64() > Some(0), "{counted}: {reports}");
+        assert!(
+            heartbeats[counted].as_u64() > Some(0),
+            "{counted}: {heartbeats}"
+        );
     }
     assert!(metrics["resident_bytes"].as_u64() > Some(0), "{metrics}");
 }
@@ -210,17 +216,17 @@
     let bench = bench_with_peer("batches", "127.0.0.1:9");
     let node = bench.start();
     let body = until(&node, 0, 200).await;
-    let term = Token(number(&body, "baton")).term();
+    let term = FencingToken(number(&body, "baton")).term();
     let http = awc::Client::default();
-    let url = format!("http://{}{REPORTS}", node.peer);
+    let url = format!("http://{}{HEARTBEATS}", node.peer);
     let send = |body: Vec<u8>| http.post(&url).send_body(body);
-    let forwarded: Report = knotlanding::wire::decode(&report(1000, 0)).unwrap();
-    let batch = ReportBatch {
+    let forwarded: Heartbeat = knotlanding::wire::decode(&heartbeat(1000, 0)).unwrap();
+    let batch = HeartbeatBatch {
         version: BATCH_VERSION,
         member: "knot-1".to_owned(),
         term,
         sent_at_ms: unix_ms(std::time::SystemTime::now()),
-        reports: vec![ForwardedReport::from(forwarded)],
+        heartbeats: vec![ForwardedHeartbeat::from(forwarded)],
     };
     let mut answer = send(encode_for_peer(&batch).unwrap()).await.unwrap();
     assert_eq!(answer.status(), 200);
@@ -228,19 +234,19 @@
     assert_eq!(answer.answers.len(), 1);
     assert!(answer.answers[0].clone().accepted().is_some());
 
-    let other_term = ReportBatch {
+    let other_term = HeartbeatBatch {
         term: Term(term.0 + 1),
         ..batch.clone()
     };
-    let other_version = ReportBatch {
+    let other_version = HeartbeatBatch {
         version: BATCH_VERSION + 1,
         ..batch.clone()
     };
-    let stranger = ReportBatch {
+    let stranger = HeartbeatBatch {
         member: "knot-7".to_owned(),
         ..batch.clone()
     };
-    let bytes = |batch: &ReportBatch| encode_for_peer(batch).unwrap();
+    let bytes = |batch: &HeartbeatBatch| encode_for_peer(batch).unwrap();
     for (body, status) in [
         (bytes(&other_term), 409),
         (bytes(&other_version), 400),
--- a/tests/interleavings.rs
+++ b/tests/interleavings.rs
@@ -28,7 +28,7 @@
 #[test]
 fn a_quiet_day_breaks_nothing() {
     let worlds = seeds(1..4, |_| Vec::new());
-    assert!(worlds.iter().all(|world| world.take_overs == 1));
+    assert!(worlds.iter().all(|world| world.failovers == 1));
 }
 
 fn late(share: f64, at_once: bool) -> Fault {
@@ -90,7 +90,7 @@
             trouble(30.0 + d, 0.0, Fault::CancelNow(3)),
         ]
     });
-    assert!(worlds.iter().all(|world| world.take_overs > 1));
+    assert!(worlds.iter().all(|world| world.failovers > 1));
 }
 
 #[test]
@@ -187,7 +187,7 @@
         troubles.push(trouble(100.0, 0.0, Fault::CancelNow(3)));
         troubles
     });
-    assert!(worlds.iter().all(|world| world.take_overs > 6));
+    assert!(worlds.iter().all(|world| world.failovers > 6));
 }
 
 #[test]
@@ -244,9 +244,9 @@
             let id = |at: i32| format!("wk-{:06}", at + 1);
             let mut job = array(&id(at), 1);
             job.team = "blue".to_owned();
-            job.need.cpus = 2.0;
-            job.need.gpus = 0.0;
-            job.need.memory = 1.0;
+            job.task_resources.cpus = 2.0;
+            job.task_resources.gpus = 0.0;
+            job.task_resources.memory = 1.0;
             world.want(job, 3.0);
             if at % 4 == 3 {
                 world.cancel(&id(at - at % 8));
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -11,9 +11,11 @@
 use std::collections::BTreeSet;
 
 use knotlanding::cluster::RecordKind;
-use knotlanding::digest::{Digest, DigestView, DIGEST_LIMIT, GONE_MACHINES_KEPT};
 use knotlanding::model::{JobId, MachineId, Term};
-use knotlanding::store::{Change, Outcome};
+use knotlanding::state_summary::{
+    StateSummary, SummaryCache, GONE_MACHINES_KEPT, SUMMARY_BYTES_MAX,
+};
+use knotlanding::store::{Change, TransactionOutcome};
 use knotlanding::wire;
 use scene::{array, gang, Scene};
 
@@ -33,7 +35,7 @@
 fn reported(count: usize) -> Scene {
     let mut scene = Scene::new();
     for name in names(count) {
-        scene.report(&name, &[]);
+        scene.heartbeat(&name, &[]);
     }
     scene
 }
@@ -46,13 +48,13 @@
     let writes = scene.cluster.due_writes(&replica, scene.now);
     let mut written = BTreeSet::new();
     for write in &writes {
-        assert!(write.group.apply.len() <= limits.txn_ops);
-        let RecordKind::Roster(_, machines) = &write.kind else {
+        assert!(write.group.changes.len() <= limits.txn_ops);
+        let RecordKind::Inventory(_, machines) = &write.kind else {
             panic!("{:?}", write.kind);
         };
         written.extend(machines.iter().cloned());
-        let Change::Put { key, value, .. } = &write.group.apply[0] else {
-            panic!("{:?}", write.group.apply);
+        let Change::Put { key, value, .. } = &write.group.changes[0] else {
+            panic!("{:?}", write.group.changes);
         };
         // The service measures values as JSON.
         let json = serde_json::to_string(value).unwrap();
@@ -60,7 +62,7 @@
         scene.record(key.clone(), value.clone());
     }
     for (revision, write) in writes.iter().enumerate() {
-        let outcome = Outcome::Committed(1_000 + revision as u64);
+        let outcome = TransactionOutcome::Committed(1_000 + revision as u64);
         scene.cluster.written(&write.kind, &outcome);
     }
     assert_eq!(written.len(), MACHINES);
@@ -73,8 +75,8 @@
     let replica = scene.replica();
     assert!(scene.cluster.due_writes(&replica, scene.now).is_empty());
 
-    scene.take_over(2);
-    assert_eq!(scene.cluster.unsettled, written);
+    scene.recover(2);
+    assert_eq!(scene.cluster.unreconciled, written);
     // One machine that goes costs one shard, not all of them.
     let gone = MachineId("m-c000000n".into());
     scene.cluster.machine_gone(&gone);
@@ -108,32 +110,35 @@
         let wall = scene::wall();
         scene.cluster.sync_job(id, &replica, scene.now, wall, false);
     }
-    let mut news = scene.cluster.all_news();
-    assert_eq!((news.hints.len(), news.counts.len()), (MACHINES, 20_000));
-    news.shorten(DIGEST_LIMIT);
-    let latest: Vec<_> = news
+    let mut contents = scene.cluster.full_summary();
+    assert_eq!(
+        (contents.hints.len(), contents.counts.len()),
+        (MACHINES, 20_000)
+    );
+    contents.shorten(SUMMARY_BYTES_MAX);
+    let latest: Vec<_> = contents
         .hints
         .iter()
         .map(|(_, hint)| hint.images.last())
         .collect();
-    let digest = Digest {
+    let summary = StateSummary {
         term: Term(1),
         member: "knot-1".to_owned(),
         number: 1,
         full: true,
-        news: news.clone(),
+        contents: contents.clone(),
     };
-    let bytes = knotlanding::peer::encode(&digest).unwrap();
-    assert!(bytes.len() <= DIGEST_LIMIT, "{}", bytes.len());
+    let bytes = knotlanding::peer::encode(&summary).unwrap();
+    assert!(bytes.len() <= SUMMARY_BYTES_MAX, "{}", bytes.len());
     assert!(
-        bytes.len() > DIGEST_LIMIT / 2,
+        bytes.len() > SUMMARY_BYTES_MAX / 2,
         "room is used: {}",
         bytes.len()
     );
     for image in latest {
         assert!(image.is_some_and(|(name, _)| name.ends_with("image-059")));
     }
-    let mut view = DigestView::default();
+    let mut view = SummaryCache::default();
     assert!(view.take(knotlanding::peer::decode(&bytes).unwrap()));
     assert_eq!(view.hints.len(), MACHINES, "every machine is told");
     assert_eq!(view.counts.len(), 20_000);
@@ -145,20 +150,25 @@
 
 #[test]
 fn a_digest_of_any_size_is_shortened_to_what_peers_take() {
-    let mut news = knotlanding::digest::DigestContents::default();
+    let mut contents = knotlanding::state_summary::SummaryContents::default();
     for number in 0..200_000 {
         let id = JobId::parse(&format!("wk-{number:06}")).unwrap();
-        news.over.push(id.clone());
-        news.gone.push(MachineId(format!("m-{number:06}").into()));
+        contents.over.push(id.clone());
+        contents
+            .gone
+            .push(MachineId(format!("m-{number:06}").into()));
         let (done, running) = (u32::MAX, u32::MAX);
-        news.counts
-            .push(knotlanding::digest::Counts { id, done, running });
+        contents
+            .counts
+            .push(knotlanding::state_summary::Counts { id, done, running });
     }
-    for limit in [64 * 1024, DIGEST_LIMIT] {
-        let mut news = news.clone();
-        news.shorten(limit);
-        assert!(knotlanding::peer::encode(&news).unwrap().len() <= limit);
-        assert!(!news.counts.is_empty() && !news.over.is_empty() && !news.gone.is_empty());
+    for limit in [64 * 1024, SUMMARY_BYTES_MAX] {
+        let mut contents = contents.clone();
+        contents.shorten(limit);
+        assert!(knotlanding::peer::encode(&contents).unwrap().len() <= limit);
+        assert!(
+            !contents.counts.is_empty() && !contents.over.is_empty() && !contents.gone.is_empty()
+        );
     }
 }
 
@@ -168,11 +178,11 @@
     let names = names(MACHINES);
     for (shard, part) in names.chunks(250).enumerate() {
         let machines: Vec<String> = part.to_vec();
-        let record = knotlanding::store::keys::RosterRecord { machines };
-        let key = knotlanding::store::keys::roster(shard);
+        let record = knotlanding::store::keys::InventoryRecord { machines };
+        let key = knotlanding::store::keys::inventory(shard);
         scene.record(key, knotlanding::store::to_value(&record));
     }
-    scene.take_over(2);
+    scene.recover(2);
     for machine in scene.cluster.machines.values_mut() {
         machine.address = "127.0.0.1:9".to_owned();
     }
@@ -181,8 +191,8 @@
     while asked.len() < MACHINES {
         rounds += 1;
         assert!(rounds <= 100, "{} asked", asked.len());
-        for direct in scene.cluster.direct_orders(scene.now) {
-            assert!(direct.body.orders.is_empty());
+        for direct in scene.cluster.direct_commands(scene.now) {
+            assert!(direct.body.commands.is_empty());
             assert!(asked.insert(direct.machine), "asked twice within a moment");
         }
         // The shortest time between two rounds.
@@ -192,7 +202,7 @@
     for name in &names {
         scene.report_as(name, (1, 1, 2), &[], true);
     }
-    assert!(scene.cluster.unsettled.is_empty());
+    assert!(scene.cluster.unreconciled.is_empty());
     assert!(scene
         .cluster
         .machines
@@ -209,7 +219,7 @@
     let gangs = 120;
     for number in 0..gangs {
         let mut spec = gang(&format!("wk-{:06}", 100 + number), 16);
-        spec.one_zone = number % 2 == 0;
+        spec.single_zone = number % 2 == 0;
         scene.submit(spec);
     }
     let (mut started, mut rounds) = (BTreeSet::new(), 0);
@@ -225,7 +235,7 @@
         }
         let replica = scene.replica();
         for write in scene.cluster.due_writes(&replica, now) {
-            for change in &write.group.apply {
+            for change in &write.group.changes {
                 let Change::Put { value, .. } = change else {
                     continue;
                 };
@@ -235,7 +245,7 @@
             }
             scene
                 .cluster
-                .written(&write.kind, &Outcome::Committed(5_000));
+                .written(&write.kind, &TransactionOutcome::Committed(5_000));
         }
         scene.pass(0.2);
     }
@@ -258,6 +268,6 @@
             .machine_gone(&MachineId(format!("m-z{number:06}").into()));
     }
     const { assert!(GONE_MACHINES_KEPT > 2 * MACHINES) };
-    scene.report("m-c000000n", &[]);
+    scene.heartbeat("m-c000000n", &[]);
     assert!(!scene.cluster.machines.contains_key(&first));
 }
--- a/tests/layers.rs
+++ b/tests/layers.rs
@@ -11,7 +11,7 @@
     &["model", "rate_limit", "metrics"],
     &["config", "features", "cli"],
     &["wire", "timing", "policy"],
-    &["http", "digest", "demand"],
+    &["http", "state_summary", "demand"],
     &["store"],
     &["leader"],
     &["forwarding", "cluster"],
--- a/tests/links.rs
+++ b/tests/links.rs
@@ -45,7 +45,7 @@
     let worlds = worlds(|_| Vec::new());
     assert!(worlds
         .iter()
-        .all(|world| world.take_overs == 1 && world.handovers == 0));
+        .all(|world| world.failovers == 1 && world.handovers == 0));
 }
 
 #[test]
--- a/tests/links_service.rs
+++ b/tests/links_service.rs
@@ -63,10 +63,10 @@
     }
 }
 
-async fn accepted(deployment: &Deployment, id: &str, shape: &str, tasks: u64) {
+async fn accepted(deployment: &Deployment, id: &str, kind: &str, tasks: u64) {
     until(&format!("{id} accepted"), || async {
         for controller in 0..deployment.controllers() {
-            if deployment.submit(controller, id, shape, tasks).await {
+            if deployment.submit(controller, id, kind, tasks).await {
                 return true;
             }
         }
@@ -387,9 +387,9 @@
     let mut open: Vec<String> = Vec::new();
     for number in 0..6 {
         let id = format!("wk-{number:06}");
-        let shape = if number % 3 == 2 { "group" } else { "array" };
-        let tasks = if shape == "group" { 3 } else { 120 };
-        accepted(&deployment, &id, shape, tasks).await;
+        let kind = if number % 3 == 2 { "group" } else { "array" };
+        let tasks = if kind == "group" { 3 } else { 120 };
+        accepted(&deployment, &id, kind, tasks).await;
         open.push(id);
     }
     let troubles = draw(seed, 3, length, 12);
--- a/tests/meetings.rs
+++ b/tests/meetings.rs
@@ -15,14 +15,14 @@
 use knotlanding::api::workers::{receive, Reception};
 use knotlanding::cluster::Cluster;
 use knotlanding::config::Settings;
-use knotlanding::leader::{Lead, OwnLease};
+use knotlanding::leader::{HeldLease, Leadership};
 use knotlanding::model::{Attempt, JobId, MachineId, TaskId, Term, Verdict};
 use knotlanding::service::Shared;
 use knotlanding::store::keys::{self, JobRecord};
 use knotlanding::store::replica::ReplicaChange;
-use knotlanding::store::{to_value, Outcome, Row};
+use knotlanding::store::{to_value, Row, TransactionOutcome};
 use knotlanding::timing::LEASE_TIME_MIN;
-use scene::{accepted, array, builds};
+use scene::{accepted, array, machine_types};
 
 /// The answer of a node that has nobody to forward the report to.
 fn answered_here(reception: Reception) -> actix_web::HttpResponse {
@@ -37,7 +37,7 @@
     shared: Arc<Shared>,
     start: Instant,
     now: Instant,
-    seq: u64,
+    sequence: u64,
     token: u64,
     tasks: Vec<(String, u64)>,
 }
@@ -57,11 +57,11 @@
             version: at as u64 + 1,
         });
         shared.replica.lock().load(rows.collect(), 10);
-        let cluster = Cluster::take_over(
+        let cluster = Cluster::recover(
             Term(1),
             &shared.settings,
             &shared.replica.lock(),
-            Arc::new(builds()),
+            Arc::new(machine_types()),
             start,
             SystemTime::now(),
         );
@@ -70,22 +70,22 @@
             shared,
             start,
             now: start,
-            seq: 0,
+            sequence: 0,
             token: 0,
             tasks: Vec::new(),
         };
-        leader.shared.role.lock().lease = Some(OwnLease {
+        leader.shared.election.lock().lease = Some(HeldLease {
             id: 7,
             renewed: start,
         });
-        leader.shared.role.lock().take(Lead {
+        leader.shared.election.lock().take(Leadership {
             term: Term(1),
             version: 1,
         });
         leader.read();
         // Twice, so that the machine shows our token and can be entered into the roster.
-        leader.report();
-        leader.report();
+        leader.heartbeat();
+        leader.heartbeat();
         leader.write();
         leader
     }
@@ -97,7 +97,7 @@
 
     /// The lease is renewed now.
     fn renew(&self) {
-        self.shared.role.lock().renewed(7, self.now);
+        self.shared.election.lock().renewed(7, self.now);
     }
 
     /// A read that was sent now has been answered.
@@ -107,7 +107,7 @@
 
     /// A request fails now.
     fn fail(&self) {
-        self.shared.role.lock().freshness().doubt(self.now);
+        self.shared.election.lock().freshness().doubt(self.now);
     }
 
     /// Another node has cancelled the job, and the watch brings it.
@@ -152,14 +152,14 @@
         let mut guard = self.shared.cluster.lock();
         let cluster = guard.as_mut().unwrap();
         for write in cluster.due_writes(&replica, self.now) {
-            cluster.written(&write.kind, &Outcome::Committed(11));
+            cluster.written(&write.kind, &TransactionOutcome::Committed(11));
         }
     }
 
     /// The machine's next report; the status, and the verbs that it is answered with. It does
     /// what it is told.
-    fn report(&mut self) -> (u16, Vec<String>) {
-        self.seq += 1;
+    fn heartbeat(&mut self) -> (u16, Vec<String>) {
+        self.sequence += 1;
         let tasks: Vec<Value> = self
             .tasks
             .iter()
@@ -167,13 +167,13 @@
                 cbor!({"strand" => task, "try" => attempt, "status" => "running"}).unwrap()
             })
             .collect();
-        let report = cbor!({
+        let heartbeat = cbor!({
             "host" => MACHINE, "address" => "127.0.0.1:9", "build" => "gpu2", "yard" => "north",
-            "loaners" => false, "tenure" => 1, "tally" => self.seq, "baton" => self.token,
+            "loaners" => false, "tenure" => 1, "tally" => self.sequence, "baton" => self.token,
             "strands" => tasks,
         });
         let mut body = Vec::new();
-        ciborium::into_writer(&report.unwrap(), &mut body).unwrap();
+        ciborium::into_writer(&heartbeat.unwrap(), &mut body).unwrap();
         let now = self.now;
         let answer = answered_here(receive(&self.shared, Ok(body.into()), &|| now));
         let status = answer.status().as_u16();
@@ -188,13 +188,15 @@
         if let Some(token) = get(&body, "baton").and_then(|t| t.as_integer()) {
             self.token = u64::try_from(token).unwrap();
         }
-        let orders = get(&body, "orders");
-        let orders = orders.and_then(|o| o.into_array().ok()).unwrap_or_default();
+        let commands = get(&body, "orders");
+        let commands = commands
+            .and_then(|o| o.into_array().ok())
+            .unwrap_or_default();
         let mut verbs = Vec::new();
-        for order in orders {
-            let verb = get(&order, "verb").unwrap().into_text().unwrap();
-            let task = get(&order, "strand").unwrap().into_text().unwrap();
-            let attempt = get(&order, "try").unwrap().into_integer().unwrap();
+        for command in commands {
+            let verb = get(&command, "verb").unwrap().into_text().unwrap();
+            let task = get(&command, "strand").unwrap().into_text().unwrap();
+            let attempt = get(&command, "try").unwrap().into_integer().unwrap();
             if verb == "run" {
                 self.tasks.push((task, u64::try_from(attempt).unwrap()));
             } else {
@@ -212,7 +214,7 @@
         for s in first..until {
             self.at(f64::from(s));
             each(self);
-            if self.report().0 == 200 {
+            if self.heartbeat().0 == 200 {
                 last = s;
             }
         }
@@ -228,19 +230,19 @@
     leader.plan();
     leader.at(1.0).fail();
     assert_eq!(
-        leader.at(1.5).report(),
+        leader.at(1.5).heartbeat(),
         (200, vec![]),
         "contact may be lost"
     );
     leader.at(64.0).renew();
-    let (status, orders) = leader.at(64.1).report();
+    let (status, commands) = leader.at(64.1).heartbeat();
     assert_eq!(
-        (status, orders.len()),
+        (status, commands.len()),
         (503, 0),
         "leads, with an old replica"
     );
     leader.at(64.3).learn_of_the_cancellation();
-    assert_eq!(leader.at(64.4).report(), (200, vec![]), "it knows now");
+    assert_eq!(leader.at(64.4).heartbeat(), (200, vec![]), "it knows now");
 }
 
 /// The same without a cancellation: the start leaves as soon as the replica is proved complete.
@@ -249,9 +251,9 @@
     let mut leader = LoneLeader::new();
     leader.plan();
     leader.at(1.0).fail();
-    assert_eq!(leader.at(1.2).report(), (200, vec![]));
+    assert_eq!(leader.at(1.2).heartbeat(), (200, vec![]));
     leader.at(1.3).read();
-    assert_eq!(leader.at(1.4).report(), (200, vec!["run".to_owned()]));
+    assert_eq!(leader.at(1.4).heartbeat(), (200, vec!["run".to_owned()]));
 }
 
 /// A process that stood still has an old replica, whatever its lease says when it wakes up.
@@ -260,9 +262,9 @@
     let mut leader = LoneLeader::new();
     leader.plan();
     leader.at(9.0).renew();
-    assert_eq!(leader.report(), (200, vec![]));
+    assert_eq!(leader.heartbeat(), (200, vec![]));
     leader.at(9.2).read();
-    assert_eq!(leader.report(), (200, vec!["run".to_owned()]));
+    assert_eq!(leader.heartbeat(), (200, vec!["run".to_owned()]));
 }
 
 /// Whatever was cancelled unseen is gone in time: the last 200 leaves a lease before the end of a
@@ -274,7 +276,7 @@
         let mut leader = LoneLeader::new();
         leader.plan();
         leader.at(0.5).read();
-        assert_eq!(leader.report().1, ["run"]);
+        assert_eq!(leader.heartbeat().1, ["run"]);
         let workers = leader.shared.settings.params.workers.clone();
         let last = leader.last_answer(120, |leader| {
             if renews {
@@ -312,11 +314,11 @@
 fn a_leader_past_its_lease_that_knows_of_a_cancellation_kills_the_task() {
     let mut leader = LoneLeader::new();
     leader.plan();
-    assert_eq!(leader.at(0.5).report().1, ["run"]);
-    assert_eq!(leader.at(1.0).report(), (200, vec![]));
+    assert_eq!(leader.at(0.5).heartbeat().1, ["run"]);
+    assert_eq!(leader.at(1.0).heartbeat(), (200, vec![]));
     leader.at(2.0).learn_of_the_cancellation();
     // Past its lease by now.
-    assert_eq!(leader.at(6.0).report(), (200, vec!["kill".to_owned()]));
+    assert_eq!(leader.at(6.0).heartbeat(), (200, vec!["kill".to_owned()]));
 }
 
 /// Workers give an answer up after four seconds and come again on a new connection: a leader that
@@ -329,15 +331,15 @@
         settings.params.resources.cores = cores;
         settings.params.count = nodes;
         let shared = Shared::new(settings);
-        shared.role.lock().hears(Term(3), "knot-1");
+        shared.election.lock().hears(Term(3), "knot-1");
         let start = Instant::now();
-        let report = cbor!({
+        let heartbeat = cbor!({
             "host" => MACHINE, "address" => "127.0.0.1:9", "build" => "gpu2", "yard" => "north",
             "loaners" => false, "tenure" => 1, "tally" => 1, "baton" => 0,
             "strands" => Vec::<Value>::new(),
         });
         let mut body = Vec::new();
-        ciborium::into_writer(&report.unwrap(), &mut body).unwrap();
+        ciborium::into_writer(&heartbeat.unwrap(), &mut body).unwrap();
         let mut sent_on = [0, 0];
         for s in 0..2 {
             let now = start + Duration::from_secs(s);
--- a/tests/reports.rs
+++ b/tests/reports.rs
@@ -9,7 +9,7 @@
 
 use knotlanding::cluster::Verified;
 use knotlanding::model::*;
-use knotlanding::wire::Cause;
+use knotlanding::wire::ExitCause;
 use scene::*;
 
 #[test]
@@ -18,8 +18,8 @@
     s.machines(&["m-g1n"]);
     s.submit(array("wk-000001", 1));
     s.round();
-    s.report("m-g1n", &[]);
-    s.report("m-g1n", &[("wk-000001/0", FIRST, RUNNING, None)]);
+    s.heartbeat("m-g1n", &[]);
+    s.heartbeat("m-g1n", &[("wk-000001/0", FIRST, RUNNING, None)]);
     assert_eq!(s.report_as("m-g1n", (1, 1, 0), &[], true), Verified::Older);
     s.note("a new session is proof that all of the old one is gone");
     s.report_as("m-g1n", (2, 1, 1), &[], true);
@@ -40,16 +40,16 @@
     s.note("the started flag is written: now the token is raised, once in half a lease");
     s.round();
     s.round();
-    s.report("m-g1n", &[]);
+    s.heartbeat("m-g1n", &[]);
     s.submit(array("wk-000002", 1));
     s.round();
     s.round();
     s.pass(12.0);
-    s.report("m-g1n", &[("wk-000001/0", FIRST, RUNNING, None)]);
+    s.heartbeat("m-g1n", &[("wk-000001/0", FIRST, RUNNING, None)]);
     s.submit(array("wk-000003", 1));
-    s.report(
+    s.heartbeat(
         "m-g1n",
-        &[("wk-000002/0", SECOND, EXITED, Some(Cause::Done))],
+        &[("wk-000002/0", SECOND, EXITED, Some(ExitCause::Done))],
     );
     s.round();
     s.round();
@@ -62,13 +62,13 @@
     s.machines(&["m-g1n", "m-g2s", "m-g3s", "m-g4s"]);
     s.submit(array("wk-000001", 1));
     s.round();
-    s.report("m-g1n", &[]);
+    s.heartbeat("m-g1n", &[]);
     s.note("from here nothing reaches m-g1n, while its reports arrive");
     let runs = ("wk-000001/0", SECOND, RUNNING, None);
     for step in 0..6 {
         s.pass(0.4);
         deaf_report(&mut s, "m-g1n", &[]);
-        s.report(
+        s.heartbeat(
             "m-g2s",
             if step < 2 {
                 &[]
@@ -77,7 +77,7 @@
             },
         );
         for other in ["m-g3s", "m-g4s"] {
-            s.report(other, &[]);
+            s.heartbeat(other, &[]);
         }
         let decisions = s.round();
         s.fleet(&decisions);
@@ -95,7 +95,7 @@
     s.submit(job);
     s.round();
     for machine in ["m-g1n", "m-g5n", "m-g6n", "m-g2s", "m-g3s", "m-g4s"] {
-        s.report(machine, &[]);
+        s.heartbeat(machine, &[]);
     }
     s.note("the south hears nothing from here on");
     for machine in south {
@@ -107,27 +107,27 @@
             deaf_report(&mut s, machine, &[]);
         }
         for machine in ["m-g1n", "m-g5n", "m-g6n"] {
-            s.report(machine, &[]);
+            s.heartbeat(machine, &[]);
         }
     }
     let decisions = s.round();
     s.fleet(&decisions);
     s.note("m-g2s hears again");
-    s.report("m-g2s", &[]);
+    s.heartbeat("m-g2s", &[]);
     s.round();
-    s.report("m-g2s", &[]);
+    s.heartbeat("m-g2s", &[]);
     s.note("the others don't: once it is one machine or two, they are not taken for a cut zone");
     s.pass(1.0);
     let works = [
         ("wk-000001/6", FIRST + 18, RUNNING, None),
         ("wk-000001/7", FIRST + 19, RUNNING, None),
     ];
-    s.report("m-g2s", &works);
+    s.heartbeat("m-g2s", &works);
     for machine in ["m-g3s", "m-g4s"] {
         deaf_report(&mut s, machine, &[]);
     }
     for machine in ["m-g1n", "m-g5n", "m-g6n"] {
-        s.report(machine, &[]);
+        s.heartbeat(machine, &[]);
     }
     let decisions = s.round();
     s.fleet(&decisions);
@@ -140,27 +140,27 @@
     s.machines(&["m-g1n", "m-g2n"]);
     s.submit(array("wk-000001", 1));
     s.round();
-    s.report("m-g1n", &[]);
-    s.report("m-g1n", &[("wk-000001/0", FIRST, RUNNING, None)]);
+    s.heartbeat("m-g1n", &[]);
+    s.heartbeat("m-g1n", &[("wk-000001/0", FIRST, RUNNING, None)]);
     s.note("copies from before the start: no second start, and the task is not believed gone");
-    for seq in [1, 3] {
+    for sequence in [1, 3] {
         assert_eq!(
-            s.report_as("m-g1n", (1, seq, 1), &[], true),
+            s.report_as("m-g1n", (1, sequence, 1), &[], true),
             Verified::Older
         );
     }
     s.round();
     s.cancel("wk-000001");
     s.round();
-    s.report(
+    s.heartbeat(
         "m-g1n",
-        &[("wk-000001/0", FIRST, EXITED, Some(Cause::Stopped))],
+        &[("wk-000001/0", FIRST, EXITED, Some(ExitCause::Stopped))],
     );
     s.note("a copy from before the stop: the task is not back, and its room is free");
-    let seq = s.seq - 1;
+    let sequence = s.sequence - 1;
     s.report_as(
         "m-g1n",
-        (1, seq, 1),
+        (1, sequence, 1),
         &[("wk-000001/0", FIRST, RUNNING, None)],
         true,
     );
@@ -168,9 +168,9 @@
     s.round();
     s.note("a new session, then copies of what the old one said: no blame, nothing is back");
     s.report_as("m-g1n", (2, 1, 1), &[], true);
-    let failed = ("wk-000001/0", FIRST, EXITED, Some(Cause::Error));
-    for seq in [4, 70] {
-        let copy = s.report_as("m-g1n", (1, seq, 1), &[failed], true);
+    let failed = ("wk-000001/0", FIRST, EXITED, Some(ExitCause::Error));
+    for sequence in [4, 70] {
+        let copy = s.report_as("m-g1n", (1, sequence, 1), &[failed], true);
         assert_eq!(copy, Verified::Older);
     }
     assert!(s.cluster.machines.values().all(|m| m.blame.is_empty()));
@@ -184,7 +184,7 @@
     );
     let told: Vec<String> = s
         .cluster
-        .news()
+        .take_summary_changes()
         .gone
         .iter()
         .map(|m| m.to_string())
@@ -201,8 +201,8 @@
     s.machines(&["m-g1n"]);
     s.submit(array("wk-000001", 1));
     s.round();
-    s.report("m-g1n", &[]);
-    s.report("m-g1n", &[("wk-000001/0", FIRST, RUNNING, None)]);
+    s.heartbeat("m-g1n", &[]);
+    s.heartbeat("m-g1n", &[("wk-000001/0", FIRST, RUNNING, None)]);
     s.pass(0.2);
     s.note("back at once: its session and number begin again");
     s.report_as("m-g1n", (1, 1, 0), &[], true);
@@ -215,8 +215,8 @@
     let copy = s.report_as("m-g1n", (1, 40, 1), &[running], true);
     assert_eq!(copy, Verified::Older);
     s.note("the new life brings back the token that only it was given");
-    s.seq = 4;
-    s.report("m-g1n", &[]);
+    s.sequence = 4;
+    s.heartbeat("m-g1n", &[]);
     insta::assert_snapshot!(s.log);
 }
 
@@ -225,18 +225,18 @@
 #[test]
 fn a_task_planned_anew_that_an_old_report_shows_as_done_leaves_its_plan() {
     let mut records = accepted(&array("wk-000001", 1), true);
-    records.push(roster(&["m-g1n"]));
+    records.push(inventory(&["m-g1n"]));
     let mut s = Scene::with(records);
     s.pass(s.cluster.timing.inherited_lease.as_secs_f64() + 1.0);
     s.note("by its lease nothing is left on m-g1n");
     s.machines(&["m-g2n"]);
     s.round();
     let id = JobId::parse("wk-000001").unwrap();
-    assert!(s.cluster.jobs[&id].placed(), "planned anew");
-    let done = ("wk-000001/0", 7, EXITED, Some(Cause::Done));
+    assert!(s.cluster.jobs[&id].has_placements(), "planned anew");
+    let done = ("wk-000001/0", 7, EXITED, Some(ExitCause::Done));
     s.report_as("m-g1n", (1, 5, 0), &[done], true);
-    assert!(!s.cluster.jobs[&id].placed());
-    s.report("m-g2n", &[]);
+    assert!(!s.cluster.jobs[&id].has_placements());
+    s.heartbeat("m-g2n", &[]);
     s.round();
     assert!(!s.cluster.jobs.contains_key(&id), "its verdict is written");
     insta::assert_snapshot!(s.log);
@@ -249,7 +249,7 @@
     let raised_and_stopped = |cores: f64| {
         let mut s = Scene::new();
         s.settings.params.resources.cores = cores;
-        s.take_over(2);
+        s.recover(2);
         let names: Vec<String> = (100..220).map(|n| format!("m-g{n}n")).collect();
         let names: Vec<&str> = names.iter().map(String::as_str).collect();
         s.machines(&names);
@@ -261,7 +261,7 @@
         let straight = |s: &Scene| s.log.matches("straight to").count();
         let raised = straight(&s);
         for name in &names {
-            s.report(name, &[]);
+            s.heartbeat(name, &[]);
         }
         s.log.clear();
         s.cancel("wk-000001");
@@ -282,8 +282,8 @@
     let mut s = Scene::new();
     s.machines(&["m-c1n"]);
     let mut sweep = array("wk-000001", 5000);
-    sweep.rank = Rank::BestEffort;
-    sweep.need = Amount {
+    sweep.priority = Priority::BestEffort;
+    sweep.task_resources = Resources {
         cpus: 0.25,
         gpus: 0.0,
         memory: 0.1,
@@ -292,9 +292,9 @@
     let names: Vec<String> = (0..450).map(|n| format!("wk-000001/{n}")).collect();
     let results: Vec<_> = names
         .iter()
-        .map(|name| (name.as_str(), 7, EXITED, Some(Cause::Done)))
+        .map(|name| (name.as_str(), 7, EXITED, Some(ExitCause::Done)))
         .collect();
-    s.report("m-c1n", &results);
+    s.heartbeat("m-c1n", &results);
     let decisions = s.round_with(false);
     assert!(
         decisions.starts.is_empty(),
@@ -302,8 +302,8 @@
     );
     s.pass(3.0);
     s.round();
-    s.report("m-c1n", &results);
-    s.report("m-c1n", &[]);
+    s.heartbeat("m-c1n", &results);
+    s.heartbeat("m-c1n", &[]);
     let decisions = s.round();
     assert_eq!(
         decisions.starts.len(),
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -175,14 +175,14 @@
     });
     bench.state.put("kl/leader", leader.unwrap());
     let node = bench.start();
-    let report = cbor!({
+    let heartbeat = cbor!({
         "host" => "m-000001", "address" => "127.0.0.1:9", "build" => "cpu16", "yard" => "north",
         "loaners" => false, "tenure" => 1, "tally" => 1, "baton" => 0, "strands" => Vec::<Value>::new()
     });
-    let report = encode(&report.unwrap());
+    let heartbeat = encode(&heartbeat.unwrap());
     let began = Instant::now();
     let written = loop {
-        let (status, body, _) = node.post("/hello", report.clone()).await;
+        let (status, body, _) = node.post("/hello", heartbeat.clone()).await;
         if status == 421 {
             assert_eq!(text(&body, "answerTo"), "knot-9");
         }
@@ -313,12 +313,12 @@
 
 /// A report as a worker that has seen `baton` sends it; the answer's status and token.
 async fn hello(node: &Node, tally: u64, baton: u64) -> (u16, u64) {
-    let report = cbor!({
+    let heartbeat = cbor!({
         "host" => "m-900001", "address" => "127.0.0.1:1", "build" => "cpu16", "yard" => "north",
         "loaners" => false, "tenure" => 1, "tally" => tally, "baton" => baton,
         "recallS" => null, "strands" => []
     });
-    let (status, body, _) = node.post("/hello", encode(&report.unwrap())).await;
+    let (status, body, _) = node.post("/hello", encode(&heartbeat.unwrap())).await;
     (status, number(&body, "baton"))
 }
 
@@ -558,7 +558,7 @@
 #[test]
 fn a_report_is_answered_by_what_holds_after_a_pause_and_not_by_what_held_before() {
     use knotlanding::api::workers::{receive, Reception};
-    use knotlanding::leader::{Lead, OwnLease};
+    use knotlanding::leader::{HeldLease, Leadership};
     use knotlanding::model::Term;
     use knotlanding::timing::LEASE_TIME_MIN;
     let text = common::settings_of_nobody();
@@ -566,7 +566,7 @@
     let shared = knotlanding::service::Shared::new(settings);
     let start = Instant::now();
     let term = Term(1);
-    let cluster = knotlanding::cluster::Cluster::take_over(
+    let cluster = knotlanding::cluster::Cluster::recover(
         term,
         &shared.settings,
         &shared.replica.lock(),
@@ -576,13 +576,13 @@
     );
     *shared.cluster.lock() = Some(cluster);
     {
-        let mut role = shared.role.lock();
-        role.lease = Some(OwnLease {
+        let mut election = shared.election.lock();
+        election.lease = Some(HeldLease {
             id: 7,
             renewed: start,
         });
-        role.take(Lead { term, version: 1 });
-        role.freshness().proved(start);
+        election.take(Leadership { term, version: 1 });
+        election.freshness().proved(start);
     }
     // The first look at the clock comes at once, all others after the pause.
     let answered = |pause: Duration| {
@@ -596,11 +596,11 @@
                     pause
                 }
         };
-        let report = cbor!({
+        let heartbeat = cbor!({
             "host" => "m-000001", "address" => "127.0.0.1:9", "build" => "g8", "yard" => "north",
             "loaners" => false, "tenure" => 1, "tally" => 1, "baton" => 0, "strands" => [],
         });
-        let body = encode(&report.unwrap()).into();
+        let body = encode(&heartbeat.unwrap()).into();
         let Reception::Answered(answer) = receive(&shared, Ok(body), &clock) else {
             panic!("there is nobody to forward it to");
         };
--- a/tests/silence.rs
+++ b/tests/silence.rs
@@ -15,15 +15,15 @@
     s.machines(&["m-g1n", "m-g2n"]);
     s.submit(array("wk-000001", 1));
     s.round();
-    s.report("m-g1n", &[]);
-    s.report("m-g2n", &[]);
-    s.report("m-g1n", &[("wk-000001/0", FIRST, RUNNING, None)]);
+    s.heartbeat("m-g1n", &[]);
+    s.heartbeat("m-g2n", &[]);
+    s.heartbeat("m-g1n", &[("wk-000001/0", FIRST, RUNNING, None)]);
     s.pass(15.0);
-    s.report("m-g2n", &[]);
+    s.heartbeat("m-g2n", &[]);
     s.round();
     s.note("silent, but within its lease: not started elsewhere");
     s.pass(6.5);
-    s.report("m-g2n", &[]);
+    s.heartbeat("m-g2n", &[]);
     s.round();
     insta::assert_snapshot!(s.log);
 }
@@ -37,7 +37,7 @@
     let names = ["m-g1n", "m-g2n", "m-g3n", "m-g4s", "m-g5s", "m-g6s"];
     let tasks: Vec<String> = (0..6).map(|i| format!("wk-000001/{i}")).collect();
     let works = |s: &mut Scene, at: usize| {
-        s.report(names[at], &[(&tasks[at], 1, RUNNING, None)]);
+        s.heartbeat(names[at], &[(&tasks[at], 1, RUNNING, None)]);
     };
     for at in 0..6 {
         works(&mut s, at);
@@ -74,24 +74,27 @@
     s.machines(&["m-g1n", "m-g2n", "m-g3n"]);
     s.submit(array("wk-000001", 1));
     s.round();
-    s.report("m-g1n", &[]);
-    s.report("m-g1n", &[("wk-000001/0", FIRST, RUNNING, None)]);
+    s.heartbeat("m-g1n", &[]);
+    s.heartbeat("m-g1n", &[("wk-000001/0", FIRST, RUNNING, None)]);
     s.note("the leader stands still for 15 s");
     s.pass(15.0);
     s.cluster.resume(std::time::Duration::from_secs(15), s.now);
-    s.report("m-g2n", &[]);
-    s.report("m-g3n", &[]);
+    s.heartbeat("m-g2n", &[]);
+    s.heartbeat("m-g3n", &[]);
     let decisions = s.round();
     s.fleet(&decisions);
-    assert!(s.cluster.jobs.values().all(|job| job.placed()));
+    assert!(s.cluster.jobs.values().all(|job| job.has_placements()));
     s.note("and for longer than a lease");
     s.pass(22.0);
     s.cluster.resume(std::time::Duration::from_secs(22), s.now);
     let decisions = s.round();
     s.fleet(&decisions);
     let machines = s.cluster.machines.values();
-    let mut slots = machines.flat_map(|machine| machine.slots.values());
-    assert!(slots.all(|slot| !slot.sent()), "what ran is gone for sure");
+    let mut instances = machines.flat_map(|machine| machine.instances.values());
+    assert!(
+        instances.all(|instance| !instance.sent()),
+        "what ran is gone for sure"
+    );
     insta::assert_snapshot!(s.log);
 }
 
@@ -106,7 +109,7 @@
     s.machines(&names);
     s.pass(300.0);
     for name in names {
-        s.report(name, &[]);
+        s.heartbeat(name, &[]);
     }
     let mut job = array("wk-000001", 30);
     job.team = "blue".to_owned();
@@ -115,7 +118,7 @@
     for step in 0..10 {
         s.pass(3.0);
         for name in &names[..4] {
-            s.report(name, &[]);
+            s.heartbeat(name, &[]);
         }
         let decisions = s.round();
         s.log.clear();
--- a/tests/take_over.rs
+++ b/tests/take_over.rs
@@ -7,16 +7,16 @@
 #[path = "common/scene.rs"]
 mod scene;
 
-use knotlanding::digest::DigestView;
 use knotlanding::model::*;
-use knotlanding::wire::Cause;
+use knotlanding::state_summary::SummaryCache;
+use knotlanding::wire::ExitCause;
 use scene::*;
 
 #[test]
 fn a_new_leader_starts_nothing_again_before_all_machines_have_spoken() {
     let mut records = accepted(&array("wk-000001", 2), true);
     records.extend(accepted(&array("wk-000002", 1), false));
-    records.push(roster(&["m-g1n", "m-g2n"]));
+    records.push(inventory(&["m-g1n", "m-g2n"]));
     let mut s = Scene::with(records);
     s.note("a report with an older token shows where tasks are, but proves no absence");
     s.report_as(
@@ -60,17 +60,18 @@
 #[test]
 fn a_new_leader_sees_that_a_zone_is_cut_off_before_it_gives_its_machines_up() {
     let names = ["m-g1n", "m-g2n", "m-g3n", "m-g4s", "m-g5s", "m-g6s"];
-    let mut s = Scene::with(vec![roster(&names)]);
+    let mut s = Scene::with(vec![inventory(&names)]);
     s.listed(&names);
     for second in 0..20 {
         s.pass(1.0);
         for name in &names[..3] {
-            s.report(name, &[]);
+            s.heartbeat(name, &[]);
         }
         let decisions = s.round();
         // Of the questions to the south none is answered.
         for name in &names[3..] {
-            s.cluster.in_vain(&MachineId((*name).into()), s.now);
+            s.cluster
+                .command_unanswered(&MachineId((*name).into()), s.now);
         }
         s.log.clear();
         s.note(&format!("second {second}"));
@@ -81,7 +82,7 @@
     }
     s.pass(80.0);
     for name in &names[..3] {
-        s.report(name, &[]);
+        s.heartbeat(name, &[]);
     }
     let decisions = s.round();
     s.log.clear();
@@ -118,11 +119,11 @@
     records.pop();
     let id = JobId::parse("wk-000002").unwrap();
     records.push(sent(&id, Some(&["m-c1n"])));
-    records.push(roster(&["m-c1n", "m-c2n", "m-c3n", "m-g1n"]));
+    records.push(inventory(&["m-c1n", "m-c2n", "m-c3n", "m-g1n"]));
     let mut s = Scene::with(records);
     s.listed(&["m-c1n", "m-c2n", "m-c3n", "m-g1n"]);
     for machine in ["m-c1n", "m-c2n", "m-c3n"] {
-        s.report(machine, &[]);
+        s.heartbeat(machine, &[]);
     }
     s.note("m-g1n reports, but never shows our term; only the array can be there");
     s.report_as(
@@ -134,23 +135,23 @@
     s.round();
     for _ in 0..4 {
         s.pass(0.5);
-        s.seq += 1;
-        let seq = s.seq + 7;
+        s.sequence += 1;
+        let sequence = s.sequence + 7;
         s.report_as(
             "m-g1n",
-            (4, seq, 0),
+            (4, sequence, 0),
             &[("wk-000001/0", 7, RUNNING, None)],
             true,
         );
         for machine in ["m-c1n", "m-c2n", "m-c3n"] {
-            s.report(machine, &[]);
+            s.heartbeat(machine, &[]);
         }
     }
     let decisions = s.round();
     s.fleet(&decisions);
     s.note("its return is the proof");
     s.cluster.machine_gone(&MachineId("m-g1n".into()));
-    s.report("m-g2n", &[]);
+    s.heartbeat("m-g2n", &[]);
     s.round();
     insta::assert_snapshot!(s.log);
 }
@@ -158,9 +159,9 @@
 #[test]
 fn a_copy_from_before_a_change_of_leader_is_a_hint_only() {
     let mut records = accepted(&array("wk-000001", 1), true);
-    records.push(roster(&["m-g1n"]));
+    records.push(inventory(&["m-g1n"]));
     let mut s = Scene::with(records);
-    let mut told = DigestView::default();
+    let mut told = SummaryCache::default();
     told.gone.push_back(MachineId("m-g9n".into()));
     s.cluster.hint(&told);
     s.note("copies: of a roster machine without the task, of one gone, of one nobody knows");
@@ -202,12 +203,12 @@
     s.machines(&names);
     assert!(!s.cluster.hears_few_machines(s.now), "just heard");
     s.pass(30.0);
-    s.report("m-g1n", &[]);
-    s.report("m-g2n", &[]);
+    s.heartbeat("m-g1n", &[]);
+    s.heartbeat("m-g2n", &[]);
     assert!(!s.cluster.hears_few_machines(s.now), "some are heard");
     s.pass(30.0);
     assert!(s.cluster.hears_few_machines(s.now));
-    s.take_over(2);
+    s.recover(2);
     assert!(
         !s.cluster.hears_few_machines(s.now),
         "nobody can have reported yet"
@@ -222,17 +223,17 @@
     let gone = ["m-x1n", "m-x2n", "m-x3n"];
     let all: Vec<&str> = names.iter().chain(&gone).copied().collect();
     let mut records = accepted(&array("wk-000001", 2), true);
-    records.push(roster(&all));
+    records.push(inventory(&all));
     let mut s = Scene::with(records);
     s.listed(&names);
     for _ in 0..2 {
         s.pass(1.0);
         for name in &names {
-            s.report(name, &[]);
+            s.heartbeat(name, &[]);
         }
         s.round();
     }
-    assert_eq!(s.cluster.unsettled.len(), gone.len());
+    assert_eq!(s.cluster.unreconciled.len(), gone.len());
     let decisions = s.round();
     s.log.clear();
     s.fleet(&decisions);
@@ -246,19 +247,22 @@
 fn records_of_the_version_before_are_read_and_go_with_their_job() {
     let names = ["m-g1n", "m-g2n"];
     let mut records = accepted_apart(&array("wk-000001", 1), &["m-g1n"]);
-    records.push(roster(&names));
+    records.push(inventory(&names));
     let mut s = Scene::with(records);
     s.listed(&names);
-    s.report("m-g2n", &[]);
+    s.heartbeat("m-g2n", &[]);
     s.note("it may run on m-g1n, which has not spoken");
     s.round();
-    s.report("m-g1n", &[("wk-000001/0", 7, RUNNING, None)]);
-    s.report("m-g1n", &[("wk-000001/0", 7, EXITED, Some(Cause::Done))]);
+    s.heartbeat("m-g1n", &[("wk-000001/0", 7, RUNNING, None)]);
+    s.heartbeat(
+        "m-g1n",
+        &[("wk-000001/0", 7, EXITED, Some(ExitCause::Done))],
+    );
     let replica = s.replica();
     let writes = s.cluster.due_writes(&replica, s.now);
     let all: Vec<String> = writes
         .iter()
-        .flat_map(|write| &write.group.apply)
+        .flat_map(|write| &write.group.changes)
         .map(|change| change.key().to_owned())
         .collect();
     s.note(&format!("its end writes {all:?}"));
@@ -278,13 +282,13 @@
         s.log.clear();
         s.round();
         assert!(s.log.contains(&format!("starts: {id}")), "{}", s.log);
-        s.report("m-g1n", &[]);
+        s.heartbeat("m-g1n", &[]);
         let task = format!("{id}/0");
-        let done = (&*task, FIRST + number - 1, EXITED, Some(Cause::Done));
-        s.report("m-g1n", &[done]);
+        let done = (&*task, FIRST + number - 1, EXITED, Some(ExitCause::Done));
+        s.heartbeat("m-g1n", &[done]);
         s.round();
         assert!(s.log.contains(&format!("{id} is done")), "{}", s.log);
-        s.report("m-g1n", &[]);
+        s.heartbeat("m-g1n", &[]);
     }
 }
 
@@ -294,7 +298,7 @@
 fn machines_that_nobody_of_this_term_answered_hold_nothing_after_a_lease_and_the_keep_alive() {
     let names = ["m-g1n", "m-g2n", "m-g3n", "m-g4s", "m-g5s", "m-g6s"];
     let mut records = accepted(&array("wk-000001", 1), true);
-    records.push(roster(&names));
+    records.push(inventory(&names));
     let mut s = Scene::with(records);
     s.listed(&names);
     let inherited_lease = s.cluster.timing.inherited_lease;
@@ -303,11 +307,11 @@
         "the time to keep leases alive comes on top"
     );
     // It hears us, and holds what it reports.
-    s.report("m-g4s", &[]);
+    s.heartbeat("m-g4s", &[]);
     let round = |s: &mut Scene, at: std::time::Duration| {
         s.now = s.start + at;
         for name in &names[..3] {
-            s.report(name, &[]);
+            s.heartbeat(name, &[]);
         }
         s.round().starts.len()
     };
@@ -317,7 +321,7 @@
         0,
         "not a moment before"
     );
-    assert_eq!(s.cluster.unsettled.len(), 2);
+    assert_eq!(s.cluster.unreconciled.len(), 2);
     assert_eq!(round(&mut s, inherited_lease + moment), 1);
-    assert!(s.cluster.unsettled.is_empty());
+    assert!(s.cluster.unreconciled.is_empty());
 }
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -10,13 +10,13 @@
 
 use std::time::Duration;
 
-use knotlanding::cluster::{Drain, Verified};
+use knotlanding::cluster::{DrainReason, Verified};
 use knotlanding::config::Settings;
 use knotlanding::model::*;
-use knotlanding::policy::Policy;
+use knotlanding::policy::SchedulingPolicy;
 use knotlanding::store::keys::{self, DoneRecord};
-use knotlanding::store::{to_value, Outcome, StoreError};
-use knotlanding::wire::{Cause, TaskPhase};
+use knotlanding::store::{to_value, StoreError, TransactionOutcome};
+use knotlanding::wire::{ExitCause, TaskPhase};
 use scene::*;
 
 #[test]
@@ -26,11 +26,11 @@
     s.submit(gang("wk-000001", 2));
     s.round();
     s.note("one machine in each zone, but the gang wants one zone: nothing starts");
-    s.report("m-c1n", &[]);
-    s.report("m-c3n", &[]);
+    s.heartbeat("m-c1n", &[]);
+    s.heartbeat("m-c3n", &[]);
     s.round();
-    s.report("m-c1n", &[]);
-    s.report("m-c3n", &[]);
+    s.heartbeat("m-c1n", &[]);
+    s.heartbeat("m-c3n", &[]);
     s.round();
     insta::assert_snapshot!(s.log);
 }
@@ -41,10 +41,10 @@
     s.machines(&["m-g1n"]);
     s.submit(array("wk-000001", 1));
     s.round_with(false);
-    s.report("m-g1n", &[]);
+    s.heartbeat("m-g1n", &[]);
     s.note("the started flag is not written: no run above");
     s.round();
-    s.report("m-g1n", &[]);
+    s.heartbeat("m-g1n", &[]);
     insta::assert_snapshot!(s.log);
 }
 
@@ -54,19 +54,19 @@
     s.machines(&["m-g1n"]);
     s.submit(array("wk-000001", 1));
     s.round();
-    s.report("m-g1n", &[]);
-    s.seq += 1;
+    s.heartbeat("m-g1n", &[]);
+    s.sequence += 1;
     s.note("the answer to a direct command overtakes the answer with the start");
-    let seq = s.seq;
-    s.report_as("m-g1n", (1, seq, 1), &[], false);
+    let sequence = s.sequence;
+    s.report_as("m-g1n", (1, sequence, 1), &[], false);
     s.round();
     s.note("the worker dropped the answer: its own next report proves it");
-    s.report("m-g1n", &[]);
+    s.heartbeat("m-g1n", &[]);
     s.round();
     s.note("nothing more goes there until it brings back a token given to it since");
-    s.report("m-g1n", &[]);
+    s.heartbeat("m-g1n", &[]);
     s.round();
-    s.report("m-g1n", &[]);
+    s.heartbeat("m-g1n", &[]);
     insta::assert_snapshot!(s.log);
 }
 
@@ -88,18 +88,18 @@
     s.cluster.machine_gone(&MachineId("m-c2n".into()));
     s.round();
     s.note("until it is gone nothing of the gang starts");
-    s.report(
+    s.heartbeat(
         "m-c1n",
-        &[("wk-000001/0", FIRST, TaskPhase::Flushing, None)],
+        &[("wk-000001/0", FIRST, TaskPhase::Checkpointing, None)],
     );
     s.round();
-    s.report(
+    s.heartbeat(
         "m-c1n",
-        &[("wk-000001/0", FIRST, EXITED, Some(Cause::Stopped))],
+        &[("wk-000001/0", FIRST, EXITED, Some(ExitCause::Stopped))],
     );
     s.round();
-    s.report("m-c1n", &[]);
-    s.report("m-c3n", &[]);
+    s.heartbeat("m-c1n", &[]);
+    s.heartbeat("m-c3n", &[]);
     insta::assert_snapshot!(s.log);
 }
 
@@ -109,21 +109,21 @@
     s.machines(&["m-c1n", "m-c2n", "m-c3n"]);
     s.submit(gang("wk-000001", 2));
     s.round();
-    s.report("m-c1n", &[]);
-    s.report("m-c2n", &[]);
-    s.report("m-c1n", &[("wk-000001/0", FIRST, GATHERING, None)]);
+    s.heartbeat("m-c1n", &[]);
+    s.heartbeat("m-c2n", &[]);
+    s.heartbeat("m-c1n", &[("wk-000001/0", FIRST, GATHERING, None)]);
     s.cluster.machine_gone(&MachineId("m-c2n".into()));
     s.round();
-    s.report("m-c3n", &[]);
+    s.heartbeat("m-c3n", &[]);
     insta::assert_snapshot!(s.log);
 }
 
 #[test]
 fn members_that_succeeded_count_toward_the_minimum() {
     let mut s = running_gang();
-    s.report(
+    s.heartbeat(
         "m-c1n",
-        &[("wk-000001/0", FIRST, EXITED, Some(Cause::Done))],
+        &[("wk-000001/0", FIRST, EXITED, Some(ExitCause::Done))],
     );
     s.cluster.machine_gone(&MachineId("m-c2n".into()));
     s.round();
@@ -137,18 +137,18 @@
     s.machines(&["m-g1n"]);
     s.submit(array("wk-000001", 2));
     s.round();
-    s.report("m-g1n", &[]);
-    let done = ("wk-000001/0", FIRST, EXITED, Some(Cause::Done));
+    s.heartbeat("m-g1n", &[]);
+    let done = ("wk-000001/0", FIRST, EXITED, Some(ExitCause::Done));
     let other = ("wk-000001/1", SECOND, RUNNING, None);
-    s.report("m-g1n", &[done, other]);
+    s.heartbeat("m-g1n", &[done, other]);
     s.round_with(false);
-    s.report("m-g1n", &[done, other]);
+    s.heartbeat("m-g1n", &[done, other]);
     s.round();
-    s.report("m-g1n", &[done, other]);
-    let other = ("wk-000001/1", SECOND, EXITED, Some(Cause::Done));
-    s.report("m-g1n", &[other]);
+    s.heartbeat("m-g1n", &[done, other]);
+    let other = ("wk-000001/1", SECOND, EXITED, Some(ExitCause::Done));
+    s.heartbeat("m-g1n", &[other]);
     s.round();
-    s.report("m-g1n", &[other]);
+    s.heartbeat("m-g1n", &[other]);
     insta::assert_snapshot!(s.log);
 }
 
@@ -161,7 +161,7 @@
     s.round();
     s.note("the team may use four cards: one task of the second job is in, two wait");
     for machine in ["m-g1n", "m-g2n", "m-g3n"] {
-        s.report(machine, &[]);
+        s.heartbeat(machine, &[]);
     }
     s.cancel("wk-000001");
     s.round();
@@ -175,18 +175,21 @@
     s.machines(&["m-g1n"]);
     s.submit(array("wk-000001", 1));
     s.round();
-    s.report("m-g1n", &[]);
+    s.heartbeat("m-g1n", &[]);
     s.cancel("wk-000001");
     s.note("cancelled while the start is on its way");
     s.round();
-    s.report("m-g1n", &[("wk-000001/0", FIRST, TaskPhase::Pulling, None)]);
+    s.heartbeat(
+        "m-g1n",
+        &[("wk-000001/0", FIRST, TaskPhase::PullingImage, None)],
+    );
     s.round();
-    s.report(
+    s.heartbeat(
         "m-g1n",
-        &[("wk-000001/0", FIRST, EXITED, Some(Cause::Stopped))],
+        &[("wk-000001/0", FIRST, EXITED, Some(ExitCause::Stopped))],
     );
     s.round();
-    s.report("m-g1n", &[]);
+    s.heartbeat("m-g1n", &[]);
     assert!(s.cluster.jobs.is_empty());
     insta::assert_snapshot!(s.log);
 }
@@ -194,20 +197,21 @@
 #[test]
 fn a_write_without_an_answer_can_not_undo_a_newer_one_when_it_is_applied_late() {
     let mut s = Scene::new();
-    s.report("m-g1n", &[]);
+    s.heartbeat("m-g1n", &[]);
     let replica = s.replica();
     let lost = s.cluster.due_writes(&replica, s.now).remove(0);
     s.cluster
-        .written(&lost.kind, &Outcome::Failed(StoreError::Unknown));
-    s.report("m-g2n", &[]);
+        .written(&lost.kind, &TransactionOutcome::Failed(StoreError::Unknown));
+    s.heartbeat("m-g2n", &[]);
     let again = s.cluster.due_writes(&replica, s.now).remove(0);
-    s.cluster.written(&again.kind, &Outcome::Committed(7));
+    s.cluster
+        .written(&again.kind, &TransactionOutcome::Committed(7));
     // Both ask for the shard as it was: whichever is applied first, the other one fails.
-    assert_eq!(lost.group.when, again.group.when);
-    s.report("m-g3n", &[]);
+    assert_eq!(lost.group.conditions, again.group.conditions);
+    s.heartbeat("m-g3n", &[]);
     let next = s.cluster.due_writes(&replica, s.now).remove(0);
     assert_eq!(
-        next.group.when[0].version, 7,
+        next.group.conditions[0].version, 7,
         "and the next one builds on what was written"
     );
 }
@@ -217,9 +221,12 @@
     let mut s = Scene::new();
     s.machines(&["m-g1n"]);
     s.submit(array("wk-000001", 1));
-    s.report("m-g1n", &[("wk-000009/0", 5, RUNNING, None)]);
+    s.heartbeat("m-g1n", &[("wk-000009/0", 5, RUNNING, None)]);
     s.round();
-    s.report("m-g1n", &[("wk-000009/0", 5, EXITED, Some(Cause::Stopped))]);
+    s.heartbeat(
+        "m-g1n",
+        &[("wk-000009/0", 5, EXITED, Some(ExitCause::Stopped))],
+    );
     s.round();
     insta::assert_snapshot!(s.log);
 }
@@ -227,7 +234,7 @@
 #[test]
 fn failures_blame_the_machine_for_several_jobs_and_the_job_for_several_machines() {
     let mut s = Scene::new();
-    let failed = |task, attempt| (task, attempt, EXITED, Some(Cause::Error));
+    let failed = |task, attempt| (task, attempt, EXITED, Some(ExitCause::Error));
     s.machines(&["m-g1n"]);
     for id in ["wk-000001", "wk-000002", "wk-000003"] {
         s.submit(array(id, 1));
@@ -235,16 +242,16 @@
     s.note("two jobs fail there: both jobs may be at fault");
     let one = failed("wk-000001/0", 1);
     let two = failed("wk-000002/0", 2);
-    s.report("m-g1n", &[one, two]);
+    s.heartbeat("m-g1n", &[one, two]);
     let decisions = s.round();
     s.fleet(&decisions);
     s.note("a third one: the machine is at fault");
-    s.report("m-g1n", &[one, two, failed("wk-000003/0", 3)]);
+    s.heartbeat("m-g1n", &[one, two, failed("wk-000003/0", 3)]);
     let decisions = s.round();
     s.fleet(&decisions);
     s.note("one of them fails on three machines, none of which is blamed for it");
     for (machine, attempt) in [("m-g2n", 4), ("m-g3n", 5)] {
-        s.report(machine, &[failed("wk-000001/0", attempt)]);
+        s.heartbeat(machine, &[failed("wk-000001/0", attempt)]);
     }
     s.round();
     let blamed = s.cluster.machines.values();
@@ -270,29 +277,29 @@
         job.team = "blue".to_owned();
         s.submit(job);
     }
-    let failed = |task, attempt| (task, attempt, EXITED, Some(Cause::Error));
+    let failed = |task, attempt| (task, attempt, EXITED, Some(ExitCause::Error));
     for name in &names[..3] {
-        s.report(name, &[failed("wk-000001/0", 1), failed("wk-000002/0", 2)]);
+        s.heartbeat(name, &[failed("wk-000001/0", 1), failed("wk-000002/0", 2)]);
     }
     assert!(s
         .cluster
         .machines
         .values()
-        .all(|m| m.drain.is_none() && m.rests_until.is_none()));
+        .all(|m| m.drain.is_none() && m.backoff_until.is_none()));
     s.note("both are suspected; a healthy job of the same rank goes first");
     s.submit(array("wk-000003", 2));
     s.pass(2.0);
     for name in &names {
-        s.report(name, &[]);
+        s.heartbeat(name, &[]);
     }
     s.round();
     s.note("their next trial: one task each, and nothing is rented or stopped for the rest");
     s.pass(14.0);
     for name in &names {
-        s.report(name, &[]);
+        s.heartbeat(name, &[]);
     }
     let decisions = s.round();
-    assert!(decisions.short.is_empty() && decisions.halts.is_empty());
+    assert!(decisions.unmet_demand.is_empty() && decisions.terminations.is_empty());
     let first = JobId::parse("wk-000001").unwrap();
     let trials: Vec<_> = decisions
         .starts
@@ -301,23 +308,26 @@
         .collect();
     assert_eq!(trials.len(), 1);
     let place = s.cluster.jobs[&first]
-        .places
+        .placements
         .values()
         .flatten()
         .next()
         .unwrap()
         .clone();
     let (on, attempt) = (place.machine.to_string(), place.attempt.0);
-    s.report(&on, &[]);
-    s.report(&on, &[failed("wk-000001/0", attempt)]);
-    let rests = |s: &Scene| s.cluster.jobs[&first].rests_until.unwrap() - s.now;
+    s.heartbeat(&on, &[]);
+    s.heartbeat(&on, &[failed("wk-000001/0", attempt)]);
+    let rests = |s: &Scene| s.cluster.jobs[&first].backoff_until.unwrap() - s.now;
     assert_eq!(
         rests(&s),
         Duration::from_secs(30),
         "twice as long as before"
     );
     s.note("it completes somewhere after all: the rest of it starts at once");
-    s.report("m-g4n", &[("wk-000001/1", 77, EXITED, Some(Cause::Done))]);
+    s.heartbeat(
+        "m-g4n",
+        &[("wk-000001/1", 77, EXITED, Some(ExitCause::Done))],
+    );
     let decisions = s.round();
     assert!(decisions.starts.iter().any(|start| start.job == first));
     insta::assert_snapshot!(s.log);
@@ -334,33 +344,36 @@
     let exited = |task, attempt, cause| (task, attempt, EXITED, Some(cause));
     let drain = |s: &Scene| s.cluster.machines[&MachineId("m-g1n".into())].drain;
     let errors = [
-        exited("wk-000001/0", 1, Cause::Error),
-        exited("wk-000002/0", 2, Cause::Error),
+        exited("wk-000001/0", 1, ExitCause::Error),
+        exited("wk-000002/0", 2, ExitCause::Error),
     ];
-    s.report("m-g1n", &errors);
+    s.heartbeat("m-g1n", &errors);
     assert_eq!(drain(&s), None);
-    s.report("m-g2n", &[exited("wk-000001/1", 3, Cause::Done)]);
+    s.heartbeat("m-g2n", &[exited("wk-000001/1", 3, ExitCause::Done)]);
     assert_eq!(drain(&s), None, "one of them is proven");
     s.submit(gang("wk-000003", 2));
-    s.report("m-g1n", &[exited("wk-000003/0", 5, Cause::Error)]);
+    s.heartbeat("m-g1n", &[exited("wk-000003/0", 5, ExitCause::Error)]);
     assert_eq!(
         drain(&s),
-        Some(Drain::Sick),
+        Some(DrainReason::Faulty),
         "three, whatever becomes of them"
     );
     let mut s = Scene::new();
     s.machines(&["m-g1n", "m-g2n"]);
     s.submit(array("wk-000001", 2));
     s.submit(gang("wk-000003", 2));
-    let gone = exited("wk-000003/0", 5, Cause::Error);
-    s.report("m-g1n", &[errors[0], gone]);
-    s.report("m-g2n", &[exited("wk-000001/1", 3, Cause::Done)]);
+    let gone = exited("wk-000003/0", 5, ExitCause::Error);
+    s.heartbeat("m-g1n", &[errors[0], gone]);
+    s.heartbeat("m-g2n", &[exited("wk-000001/1", 3, ExitCause::Done)]);
     assert_eq!(drain(&s), None);
     s.note(
         "every member of a gang that can never succeed fails: this one only goes with the other",
     );
-    s.report("m-g2n", &[exited("wk-000003/1", 5, Cause::MatesGone)]);
-    assert_eq!(drain(&s), Some(Drain::Sick));
+    s.heartbeat(
+        "m-g2n",
+        &[exited("wk-000003/1", 5, ExitCause::GangMemberLost)],
+    );
+    assert_eq!(drain(&s), Some(DrainReason::Faulty));
 }
 
 #[test]
@@ -378,13 +391,13 @@
         } else {
             ("m-g2n", 50.0)
         };
-        s.report(machine, &[(&task, job, RUNNING, None)]);
+        s.heartbeat(machine, &[(&task, job, RUNNING, None)]);
         s.pass(ran);
-        s.report(machine, &[(&task, job, EXITED, Some(Cause::Done))]);
-        s.report(machine, &[]);
+        s.heartbeat(machine, &[(&task, job, EXITED, Some(ExitCause::Done))]);
+        s.heartbeat(machine, &[]);
     }
     let drain = |s: &Scene, id: &str| s.cluster.machines[&MachineId(id.into())].drain;
-    assert_eq!(drain(&s, "m-g1n"), Some(Drain::Slow));
+    assert_eq!(drain(&s, "m-g1n"), Some(DrainReason::Slow));
     assert_eq!(drain(&s, "m-g2n"), None);
 }
 
@@ -393,23 +406,23 @@
     let mut s = Scene::new();
     s.machines(&["m-g1n"]);
     let mut low = array("wk-000001", 2);
-    low.checkpoint_s = 15.0;
-    low.save_s = 6.0;
+    low.checkpoint_interval_s = 15.0;
+    low.checkpoint_cost_s = 6.0;
     s.submit(low);
     s.round();
-    s.report("m-g1n", &[]);
+    s.heartbeat("m-g1n", &[]);
     let first = ("wk-000001/0", FIRST, RUNNING, None);
     let second = ("wk-000001/1", SECOND, RUNNING, None);
-    s.report("m-g1n", &[first, second]);
+    s.heartbeat("m-g1n", &[first, second]);
     let mut high = gang("wk-000002", 1);
-    high.need.cpus = 7.0;
+    high.task_resources.cpus = 7.0;
     s.submit(high);
     s.round();
     s.pass(0.5);
     s.note("the stop under way is not asked for twice");
     s.round();
-    let stopped = ("wk-000001/0", FIRST, EXITED, Some(Cause::Stopped));
-    s.report("m-g1n", &[stopped, second]);
+    let stopped = ("wk-000001/0", FIRST, EXITED, Some(ExitCause::Stopped));
+    s.heartbeat("m-g1n", &[stopped, second]);
     s.round();
     insta::assert_snapshot!(s.log);
 }
@@ -421,9 +434,9 @@
     s.submit(array("wk-000001", 4));
     let decisions = s.round();
     s.fleet(&decisions);
-    s.report("m-g1n", &[]);
+    s.heartbeat("m-g1n", &[]);
     s.pass(90.0);
-    s.report("m-c1n", &[]);
+    s.heartbeat("m-c1n", &[]);
     let decisions = s.round();
     s.note("one machine idle, one silent for long");
     s.fleet(&decisions);
@@ -467,7 +480,7 @@
         aim("kind = \"deadline\"\nclass = \"batch\"\ntimes = 1.75"),
     ];
     let settings = Settings::parse(&(text + &more.concat()), "test").unwrap();
-    let policy = Policy::new(&settings);
+    let policy = SchedulingPolicy::new(&settings);
     assert_eq!(policy.prompt.len(), 1, "only what it was before");
     assert!(policy.aims.is_empty(), "a colour is no time to be over");
     assert_eq!(policy.guarantee, Some(Duration::from_secs(5)));
--- a/tests/waiting.rs
+++ b/tests/waiting.rs
@@ -7,10 +7,10 @@
 #[path = "common/scene.rs"]
 mod scene;
 
-use knotlanding::model::Offer;
+use knotlanding::model::MachinePool;
 use knotlanding::model::*;
 use knotlanding::sched::Decisions;
-use knotlanding::wire::Cause;
+use knotlanding::wire::ExitCause;
 use scene::*;
 
 /// Small jobs arrive faster than they leave; whatever is large has to begin all the same.
@@ -23,7 +23,7 @@
     let mut running: Vec<(String, u64, String, f64)> = Vec::new();
     s.submit(gang("wk-900000", 6));
     let mut never = array("wk-900001", 3);
-    never.need.gpus = 4.0;
+    never.task_resources.gpus = 4.0;
     s.submit(never);
     let (mut next, mut began) = (1, None);
     for second in 0..240u32 {
@@ -60,13 +60,13 @@
                     *age += 1.0;
                     let over = *age > 20.0;
                     let phase = if over { EXITED } else { RUNNING };
-                    let cause = over.then_some(Cause::Done);
+                    let cause = over.then_some(ExitCause::Done);
                     if *age > 1.0 {
                         tasks.push((task.as_str(), *attempt, phase, cause));
                     }
                 }
             }
-            s.report(name, &tasks);
+            s.heartbeat(name, &tasks);
         }
         running.retain(|(.., age)| *age <= 22.0);
     }
@@ -80,12 +80,12 @@
     let mut s = Scene::new();
     s.machines(&["m-g1n", "m-g2n"]);
     let mut low = array("wk-000001", 4);
-    low.checkpoint_s = 15.0;
-    low.save_s = 6.0;
+    low.checkpoint_interval_s = 15.0;
+    low.checkpoint_cost_s = 6.0;
     s.submit(low);
     s.round();
-    s.report("m-g1n", &[]);
-    s.report("m-g2n", &[]);
+    s.heartbeat("m-g1n", &[]);
+    s.heartbeat("m-g2n", &[]);
     let task = |n: u64, phase, cause| {
         (
             ["wk-000001/0", "wk-000001/1", "wk-000001/2", "wk-000001/3"][n as usize],
@@ -95,21 +95,21 @@
         )
     };
     let runs = |n| task(n, RUNNING, None);
-    let gone = |n| task(n, EXITED, Some(Cause::Stopped));
-    s.report("m-g1n", &[runs(0), runs(1)]);
-    s.report("m-g2n", &[runs(2), runs(3)]);
+    let gone = |n| task(n, EXITED, Some(ExitCause::Stopped));
+    s.heartbeat("m-g1n", &[runs(0), runs(1)]);
+    s.heartbeat("m-g2n", &[runs(2), runs(3)]);
     let mut high = gang("wk-000002", 2);
-    high.need.cpus = 12.0;
+    high.task_resources.cpus = 12.0;
     s.submit(high);
     s.round();
     s.pass(0.5);
-    s.report("m-g1n", &[gone(0), gone(1)]);
-    s.report("m-g2n", &[runs(2), runs(3)]);
+    s.heartbeat("m-g1n", &[gone(0), gone(1)]);
+    s.heartbeat("m-g2n", &[runs(2), runs(3)]);
     s.note("one of the two machines is free: nothing else goes there");
     s.round();
     s.pass(0.5);
-    s.report("m-g1n", &[]);
-    s.report("m-g2n", &[gone(2), gone(3)]);
+    s.heartbeat("m-g1n", &[]);
+    s.heartbeat("m-g2n", &[gone(2), gone(3)]);
     s.round();
     insta::assert_snapshot!(s.log);
 }
@@ -126,14 +126,14 @@
     faulty.team = "blue".to_owned();
     s.submit(faulty);
     for (machine, attempt) in [("m-g3n", 77), ("m-g4n", 78), ("m-g5n", 79)] {
-        s.report(
+        s.heartbeat(
             machine,
-            &[("wk-000002/0", attempt, EXITED, Some(Cause::Error))],
+            &[("wk-000002/0", attempt, EXITED, Some(ExitCause::Error))],
         );
     }
     s.pass(11.0);
     for name in names {
-        s.report(name, &[]);
+        s.heartbeat(name, &[]);
     }
     let mut other = array("wk-000003", 2);
     other.team = "blue".to_owned();
@@ -150,7 +150,7 @@
     s.machines(&["m-c1n", "m-c2n", "m-g1n"]);
     s.pass(3000.0);
     for machine in ["m-c1n", "m-c2n", "m-g1n"] {
-        s.report(machine, &[]);
+        s.heartbeat(machine, &[]);
     }
     s.submit(gang("wk-000001", 3));
     let decisions = s.round();
@@ -166,25 +166,25 @@
     s.machines(&["m-g1n", "m-g2s"]);
     let mut idle = array("wk-000001", 30);
     idle.class = "idle".to_owned();
-    idle.rank = Rank::BestEffort;
-    idle.need = Amount {
+    idle.priority = Priority::BestEffort;
+    idle.task_resources = Resources {
         cpus: 4.0,
         gpus: 0.0,
         memory: 7.0,
     };
-    idle.due_s = None;
+    idle.deadline_s = None;
     s.submit(idle.clone());
     let decisions = s.round();
     s.note("room on machines with cards is not for it; of the others cheap ones are rented");
     s.fleet(&decisions);
     s.note("nothing of it has begun for two minutes: one task goes where there is room");
     s.pass(121.0);
-    s.report("m-g1n", &[]);
-    s.report("m-g2s", &[]);
+    s.heartbeat("m-g1n", &[]);
+    s.heartbeat("m-g2s", &[]);
     s.round();
     s.note("standard work of the same size goes there at once");
     idle.id = JobId::parse("wk-000002").unwrap();
-    idle.rank = Rank::Standard;
+    idle.priority = Priority::Standard;
     idle.tasks = 2;
     s.submit(idle);
     s.round();
@@ -217,12 +217,12 @@
     };
     let first = rented(&mut s, &decisions);
     let names: Vec<String> = (0..first).map(|n| format!("m-g{n}n")).collect();
-    let offer = Offer {
-        build: "gpu2".to_owned(),
+    let offer = MachinePool {
+        machine_type: "gpu2".to_owned(),
         zone: "north".to_owned(),
         spot: true,
     };
-    s.cluster.hired(&names, &offer, s.now);
+    s.cluster.machines_rented(&names, &offer, s.now);
     s.pass(60.0);
     assert_eq!(rented(&mut s, &decisions), 0, "they may still come");
     s.pass(20.0);
@@ -247,17 +247,18 @@
     let decisions = s.round();
     s.note("a report alone is no sign of a machine: nothing is planned for it, nor is it returned");
     s.fleet(&decisions);
-    let offer = Offer {
-        build: "gpu2".to_owned(),
+    let offer = MachinePool {
+        machine_type: "gpu2".to_owned(),
         zone: "north".to_owned(),
         spot: false,
     };
-    s.cluster.hired(&["m-g1n".to_owned()], &offer, s.now);
+    s.cluster
+        .machines_rented(&["m-g1n".to_owned()], &offer, s.now);
     s.note("the rental's answer names it");
     s.report_as("m-g1n", (1, 2, 0), &[], true);
     let decisions = s.round();
     s.fleet(&decisions);
-    assert!(decisions.short.is_empty(), "both tasks have room");
+    assert!(decisions.unmet_demand.is_empty(), "both tasks have room");
     s.report_as("m-g1n", (1, 3, 1), &[], true);
     s.listed(&["m-g1n"]);
     assert_eq!(s.cluster.machines.len(), 1);
