--- a/src/config.rs
+++ b/src/config.rs
@@ -4,7 +4,6 @@
 
 use std::net::SocketAddrV4;
 use std::path::Path;
-use std::time::Duration;
 
 use serde::Deserialize;
 use thiserror::Error;
@@ -131,7 +130,7 @@
 
 /// What this process may use.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Resources {
+pub struct ProcessResources {
     /// Share of one core.
     pub cores: f64,
     /// Memory in MB.
@@ -164,7 +163,7 @@
     /// The cloud's limits.
     pub cloud: CloudSettings,
     /// This process's limits.
-    pub resources: Resources,
+    pub resources: ProcessResources,
 }
 
 /// The whole file.
@@ -188,11 +187,6 @@
     pub params: Params,
 }
 
-/// Turns a number of seconds from outside into a duration; nonsense becomes zero.
-pub fn secs(value: f64) -> Duration {
-    Duration::try_from_secs_f64(value).unwrap_or(Duration::ZERO)
-}
-
 impl Settings {
     /// Reads and checks a settings file.
     pub fn load(path: &Path) -> Result<Self, ConfigError> {
--- a/src/peer/links.rs
+++ b/src/peer/links.rs
@@ -7,10 +7,10 @@
 use actix_web::{web, HttpResponse};
 use knotlanding_links::row::{RowMessage, RowRejection, RowReply, ROW_VERSION};
 
-use super::reports::unix_ms;
 use super::{decode, decode_prefix, encode, BINCODE};
 use crate::service::links::ActiveLinks;
 use crate::service::Shared;
+use crate::time::unix_ms;
 
 /// Path of rows.
 pub const LINKS: &str = "/peer/links";
@@ -46,7 +46,7 @@
             StatusCode::BAD_REQUEST
         }
         RowRejection::UnknownMember => StatusCode::FORBIDDEN,
-        RowRejection::FormerLife | RowRejection::NotNewer | RowRejection::TooOld => {
+        RowRejection::FormerIncarnation | RowRejection::NotNewer | RowRejection::TooOld => {
             StatusCode::CONFLICT
         }
     }
