--- a/src/actors/election.rs
+++ b/src/actors/election.rs
@@ -12,7 +12,7 @@
 use tracing::{debug, info, warn};
 
 use crate::cluster::Cluster;
-use crate::leader::{HeldLease, Leadership};
+use crate::leader::Leadership;
 use crate::model::Term;
 use crate::service::Shared;
 use crate::store::actor::{Commit, SetLeading, StoreActor};
@@ -83,18 +83,16 @@
     match outcome {
         Ok(()) => {
             shared.store_answered(StoreOperation::Lease, sent);
-            shared.election.lock().renewed(lease, sent);
+            shared.election.lock().lease_renewed(lease, sent);
             // After a gap the lease may last again, but the replica is old.
-            if shared.election.lock().requires_read(Instant::now()) {
+            if shared.election.lock().needs_confirming_read(Instant::now()) {
                 shared.replica.request_read();
             }
         }
         Err(StoreError::LeaseOver) => {
-            let ours = shared.election.lock().lease;
-            if ours.is_some_and(|ours| ours.id == lease) {
+            if shared.election.lock().holds_lease(lease) {
                 warn!("our lease is over");
                 let mut election = shared.election.lock();
-                election.lease = None;
                 election.step_down();
                 *shared.cluster.lock() = None;
                 store.do_send(SetLeading(false));
@@ -156,7 +154,7 @@
             return self.seek().await;
         };
         self.vacant_since.set(None);
-        let ours = self.shared.election.lock().record_is_ours(&leader.record);
+        let ours = self.shared.election.lock().is_own_record(&leader.record);
         if ours {
             if self.shared.election.lock().own_term().is_none() && revision >= leader.version {
                 self.recover(&leader.record, leader.version);
@@ -208,7 +206,7 @@
     /// Whether we renew our lease and read nothing. Where the others' rows say that none of them has the
     /// state service either, nobody is better.
     fn unread(&self, now: Instant) -> bool {
-        if !self.shared.election.lock().reads_nothing(now) {
+        if !self.shared.election.lock().replica_too_stale_to_lead(now) {
             return false;
         }
         let links = self.shared.links.active();
@@ -240,7 +238,7 @@
     async fn hand_over(&self, lease: u64) {
         warn!("workers or the records are out of our reach; another node is to lead");
         let now = Instant::now();
-        self.shared.election.lock().back_off(now);
+        self.shared.election.lock().start_backoff(now);
         if let Some(links) = self.shared.links.active() {
             links.handed_over(now);
         }
@@ -280,7 +278,7 @@
         {
             let mut election = self.shared.election.lock();
             *self.shared.cluster.lock() = Some(cluster);
-            election.take(Leadership {
+            election.become_leader(Leadership {
                 term: record.term,
                 version,
             });
@@ -295,12 +293,12 @@
 
     /// Sends a renewal if one is due; when to look again.
     fn renew(&self) -> Duration {
-        let Some(lease) = self.shared.election.lock().lease else {
+        let Some(lease) = self.shared.election.lock().lease() else {
             return RETRY_DELAY;
         };
         let now = Instant::now();
-        let next = self.next_renewal.get().filter(|(id, _)| *id == lease.id);
-        let due = next.map_or(lease.renewed + self.renew_every, |(_, at)| at);
+        let next = self.next_renewal.get().filter(|(id, _)| *id == lease.id());
+        let due = next.map_or(lease.renewed_at() + self.renew_every, |(_, at)| at);
         let early = due.saturating_duration_since(now);
         if !early.is_zero() {
             return early;
@@ -310,18 +308,18 @@
         }
         self.renewals.set(self.renewals.get() + 1);
         let next_renewal = self.next_renewal.clone();
-        next_renewal.set(Some((lease.id, now + self.renew_every)));
+        next_renewal.set(Some((lease.id(), now + self.renew_every)));
         let (shared, store) = (self.shared.clone(), self.store.clone());
         let (client, limit) = (self.client.clone(), self.lease_time);
         let renewals = self.renewals.clone();
         actix::spawn(async move {
             let sent = Instant::now();
-            let outcome = client.renew(lease.id, limit).await;
+            let outcome = client.renew(lease.id(), limit).await;
             renewals.set(renewals.get() - 1);
             if outcome.is_err() {
-                next_renewal.set(Some((lease.id, Instant::now() + RETRY_DELAY)));
+                next_renewal.set(Some((lease.id(), Instant::now() + RETRY_DELAY)));
             }
-            renewed(&shared, &store, lease.id, sent, outcome);
+            renewed(&shared, &store, lease.id(), sent, outcome);
         });
         self.renew_every
     }
@@ -329,7 +327,6 @@
     fn step_down(&self) {
         {
             let mut election = self.shared.election.lock();
-            election.lease = None;
             election.step_down();
             *self.shared.cluster.lock() = None;
         }
@@ -340,14 +337,14 @@
     async fn leave_lease(&self) {
         let lease = {
             let mut election = self.shared.election.lock();
-            election.step_down();
+            let lease = election.step_down();
             *self.shared.cluster.lock() = None;
-            election.lease.take()
+            lease
         };
         if let Some(lease) = lease {
             self.store.do_send(SetLeading(false));
             // It would end by itself; this only frees it sooner.
-            let _ = self.client.end(lease.id).await;
+            let _ = self.client.end(lease.id()).await;
         }
     }
 
@@ -394,7 +391,7 @@
                 return RETRY_DELAY + RETRY_DELAY.mul_f64(jitter);
             }
         };
-        self.shared.election.lock().lease = Some(HeldLease { id, renewed: sent });
+        self.shared.election.lock().hold_lease(id, sent);
         let (term, term_version) = {
             let replica = self.shared.replica.lock();
             (replica.term.record, replica.term.version)
--- a/src/peer/heartbeats/tests.rs
+++ b/src/peer/heartbeats/tests.rs
@@ -4,7 +4,7 @@
 use crate::cluster::Cluster;
 use crate::config::Settings;
 use crate::forwarding::messages::ForwardedHeartbeat;
-use crate::leader::{HeldLease, Leadership};
+use crate::leader::Leadership;
 use crate::model::{FencingToken, Term};
 use crate::peer::{decode, encode};
 use crate::wire::{HeartbeatResponse, TaskPhase, TaskStatus, WorkerCommand};
@@ -32,12 +32,9 @@
     );
     *shared.cluster.lock() = Some(cluster);
     let mut election = shared.election.lock();
-    election.lease = Some(HeldLease {
-        id: 7,
-        renewed: start,
-    });
-    election.take(Leadership { term, version: 1 });
-    election.freshness().proved(start);
+    election.hold_lease(7, start);
+    election.become_leader(Leadership { term, version: 1 });
+    election.freshness().confirm(start);
     drop(election);
     shared
 }
--- a/src/peer/summary.rs
+++ b/src/peer/summary.rs
@@ -19,7 +19,10 @@
     if !shared.settings.knows(&summary.member) {
         return HttpResponse::Forbidden().finish();
     }
-    shared.election.lock().hears(summary.term, &summary.member);
+    shared
+        .election
+        .lock()
+        .observe_leader(summary.term, &summary.member);
     shared.links.summary_received(Instant::now());
     let misdirected = shared.misdirected.load(Ordering::Relaxed);
     let heard = encode(&SummaryReply { misdirected }).unwrap_or_default();
--- a/src/service/mod.rs
+++ b/src/service/mod.rs
@@ -180,7 +180,7 @@
         let now = Instant::now();
         let leads = {
             let mut election = self.election.lock();
-            election.freshness().doubt(now);
+            election.freshness().invalidate(now);
             election.own_term().is_some()
         };
         self.links.store_failed(operation, sent, now);
@@ -201,7 +201,7 @@
 
     /// The replica and the cluster state have all that was confirmed before `sent`.
     pub fn replica_complete(&self, sent: Instant) {
-        self.election.lock().freshness().proved(sent);
+        self.election.lock().freshness().confirm(sent);
     }
 
     /// Whether this node can take requests. In an outage that all nodes share none is better
@@ -270,7 +270,7 @@
         }
         if leader_changed {
             let record = replica.leader.as_ref().map(|leader| &leader.record);
-            let lost = self.election.lock().records_say(record);
+            let lost = self.election.lock().observe_leader_record(record);
             if lost {
                 warn!("the lead is lost");
                 *self.cluster.lock() = None;
@@ -337,7 +337,7 @@
     }
 
     fn requires_read(&self, now: Instant) -> bool {
-        self.election.lock().requires_read(now)
+        self.election.lock().needs_confirming_read(now)
     }
 
     fn leads(&self) -> bool {
--- a/tests/common/world/controllers.rs
+++ b/tests/common/world/controllers.rs
@@ -83,7 +83,7 @@
             _ => None,
         };
         if failed.as_ref().is_some_and(StoreError::contact_lost) {
-            shared.election.lock().freshness().doubt(now);
+            shared.election.lock().freshness().invalidate(now);
         }
         self.note_store(n, &why, failed.as_ref(), sent);
         match (&why, answered) {
@@ -102,15 +102,12 @@
                 shared.replica_complete(sent_at);
             }
             (RequestPurpose::Grant, StoreResponse::Lease(id)) => {
-                shared.election.lock().lease = Some(HeldLease {
-                    id,
-                    renewed: sent_at,
-                });
+                shared.election.lock().hold_lease(id, sent_at);
                 self.stand(n, id);
                 return;
             }
             (RequestPurpose::Renew(id), StoreResponse::Fine) => {
-                shared.election.lock().renewed(*id, sent_at)
+                shared.election.lock().lease_renewed(*id, sent_at)
             }
             (RequestPurpose::Renew(_), StoreResponse::LeaseOver) => self.step_down(n),
             (RequestPurpose::Write(kind, term), StoreResponse::TransactionOutcome(outcome)) => {
@@ -235,7 +232,6 @@
     pub(super) fn step_down(&mut self, n: usize) {
         let shared = &self.nodes[n].shared;
         let mut election = shared.election.lock();
-        election.lease = None;
         election.step_down();
         *shared.cluster.lock() = None;
     }
@@ -245,8 +241,8 @@
             .shared
             .election
             .lock()
-            .lease
-            .map(|lease| lease.id);
+            .lease()
+            .map(|lease| lease.id());
         self.step_down(n);
         if let Some(lease) = lease {
             self.ask(n, StoreRequest::End(lease), RequestPurpose::End);
@@ -268,27 +264,27 @@
             return;
         };
         self.nodes[n].links.vacant_since = None;
-        if shared.election.lock().record_is_ours(&leader.record) {
+        if shared.election.lock().is_own_record(&leader.record) {
             if shared.election.lock().own_term().is_none() {
                 self.recover(n, leader.record.term, leader.version);
             }
-            if shared.election.lock().reads_nothing(now) || self.outclassed(n) {
-                shared.election.lock().back_off(now);
+            if shared.election.lock().replica_too_stale_to_lead(now) || self.outclassed(n) {
+                shared.election.lock().start_backoff(now);
                 self.leave_lease(n);
                 return;
             }
-            let lease = shared.election.lock().lease.unwrap();
-            if !self.nodes[n].renewing && now >= lease.renewed + renew_every(LEASE_TIME_MIN) {
+            let lease = shared.election.lock().lease().unwrap();
+            if !self.nodes[n].renewing && now >= lease.renewed_at() + renew_every(LEASE_TIME_MIN) {
                 self.nodes[n].renewing = true;
                 self.ask(
                     n,
-                    StoreRequest::Renew(lease.id),
-                    RequestPurpose::Renew(lease.id),
+                    StoreRequest::Renew(lease.id()),
+                    RequestPurpose::Renew(lease.id()),
                 );
             }
             return;
         }
-        if shared.election.lock().lease.is_some() && !self.nodes[n].electing {
+        if shared.election.lock().lease().is_some() && !self.nodes[n].electing {
             self.leave_lease(n);
         }
         let former = leader.record.member == self.nodes[n].name;
@@ -315,7 +311,10 @@
             self.wall(),
         );
         *shared.cluster.lock() = Some(cluster);
-        shared.election.lock().take(Leadership { term, version });
+        shared
+            .election
+            .lock()
+            .become_leader(Leadership { term, version });
         // Copies that were kept for the next leader come to every node now.
         for heartbeat in std::mem::take(&mut self.kept) {
             for node in 0..3 {
@@ -475,7 +474,11 @@
             self.deliver(mail);
         }
         let now = self.instant();
-        let wants = self.nodes[n].shared.election.lock().requires_read(now);
+        let wants = self.nodes[n]
+            .shared
+            .election
+            .lock()
+            .needs_confirming_read(now);
         let due = self.t >= self.nodes[n].read_at || wants;
         if !self.nodes[n].reading && due {
             self.nodes[n].reading = true;
--- a/tests/meetings.rs
+++ b/tests/meetings.rs
@@ -15,7 +15,7 @@
 use knotlanding::api::workers::{receive, Reception};
 use knotlanding::cluster::Cluster;
 use knotlanding::config::Settings;
-use knotlanding::leader::{HeldLease, Leadership};
+use knotlanding::leader::Leadership;
 use knotlanding::model::{Attempt, JobId, MachineId, TaskId, Term, Verdict};
 use knotlanding::service::Shared;
 use knotlanding::store::keys::{self, JobRecord};
@@ -74,11 +74,8 @@
             token: 0,
             tasks: Vec::new(),
         };
-        leader.shared.election.lock().lease = Some(HeldLease {
-            id: 7,
-            renewed: start,
-        });
-        leader.shared.election.lock().take(Leadership {
+        leader.shared.election.lock().hold_lease(7, start);
+        leader.shared.election.lock().become_leader(Leadership {
             term: Term(1),
             version: 1,
         });
@@ -97,7 +94,7 @@
 
     /// The lease is renewed now.
     fn renew(&self) {
-        self.shared.election.lock().renewed(7, self.now);
+        self.shared.election.lock().lease_renewed(7, self.now);
     }
 
     /// A read that was sent now has been answered.
@@ -107,7 +104,7 @@
 
     /// A request fails now.
     fn fail(&self) {
-        self.shared.election.lock().freshness().doubt(self.now);
+        self.shared.election.lock().freshness().invalidate(self.now);
     }
 
     /// Another node has cancelled the job, and the watch brings it.
@@ -331,7 +328,7 @@
         settings.params.resources.cores = cores;
         settings.params.count = nodes;
         let shared = Shared::new(settings);
-        shared.election.lock().hears(Term(3), "knot-1");
+        shared.election.lock().observe_leader(Term(3), "knot-1");
         let start = Instant::now();
         let heartbeat = cbor!({
             "host" => MACHINE, "address" => "127.0.0.1:9", "build" => "gpu2", "yard" => "north",
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -558,7 +558,7 @@
 #[test]
 fn a_report_is_answered_by_what_holds_after_a_pause_and_not_by_what_held_before() {
     use knotlanding::api::workers::{receive, Reception};
-    use knotlanding::leader::{HeldLease, Leadership};
+    use knotlanding::leader::Leadership;
     use knotlanding::model::Term;
     use knotlanding::timing::LEASE_TIME_MIN;
     let text = common::settings_of_nobody();
@@ -577,12 +577,9 @@
     *shared.cluster.lock() = Some(cluster);
     {
         let mut election = shared.election.lock();
-        election.lease = Some(HeldLease {
-            id: 7,
-            renewed: start,
-        });
-        election.take(Leadership { term, version: 1 });
-        election.freshness().proved(start);
+        election.hold_lease(7, start);
+        election.become_leader(Leadership { term, version: 1 });
+        election.freshness().confirm(start);
     }
     // The first look at the clock comes at once, all others after the pause.
     let answered = |pause: Duration| {
