--- a/src/actors/election.rs
+++ b/src/actors/election.rs
@@ -89,7 +89,7 @@
                 shared.replica.request_read();
             }
         }
-        Err(StoreError::LeaseOver) => {
+        Err(StoreError::LeaseExpired) => {
             if shared.election.lock().holds_lease(lease) {
                 warn!("our lease is over");
                 let mut election = shared.election.lock();
@@ -172,7 +172,7 @@
                 term = leader.record.term.0,
                 "ending our predecessor's lease"
             );
-            if let Err(error) = self.client.end(leader.record.lease).await {
+            if let Err(error) = self.client.revoke(leader.record.lease).await {
                 debug!(%error, "cannot end it yet");
             }
             return RETRY_DELAY;
@@ -243,7 +243,7 @@
             links.handed_over(now);
         }
         self.step_down();
-        if let Err(error) = self.client.end(lease).await {
+        if let Err(error) = self.client.revoke(lease).await {
             debug!(%error, "our lease will end by itself");
         }
     }
@@ -344,7 +344,7 @@
         if let Some(lease) = lease {
             self.store.do_send(SetLeading(false));
             // It would end by itself; this only frees it sooner.
-            let _ = self.client.end(lease.id()).await;
+            let _ = self.client.revoke(lease.id()).await;
         }
     }
 
--- a/src/actors/scheduler.rs
+++ b/src/actors/scheduler.rs
@@ -221,7 +221,7 @@
         let condition = Condition::new(keys::LEADER, leadership.version);
         write.group.conditions.push(condition);
         let sent = self.store.send(Commit(write.group, write.urgency)).await;
-        let outcome = sent.unwrap_or(TransactionOutcome::Failed(StoreError::Unknown));
+        let outcome = sent.unwrap_or(TransactionOutcome::Failed(StoreError::OutcomeUnknown));
         debug!(kind = ?write.kind, urgency = ?write.urgency, "write ended");
         if !outcome.committed() {
             debug!(kind = ?write.kind, ?outcome, "write failed");
--- a/src/api/users.rs
+++ b/src/api/users.rs
@@ -15,6 +15,7 @@
 use crate::service::Shared;
 use crate::store::actor::{Commit, ReadVerdict, StoreActor};
 use crate::store::keys::{self, JobRecord, LiveRecord};
+use crate::store::replica::JobVerdict;
 use crate::store::{
     to_value, Change, Condition, StoreError, Transaction, TransactionOutcome, WritePriority,
 };
@@ -44,10 +45,9 @@
 /// was looked up: the process may have stood still since, and another node have told it.
 fn state(shared: &Shared, id: &JobId, verdict: Verdict, tasks: u32) -> JobState {
     let known = shared.replica.lock().jobs.get(id).map(|job| job.record);
-    let (verdict, tasks) = match known {
-        Some(known @ (Verdict::Done | Verdict::Cancelled, _)) => known,
-        _ => (verdict, tasks),
-    };
+    let JobVerdict { verdict, tasks } = known
+        .filter(JobVerdict::is_final)
+        .unwrap_or(JobVerdict { verdict, tasks });
     let (done, running) = match verdict {
         Verdict::Done => (tasks, 0),
         Verdict::Cancelled => (0, 0),
@@ -81,12 +81,12 @@
     shared: &Shared,
     store: &Addr<StoreActor>,
     id: &JobId,
-) -> Result<Option<(Verdict, u32)>, StoreError> {
+) -> Result<Option<JobVerdict>, StoreError> {
     let cached = {
         let replica = shared.replica.lock();
         replica.jobs.get(id).map(|job| job.record)
     };
-    if let Some((Verdict::Done | Verdict::Cancelled, _)) = cached {
+    if cached.as_ref().is_some_and(JobVerdict::is_final) {
         return Ok(cached);
     }
     let began = Instant::now();
@@ -95,7 +95,7 @@
         // After standing still what was true when it was asked may be older than what another
         // node has told since.
         Ok(Ok(answer)) if began.elapsed() < POLL_LIMIT => answer,
-        _ => Err(StoreError::Unknown),
+        _ => Err(StoreError::OutcomeUnknown),
     }
 }
 
@@ -120,7 +120,9 @@
         return problem(StatusCode::NOT_FOUND, "no such job");
     };
     match verdict(&shared, &store, &id).await {
-        Ok(Some((verdict, tasks))) => cbor(StatusCode::OK, &state(&shared, &id, verdict, tasks)),
+        Ok(Some(JobVerdict { verdict, tasks })) => {
+            cbor(StatusCode::OK, &state(&shared, &id, verdict, tasks))
+        }
         Ok(None) => problem(StatusCode::NOT_FOUND, "no such job"),
         Err(error) => refusal(&error),
     }
@@ -168,7 +170,7 @@
     let answer = match actix::clock::timeout(SUBMIT_LIMIT, accept(&shared, &store, spec)).await {
         // After standing still another node may have told something newer than this answer.
         Ok(answer) if began.elapsed() < SUBMIT_LIMIT => answer,
-        _ => refusal(&StoreError::Unknown),
+        _ => refusal(&StoreError::OutcomeUnknown),
     };
     let mut metrics = shared.metrics.lock();
     metrics.submissions.add(began.elapsed());
@@ -197,7 +199,9 @@
     if let Some(why) = impossible(&spec, &shared.policy, &catalog) {
         // An accepted job must never be called impossible, whatever the catalog says now.
         return match verdict(shared, store, &id).await {
-            Ok(Some((verdict, tasks))) => cbor(StatusCode::OK, &state(shared, &id, verdict, tasks)),
+            Ok(Some(JobVerdict { verdict, tasks })) => {
+                cbor(StatusCode::OK, &state(shared, &id, verdict, tasks))
+            }
             Ok(None) => problem(StatusCode::UNPROCESSABLE_ENTITY, why),
             Err(error) => refusal(&error),
         };
@@ -227,7 +231,7 @@
         vec![Change::put(keys::job(&id), to_value(&job))],
     );
     let outcome = store.send(Commit(group, urgency)).await;
-    match outcome.unwrap_or(TransactionOutcome::Failed(StoreError::Unknown)) {
+    match outcome.unwrap_or(TransactionOutcome::Failed(StoreError::OutcomeUnknown)) {
         TransactionOutcome::Committed(_) => {
             info!(job = %id, tasks, "accepted");
             let new = state(shared, &id, Verdict::Accepted, tasks);
@@ -243,9 +247,11 @@
 
 async fn known_state(shared: &Shared, store: &Addr<StoreActor>, id: &JobId) -> HttpResponse {
     match verdict(shared, store, id).await {
-        Ok(Some((verdict, tasks))) => cbor(StatusCode::OK, &state(shared, id, verdict, tasks)),
+        Ok(Some(JobVerdict { verdict, tasks })) => {
+            cbor(StatusCode::OK, &state(shared, id, verdict, tasks))
+        }
         // It was there a moment ago; only a second look can tell.
-        Ok(None) => refusal(&StoreError::Unknown),
+        Ok(None) => refusal(&StoreError::OutcomeUnknown),
         Err(error) => refusal(&error),
     }
 }
@@ -263,13 +269,13 @@
     let began = Instant::now();
     match actix::clock::timeout(SUBMIT_LIMIT, cancel(&shared, &store, &id)).await {
         Ok(answer) if began.elapsed() < SUBMIT_LIMIT => answer,
-        _ => refusal(&StoreError::Unknown),
+        _ => refusal(&StoreError::OutcomeUnknown),
     }
 }
 
 async fn cancel(shared: &Shared, store: &Addr<StoreActor>, id: &JobId) -> HttpResponse {
     for _ in 0..ABORT_ATTEMPTS {
-        let (verdict, tasks) = match verdict(shared, store, id).await {
+        let JobVerdict { verdict, tasks } = match verdict(shared, store, id).await {
             Ok(Some(found)) => found,
             Ok(None) => return problem(StatusCode::NOT_FOUND, "no such job"),
             Err(error) => return refusal(&error),
@@ -296,7 +302,7 @@
             vec![Change::put(keys::job(id), to_value(&record))],
         );
         let outcome = store.send(Commit(group, WritePriority::High)).await;
-        match outcome.unwrap_or(TransactionOutcome::Failed(StoreError::Unknown)) {
+        match outcome.unwrap_or(TransactionOutcome::Failed(StoreError::OutcomeUnknown)) {
             TransactionOutcome::Committed(_) => {
                 info!(job = %id, "cancelled");
                 shared.cancellation_recorded(id);
@@ -308,5 +314,5 @@
             TransactionOutcome::Failed(error) => return refusal(&error),
         }
     }
-    refusal(&StoreError::Unknown)
+    refusal(&StoreError::OutcomeUnknown)
 }
--- a/src/cluster/sync.rs
+++ b/src/cluster/sync.rs
@@ -29,7 +29,7 @@
         if let Some(job) = self.jobs.get_mut(id) {
             if verdict.version > job.version {
                 job.version = verdict.version;
-                job.verdict = verdict.record.0;
+                job.verdict = verdict.record.verdict;
                 self.dirty = true;
                 if job.verdict == Verdict::Cancelled {
                     self.stop_job(id, 0.0);
@@ -38,7 +38,8 @@
             // Our own retirement of the job: the records are gone, and so are its tasks. A node of
             // 0.3.0 that cancels lets the description go sooner.
             let gone = !self.jobs.get(id).is_some_and(Job::has_placements);
-            if gone && !replica.live.contains_key(id) && verdict.record.0 != Verdict::Accepted {
+            if gone && !replica.live.contains_key(id) && verdict.record.verdict != Verdict::Accepted
+            {
                 self.forget_job(id);
             }
             return;
@@ -78,7 +79,7 @@
             submitted: now.checked_sub(age).unwrap_or(now),
             submitted_ms: record.submitted_ms,
             version: verdict.version,
-            verdict: verdict.record.0,
+            verdict: verdict.record.verdict,
             cancellation_requested: false,
             started: if started {
                 Persistence::Written
--- a/src/service/mod.rs
+++ b/src/service/mod.rs
@@ -148,9 +148,9 @@
             sockets,
             policy: SchedulingPolicy::new(&settings),
             election: Mutex::new(ElectionState::new(&settings)),
-            replica: Arc::new(SharedReplica::new(Replica::keeping(most_verdicts(
-                settings.params.resources.mem_mb,
-            )))),
+            replica: Arc::new(SharedReplica::new(Replica::with_final_verdicts_max(
+                most_verdicts(settings.params.resources.mem_mb),
+            ))),
             cluster: Mutex::default(),
             catalog: Mutex::default(),
             summary_cache: Mutex::default(),
@@ -336,7 +336,7 @@
         self.replica_complete(sent);
     }
 
-    fn requires_read(&self, now: Instant) -> bool {
+    fn needs_confirming_read(&self, now: Instant) -> bool {
         self.election.lock().needs_confirming_read(now)
     }
 
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -1,4 +1,4 @@
-//! The state service's protocol over pooled connections. Lives on one thread.
+//! A client of the key-value store over pooled connections. It stays on one thread.
 
 use std::time::Duration;
 
@@ -7,46 +7,49 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-use super::{Change, Condition, Follow, Page, StoreError, Transaction, TransactionOutcome};
+use super::{
+    Change, Condition, KeyPage, StoreError, Transaction, TransactionOutcome, WatchResponse,
+};
 use crate::config::Settings;
 use crate::http::{OutgoingRequest, Remote, RequestFailure};
 use crate::timing::slowness;
 use crate::wire;
 
-/// No answer by then means an unknown outcome. The service answers within a few hundred
-/// milliseconds; a user waits a second before it counts as late.
-const ANSWER_LIMIT: Duration = Duration::from_millis(1500);
-/// Part of the memory that the body of one answer may take. Decoded, it takes several times as much,
-/// and a watch's answer has no limit of its own at the service.
-const ANSWER_MEMORY_PART: f64 = 0.05;
-/// Least limit on an answer: a page of keys may have 512 KiB in the form by which it is measured.
-const ANSWER_BYTES_MIN: usize = 1024 * 1024;
-/// Keys a page, so that no page is refused for its size.
-const PAGE: usize = 500;
-
-/// Largest answer of the state service that a process with so much memory takes. A watch that has
-/// more to tell counts as too old, and all keys are read again page by page.
-pub fn answer_bytes_max(mem_mb: f64) -> usize {
-    let part = mem_mb * 1024.0 * 1024.0 * ANSWER_MEMORY_PART;
-    (part as usize).max(ANSWER_BYTES_MIN)
+/// Without a response by then the outcome is unknown. The store responds within a few hundred
+/// milliseconds, and the response to a user counts as late after a second.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Share of the memory that the body of one response may take. Decoded it takes several times as
+/// much, and the store does not limit the size of a watch's response.
+const RESPONSE_MEMORY_SHARE: f64 = 0.05;
+/// Smallest limit on a response: a page of keys may have 512 KiB in the form by which the store
+/// measures it.
+const RESPONSE_BYTES_MIN: usize = 1024 * 1024;
+/// Keys per page, so that no page is refused for its size.
+const KEYS_PER_PAGE: usize = 500;
+
+/// Largest response that a process with so much memory accepts. A watch with a larger one counts as
+/// compacted, and all keys are read again page by page.
+pub fn response_bytes_max(mem_mb: f64) -> usize {
+    let part = mem_mb * 1024.0 * 1024.0 * RESPONSE_MEMORY_SHARE;
+    (part as usize).max(RESPONSE_BYTES_MIN)
 }
 
-/// The client.
+/// A client of the key-value store.
 #[derive(Clone)]
 pub struct StoreClient {
     remote: Remote,
-    answer_limit: Duration,
+    response_timeout: Duration,
 }
 
 #[derive(Serialize)]
-struct Multi<'a> {
+struct TransactionRequest<'a> {
     when: &'a [Condition],
     #[serde(skip_serializing_if = "<[Change]>::is_empty")]
     apply: &'a [Change],
 }
 
 #[derive(Deserialize)]
-struct Revision {
+struct TransactionResponse {
     #[serde(rename = "epoch")]
     revision: u64,
     #[serde(default)]
@@ -54,24 +57,24 @@
 }
 
 #[derive(Serialize)]
-struct Ttl {
+struct LeaseRequest {
     #[serde(rename = "ttlMs")]
     ttl_ms: u64,
 }
 
 #[derive(Deserialize)]
-struct Lease {
+struct LeaseResponse {
     hold: u64,
 }
 
 impl StoreClient {
-    /// A client of the state service in the settings. Its limits follow from the process's memory
-    /// and its share of a processor.
+    /// A client of the store in the settings. Its limits follow from the memory of the process and
+    /// its share of a processor.
     pub fn new(settings: &Settings, http: Client) -> Self {
-        let largest = answer_bytes_max(settings.params.resources.mem_mb);
+        let largest = response_bytes_max(settings.params.resources.mem_mb);
         Self {
             remote: Remote::new(settings.external.state, http, largest),
-            answer_limit: ANSWER_LIMIT.mul_f64(slowness(settings)),
+            response_timeout: RESPONSE_TIMEOUT.mul_f64(slowness(settings)),
         }
     }
 
@@ -82,29 +85,29 @@
         body: Option<Vec<u8>>,
         limit: Duration,
     ) -> Result<(u16, Vec<u8>), StoreError> {
-        let ask = OutgoingRequest {
+        let request = OutgoingRequest {
             method,
             path,
             body,
             limit,
         };
-        let sent = self.remote.send(ask).await;
+        let sent = self.remote.send(request).await;
         sent.map_err(|failure| match failure {
-            RequestFailure::NoAnswer => StoreError::Unknown,
-            RequestFailure::AnswerTooLarge => StoreError::AnswerTooLarge,
+            RequestFailure::NoAnswer => StoreError::OutcomeUnknown,
+            RequestFailure::AnswerTooLarge => StoreError::ResponseTooLarge,
         })
     }
 
-    fn read<T: DeserializeOwned>(body: &[u8]) -> Result<T, StoreError> {
-        wire::decode(body).map_err(|error| StoreError::Nonsense(error.to_string()))
+    fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, StoreError> {
+        wire::decode(body).map_err(|error| StoreError::MalformedResponse(error.to_string()))
     }
 
-    fn refusal(status: u16, body: &[u8]) -> StoreError {
+    fn error_of(status: u16, body: &[u8]) -> StoreError {
         match status {
             429 | 503 => StoreError::Refused(status),
-            404 => StoreError::LeaseOver,
-            410 => StoreError::TooOld,
-            _ => StoreError::Nonsense(format!(
+            404 => StoreError::LeaseExpired,
+            410 => StoreError::HistoryCompacted,
+            _ => StoreError::MalformedResponse(format!(
                 "status {status}: {}",
                 wire::decode::<super::Value>(body)
                     .map(|v| format!("{v:?}"))
@@ -113,94 +116,95 @@
         }
     }
 
-    /// One transaction, as it stands.
-    pub async fn transact(&self, group: &Transaction) -> TransactionOutcome {
-        let body = wire::encode(&Multi {
-            when: &group.conditions,
-            apply: &group.changes,
+    /// Executes one compare-and-swap transaction.
+    pub async fn transact(&self, transaction: &Transaction) -> TransactionOutcome {
+        let body = wire::encode(&TransactionRequest {
+            when: &transaction.conditions,
+            apply: &transaction.changes,
         });
-        let sent = self.call(Method::POST, "/multi", Some(body), self.answer_limit);
+        let sent = self.call(Method::POST, "/multi", Some(body), self.response_timeout);
         match sent.await {
             Err(error) => TransactionOutcome::Failed(error),
-            Ok((200, body)) => match Self::read::<Revision>(&body) {
+            Ok((200, body)) => match Self::decode::<TransactionResponse>(&body) {
                 Ok(read) => TransactionOutcome::Committed(read.revision),
-                // It was executed, but not at a revision we can tell.
-                Err(_) => TransactionOutcome::Failed(StoreError::Unknown),
+                // It was committed, but at a revision that can not be decoded.
+                Err(_) => TransactionOutcome::Failed(StoreError::OutcomeUnknown),
             },
-            Ok((409, body)) => match Self::read::<Revision>(&body) {
+            Ok((409, body)) => match Self::decode::<TransactionResponse>(&body) {
                 Ok(read) => TransactionOutcome::Conflict {
                     failed: read.failed,
                     revision: read.revision,
                 },
                 Err(error) => TransactionOutcome::Failed(error),
             },
-            Ok((status, body)) => TransactionOutcome::Failed(Self::refusal(status, &body)),
+            Ok((status, body)) => TransactionOutcome::Failed(Self::error_of(status, &body)),
         }
     }
 
-    /// One key's value and version, if there is one.
-    pub async fn get(&self, key: &str) -> Result<Option<super::Row>, StoreError> {
+    /// Reads a key, if it exists.
+    pub async fn get(&self, key: &str) -> Result<Option<super::KeyValue>, StoreError> {
         let path = format!("/keys/{key}");
         match self
-            .call(Method::GET, &path, None, self.answer_limit)
+            .call(Method::GET, &path, None, self.response_timeout)
             .await?
         {
-            (200, body) => Self::read(&body).map(Some),
+            (200, body) => Self::decode(&body).map(Some),
             (404, _) => Ok(None),
-            (status, body) => Err(Self::refusal(status, &body)),
+            (status, body) => Err(Self::error_of(status, &body)),
         }
     }
 
-    /// The keys below a prefix that come after one, as many as a page holds.
-    pub async fn page(&self, prefix: &str, after: Option<&str>) -> Result<Page, StoreError> {
-        let mut path = format!("/keys?under={prefix}&limit={PAGE}");
+    /// Reads one page of the keys below a prefix, beginning after the key `after`.
+    pub async fn page(&self, prefix: &str, after: Option<&str>) -> Result<KeyPage, StoreError> {
+        let mut path = format!("/keys?under={prefix}&limit={KEYS_PER_PAGE}");
         if let Some(after) = after {
             path.push_str("&after=");
             path.push_str(after);
         }
         let (status, body) = self
-            .call(Method::GET, &path, None, self.answer_limit)
+            .call(Method::GET, &path, None, self.response_timeout)
             .await?;
         if status == 200 {
-            Self::read(&body)
+            Self::decode(&body)
         } else {
-            Err(Self::refusal(status, &body))
+            Err(Self::error_of(status, &body))
         }
     }
 
-    /// Waits for changes below a prefix after a revision.
-    pub async fn follow(
+    /// Watches the keys below a prefix: resolves once there are changes after a revision, or after
+    /// `timeout`. No response within `limit` is an unknown outcome.
+    pub async fn watch(
         &self,
         prefix: &str,
         after: u64,
-        hold: Duration,
+        timeout: Duration,
         limit: Duration,
-    ) -> Result<Follow, StoreError> {
+    ) -> Result<WatchResponse, StoreError> {
         let path = format!(
             "/follow?under={prefix}&after={after}&holdMs={}",
-            hold.as_millis()
+            timeout.as_millis()
         );
         let (status, body) = match self.call(Method::GET, &path, None, limit).await {
-            // More changes than fit: read page by page, they do.
-            Err(StoreError::AnswerTooLarge) => return Err(StoreError::TooOld),
+            // Reading all keys page by page stays within the limit on a response.
+            Err(StoreError::ResponseTooLarge) => return Err(StoreError::HistoryCompacted),
             answered => answered?,
         };
         if status == 200 {
-            Self::read(&body)
+            Self::decode(&body)
         } else {
-            Err(Self::refusal(status, &body))
+            Err(Self::error_of(status, &body))
         }
     }
 
-    /// A new lease.
+    /// Grants a new lease.
     pub async fn grant(&self, ttl: Duration) -> Result<u64, StoreError> {
-        let body = wire::encode(&Ttl {
+        let body = wire::encode(&LeaseRequest {
             ttl_ms: ttl.as_millis() as u64,
         });
-        let sent = self.call(Method::POST, "/leases", Some(body), self.answer_limit);
+        let sent = self.call(Method::POST, "/leases", Some(body), self.response_timeout);
         match sent.await? {
-            (200, body) => Self::read::<Lease>(&body).map(|lease| lease.hold),
-            (status, body) => Err(Self::refusal(status, &body)),
+            (200, body) => Self::decode::<LeaseResponse>(&body).map(|lease| lease.hold),
+            (status, body) => Err(Self::error_of(status, &body)),
         }
     }
 
@@ -209,19 +213,19 @@
         let path = format!("/leases/{lease}/renew");
         match self.call(Method::POST, &path, None, limit).await? {
             (200, _) => Ok(()),
-            (status, body) => Err(Self::refusal(status, &body)),
+            (status, body) => Err(Self::error_of(status, &body)),
         }
     }
 
-    /// Ends a lease; its keys go with it.
-    pub async fn end(&self, lease: u64) -> Result<(), StoreError> {
+    /// Revokes a lease; the store deletes the keys that depend on it.
+    pub async fn revoke(&self, lease: u64) -> Result<(), StoreError> {
         let path = format!("/leases/{lease}");
         match self
-            .call(Method::DELETE, &path, None, self.answer_limit)
+            .call(Method::DELETE, &path, None, self.response_timeout)
             .await?
         {
             (200 | 204 | 404, _) => Ok(()),
-            (status, body) => Err(Self::refusal(status, &body)),
+            (status, body) => Err(Self::error_of(status, &body)),
         }
     }
 }
--- a/src/store/keys.rs
+++ b/src/store/keys.rs
@@ -1,19 +1,20 @@
-//! The key layout and the records below the keys.
+//! The keys in the key-value store and the records at these keys. Nothing else knows their names, which
+//! stay as they are between versions.
 //!
-//! All keys share one prefix so that one watch a node brings everything, and so that a node
-//! whose replica has reached a revision knows all of our records as of that revision.
+//! All keys share one prefix, so that one watch per controller delivers all changes, and so that a
+//! controller whose replica has reached a revision knows all records as of that revision.
 
 use serde::{Deserialize, Serialize};
 
 use crate::model::{JobId, JobSpec, Term, Verdict};
 
-/// Prefix of all our keys.
+/// Prefix of all keys.
 pub const ROOT: &str = "kl/";
-/// Who leads; hangs on the leader's lease.
+/// The leader; the store deletes the key with the leader's lease.
 pub const LEADER: &str = "kl/leader";
-/// The highest term ever given out.
+/// The highest term of all elections.
 pub const TERM: &str = "kl/term";
-/// Operators' settings.
+/// The operators' settings.
 pub const SETTINGS: &str = "kl/settings";
 
 const JOB: &str = "kl/job/";
@@ -24,12 +25,12 @@
 const MISDIRECTED: &str = "kl/knocks/";
 const PROBE: &str = "kl/probe/";
 
-/// The verdict on a job, kept for ever, and its description while any task of it can be anywhere.
+/// The verdict on a job, kept for ever, and the job's description while any task of it may run.
 pub fn job(id: &JobId) -> String {
     format!("{JOB}{id}")
 }
 
-/// Where versions up to 0.3.0 kept the description; read, and deleted with the job's end.
+/// The description as versions up to 0.3.0 wrote it; it is read, and deleted after the job's end.
 pub fn live(id: &JobId) -> String {
     format!("{LIVE}{id}")
 }
@@ -39,23 +40,23 @@
     format!("{DONE}{id}/{chunk}")
 }
 
-/// One shard of the list of machines that may hold tasks.
+/// One shard of the machine inventory: the machines that may run tasks.
 pub fn inventory(shard: usize) -> String {
     format!("{INVENTORY}{shard:04}")
 }
 
-/// One list of where starts of several jobs may have been sent. Its number is given out once.
+/// One dispatch record: where starts of several jobs may have been sent. Its number is used only once.
 pub fn sent(term: Term, number: u32) -> String {
     format!("{SENT}{:010}-{number:06}", term.0)
 }
 
-/// How many workers a node has sent elsewhere, told this way where the leader's digests don't
-/// reach the node.
+/// A controller's count of misdirected heartbeats, recorded here in case it has no connection to the
+/// leader.
 pub fn misdirected(member: &str) -> String {
     format!("{MISDIRECTED}{member}")
 }
 
-/// What a key is about.
+/// A key, parsed.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Key {
     /// See [`LEADER`].
@@ -78,7 +79,7 @@
     Misdirected(String),
 }
 
-/// Reads a key.
+/// Parses a key.
 pub fn parse(key: &str) -> Option<Key> {
     match key {
         LEADER => return Some(Key::Leader),
@@ -109,9 +110,9 @@
 /// Record below [`LEADER`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaderRecord {
-    /// The leading node.
+    /// The leader's name.
     pub member: String,
-    /// Where users and workers reach it.
+    /// Its address for users and workers.
     pub address: String,
     /// Its term.
     pub term: Term,
@@ -122,19 +123,19 @@
 /// Record below [`TERM`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct TermRecord {
-    /// The highest term given out.
+    /// The highest term.
     pub term: Term,
 }
 
 /// Record below [`job`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// What is known for good.
+    /// The verdict.
     pub verdict: Verdict,
     /// Number of tasks, for display after the end.
     pub tasks: u32,
-    /// The description, until no task of it can be anywhere any more. In the same value as the
-    /// verdict: of many small jobs each costs one change to take and one to end.
+    /// The description, while any task of the job may run. It is in the same value as the verdict, so
+    /// that a small job costs one change to accept and one to end.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub live: Option<LiveRecord>,
 }
@@ -155,26 +156,26 @@
 pub struct LiveRecord {
     /// The job.
     pub spec: JobSpec,
-    /// When it was taken, in milliseconds of the time of day.
+    /// When it was accepted, in milliseconds since the Unix epoch.
     pub submitted_ms: u64,
-    /// Whether any start of a task of it may have been sent, as versions up to 0.3.0 wrote it
-    /// down; now [`SentRecord`]s say so.
+    /// Whether any start of a task of it may have been sent, as versions up to 0.3.0 recorded it. Newer
+    /// versions write [`SentRecord`]s.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub started: bool,
-    /// To which machines at most; nothing: to any.
+    /// The only machines to which starts may have been sent; `None`: any machine.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub hosts: Option<Vec<String>>,
 }
 
-/// Record below [`done`]: a bit a task, four to the hexadecimal digit.
+/// Record below [`done`]: one bit per task, four bits per hexadecimal digit.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct DoneRecord {
     /// The digits.
     pub bits: String,
 }
 
-/// Record below [`sent`]: starts of these jobs may have been sent to these machines, or to any
-/// where none are named. What several records say of a job adds up.
+/// Record below [`sent`]: starts of these jobs may have been sent to these machines, or to any machine
+/// where none is named. Several records of one job add up.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct SentRecord {
     /// Jobs with their machines.
@@ -184,7 +185,7 @@
 /// Record below [`misdirected`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct MisdirectedRecord {
-    /// Reports that the node has sent elsewhere since it started.
+    /// Heartbeats that the controller has redirected since it started.
     #[serde(rename = "knocks")]
     pub count: u64,
 }
@@ -196,14 +197,14 @@
     pub machines: Vec<String>,
 }
 
-/// A write of no consequence, by which a leader whose transactions failed sees that they succeed again.
+/// A write without effect, by which a leader whose transactions failed learns that they succeed again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProbeRecord {
-    /// Counts the probes of a process.
+    /// Number of the probe in this process.
     pub count: u64,
 }
 
-/// Key of a node's probes. Nobody reads it.
+/// Key of a controller's probes of the store. Nobody reads it.
 pub fn probe(member: &str) -> String {
     format!("{PROBE}{member}")
 }
--- a/src/store/limiter.rs
+++ b/src/store/limiter.rs
@@ -1,29 +1,29 @@
-//! One token bucket for requests and one for changes, so that this node keeps to its part of
-//! what the state service takes from all nodes together.
+//! The rate limits of a controller: a token bucket for requests and one for changes, which keep it to
+//! its share of what the key-value store accepts from all controllers together.
 
 use std::time::{Duration, Instant};
 
 use crate::rate_limit::TokenBucket;
 
-/// Part of the service's limits that all nodes together leave unused, since each node's clock
-/// and the service's differ and bursts meet.
-const HEADROOM: f64 = 0.9;
-/// The leader's part of the limits: it writes for all, the others only verdicts.
-const LEADER_PART: f64 = 0.5;
+/// Share of the store's limits that all controllers together use. The rest is left free, since the
+/// clocks of the controllers and of the store differ, and bursts coincide.
+const USED_SHARE: f64 = 0.9;
+/// The leader's share of that: it writes for all, the followers write verdicts only.
+const LEADER_SHARE: f64 = 0.5;
 
-/// Seconds' worth of changes that a node saves up while it has none to make. The load balancer
-/// sends a burst of submissions to a few nodes at a time, and the others' parts lie idle then.
-const SAVED_UP_S: f64 = 3.0;
-/// Part of what the service takes at once that one node may save up: only when several nodes let
-/// all of theirs go together does it refuse some, which are sent again.
-const SAVED_UP_PART: f64 = 0.25;
+/// Seconds of its rate of changes that a controller may save up. The load balancer sends a burst of
+/// submissions to a few controllers at a time, and the shares of the others are unused then.
+const BURST_MAX_S: f64 = 3.0;
+/// Share of the store's burst that one controller may save up. Only when several controllers use all
+/// they saved up at the same time the store refuses some changes, which are sent again.
+const BURST_SHARE: f64 = 0.25;
 
-/// Both buckets of a node.
+/// Both token buckets of a controller.
 #[derive(Debug)]
 pub struct Limiter {
-    nodes: usize,
-    rps: f64,
-    write_rps: f64,
+    controllers: usize,
+    store_request_rate: f64,
+    store_change_rate: f64,
     /// Requests.
     pub requests: TokenBucket,
     /// Puts and deletes.
@@ -31,50 +31,58 @@
 }
 
 impl Limiter {
-    /// A follower's limiter among `nodes` nodes.
-    pub fn new(rps: f64, write_rps: f64, nodes: usize, now: Instant) -> Self {
-        let part = Self::part(nodes, false);
+    /// A follower's limits among `controllers` controllers, by the store's rates of requests and
+    /// changes.
+    pub fn new(
+        store_request_rate: f64,
+        store_change_rate: f64,
+        controllers: usize,
+        now: Instant,
+    ) -> Self {
+        let share = Self::share(controllers, false);
         let mut limiter = Self {
-            nodes,
-            rps,
-            write_rps,
-            requests: TokenBucket::new(rps * part, now),
-            writes: TokenBucket::new(write_rps * part, now),
+            controllers,
+            store_request_rate,
+            store_change_rate,
+            requests: TokenBucket::new(store_request_rate * share, now),
+            writes: TokenBucket::new(store_change_rate * share, now),
         };
         limiter.set_leading(false, now);
         limiter
     }
 
-    /// Time until so many requests and changes may go; nothing if they may go now.
+    /// Time until so many requests and changes are allowed; `None` if they are allowed now.
     pub fn wait(&mut self, requests: f64, writes: f64, now: Instant) -> Option<Duration> {
         let requests = self.requests.wait(requests, now);
         let wait = requests.max(self.writes.wait(writes, now));
         (!wait.is_zero()).then_some(wait)
     }
 
-    /// Takes from both.
+    /// Takes so many requests and changes.
     pub fn take(&mut self, requests: f64, writes: f64, now: Instant) {
         self.requests.take(requests, now);
         self.writes.take(writes, now);
     }
 
-    fn part(nodes: usize, leading: bool) -> f64 {
-        let others = nodes.saturating_sub(1);
-        if others == 0 {
-            HEADROOM
+    fn share(controllers: usize, leading: bool) -> f64 {
+        let followers = controllers.saturating_sub(1);
+        if followers == 0 {
+            USED_SHARE
         } else if leading {
-            HEADROOM * LEADER_PART
+            USED_SHARE * LEADER_SHARE
         } else {
-            HEADROOM * (1.0 - LEADER_PART) / others as f64
+            USED_SHARE * (1.0 - LEADER_SHARE) / followers as f64
         }
     }
 
-    /// Takes the leader's or a follower's part.
+    /// Switches to the leader's or to a follower's share.
     pub fn set_leading(&mut self, leading: bool, now: Instant) {
-        let part = Self::part(self.nodes, leading);
-        self.requests.set_rate(self.rps * part, 1.0, now);
-        let saved_up = (SAVED_UP_PART / part).clamp(1.0, SAVED_UP_S);
-        self.writes.set_rate(self.write_rps * part, saved_up, now);
+        let share = Self::share(self.controllers, leading);
+        self.requests
+            .set_rate(self.store_request_rate * share, 1.0, now);
+        let burst_s = (BURST_SHARE / share).clamp(1.0, BURST_MAX_S);
+        self.writes
+            .set_rate(self.store_change_rate * share, burst_s, now);
     }
 }
 
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,60 +1,68 @@
-//! The state service: its protocol, its limits, the key layout, and the replica that every
-//! node keeps of our keys.
+//! The external key-value store: its protocol and limits, the keys and records, and the replica of
+//! them that every controller keeps by a watch.
+//!
+//! Writes are compare-and-swap transactions: all conditions on key versions hold, or nothing changes.
+//! Reads come from the replica; a linearizable read brings it up to date first.
 
 pub mod actor;
 pub mod client;
+mod commit_queue;
+mod commit_sender;
+mod context;
 pub mod keys;
 pub mod limiter;
 pub mod observer;
-mod reads;
+mod pending_reads;
 pub mod replica;
 pub mod shared_replica;
+mod verdict_lookup;
+mod watch;
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// A value as the service keeps it.
+/// A value as the store keeps it.
 pub type Value = ciborium::Value;
 
-/// Why a request to the state service brought nothing.
+/// Why a request to the key-value store failed.
 #[derive(Debug, Clone, Error, PartialEq)]
 pub enum StoreError {
-    /// Refused for sure: nothing was executed.
-    #[error("the state service refuses requests ({0})")]
+    /// The store refused the request with this status, and executed nothing.
+    #[error("request refused with status {0}")]
     Refused(u16),
-    /// No answer: it may have been executed, or may yet be.
-    #[error("no answer from the state service")]
-    Unknown,
-    /// An answer that makes no sense.
-    #[error("the state service answered nonsense: {0}")]
-    Nonsense(String),
-    /// The lease is over.
-    #[error("the lease is over")]
-    LeaseOver,
-    /// The history asked for is gone; the keys have to be read again.
-    #[error("the history asked for is gone")]
-    TooOld,
-    /// It was answered with more than this process has memory for.
-    #[error("the state service's answer is too large")]
-    AnswerTooLarge,
+    /// There was no response: the request may have been executed, or may be executed later.
+    #[error("no response, outcome unknown")]
+    OutcomeUnknown,
+    /// The response is not of the protocol's form.
+    #[error("malformed response: {0}")]
+    MalformedResponse(String),
+    /// The lease expired or was revoked.
+    #[error("lease expired")]
+    LeaseExpired,
+    /// The store no longer has the changes after the watch's revision; all keys have to be read again.
+    #[error("history compacted")]
+    HistoryCompacted,
+    /// The response is larger than this process has memory for.
+    #[error("response too large")]
+    ResponseTooLarge,
 }
 
 impl StoreError {
-    /// Whether it shows that the service can't be reached, and what others do there not be seen.
-    /// What is refused for the limits was answered.
+    /// Whether the error shows that contact with the store is lost, so that writes of others may go
+    /// unseen. A request refused by the rate limits was answered.
     pub fn contact_lost(&self) -> bool {
         match self {
             StoreError::Refused(status) => *status != 429,
-            StoreError::Unknown => true,
-            StoreError::Nonsense(_)
-            | StoreError::LeaseOver
-            | StoreError::TooOld
-            | StoreError::AnswerTooLarge => false,
+            StoreError::OutcomeUnknown => true,
+            StoreError::MalformedResponse(_)
+            | StoreError::LeaseExpired
+            | StoreError::HistoryCompacted
+            | StoreError::ResponseTooLarge => false,
         }
     }
 }
 
-/// A condition: the key has this version (0: does not exist).
+/// A condition of a transaction: the key has this version (0: the key does not exist).
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Eq)]
 pub struct Condition {
     /// The key.
@@ -66,7 +74,7 @@
 }
 
 impl Condition {
-    /// UnmetDemand form.
+    /// A condition on this key and version.
     pub fn new(key: impl Into<String>, version: u64) -> Self {
         Self {
             key: key.into(),
@@ -79,7 +87,7 @@
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 #[serde(untagged)]
 pub enum Change {
-    /// Writes a key.
+    /// Writes the key.
     Put {
         /// The key.
         #[serde(rename = "set")]
@@ -87,11 +95,11 @@
         /// The value.
         #[serde(rename = "v")]
         value: Value,
-        /// The lease it hangs on.
+        /// The lease with whose end the store deletes the key.
         #[serde(rename = "hold", skip_serializing_if = "Option::is_none", default)]
         lease: Option<u64>,
     },
-    /// Deletes a key.
+    /// Deletes the key.
     Delete {
         /// The key.
         #[serde(rename = "drop")]
@@ -122,17 +130,17 @@
     }
 }
 
-/// Conditions and changes that stand or fall together.
+/// A compare-and-swap transaction: the changes are made atomically if all conditions hold.
 #[derive(Debug, Clone, Default)]
 pub struct Transaction {
-    /// What must hold.
+    /// The conditions.
     pub conditions: Vec<Condition>,
-    /// What changes then.
+    /// The changes.
     pub changes: Vec<Change>,
 }
 
 impl Transaction {
-    /// Makes these changes if these conditions hold.
+    /// A transaction that makes these changes if these conditions hold.
     pub fn new(conditions: Vec<Condition>, changes: Vec<Change>) -> Self {
         Self {
             conditions,
@@ -141,43 +149,43 @@
     }
 }
 
-/// What goes before what, when more is to be written than the limits allow. Within each, first
-/// come, first served.
+/// The order of writes when there are more than the rate limits allow. Writes of the same priority
+/// are sent first in, first out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum WritePriority {
     /// The election.
     Election,
-    /// What users wait for: verdicts, and what has to be written before starts.
+    /// Writes that users wait for: verdicts, and dispatch records that must precede starts.
     High,
-    /// The same for jobs of the lowest rank.
+    /// The same for jobs of the lowest priority class.
     Low,
-    /// What nobody waits for.
+    /// Writes that nobody waits for.
     Progress,
 }
 
-/// What became of a group.
+/// The outcome of a transaction.
 #[derive(Debug, Clone, PartialEq)]
 pub enum TransactionOutcome {
-    /// Applied, at this revision.
+    /// It was committed at this revision.
     Committed(u64),
-    /// Not applied: these keys had other versions, as of this revision.
+    /// Nothing was changed: these keys had other versions, as of this revision.
     Conflict {
         /// The keys.
         failed: Vec<String>,
         /// The revision.
         revision: u64,
     },
-    /// Not applied, or not known to be.
+    /// It was not committed, or its outcome is unknown.
     Failed(StoreError),
 }
 
 impl TransactionOutcome {
-    /// Whether it was applied for sure.
+    /// Whether it is known to be committed.
     pub fn committed(&self) -> bool {
         matches!(self, TransactionOutcome::Committed(_))
     }
 
-    /// Why it was not applied, or is not known to be.
+    /// Why it was not committed, or why its outcome is unknown.
     pub fn failure(&self) -> Option<&StoreError> {
         match self {
             TransactionOutcome::Failed(error) => Some(error),
@@ -186,9 +194,9 @@
     }
 }
 
-/// A key with its value.
+/// A key with its value and version.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Row {
+pub struct KeyValue {
     /// The key.
     #[serde(rename = "path")]
     pub key: String,
@@ -200,23 +208,23 @@
     pub version: u64,
 }
 
-/// A page of keys.
+/// One page of a range of keys.
 #[derive(Debug, Deserialize)]
-pub struct Page {
+pub struct KeyPage {
     /// The keys.
     #[serde(default)]
-    pub rows: Vec<Row>,
+    pub rows: Vec<KeyValue>,
     /// Whether more follow.
     #[serde(default)]
     pub more: bool,
-    /// As of this revision.
+    /// The revision of the store as of which the page was read.
     #[serde(rename = "epoch")]
     pub revision: u64,
 }
 
-/// A change seen through the watch.
+/// A change that the watch delivered.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Event {
+pub struct WatchEvent {
     /// The key written.
     #[serde(rename = "set", default)]
     pub put: Option<String>,
@@ -231,23 +239,23 @@
     pub version: u64,
 }
 
-/// What a watch brought.
+/// The changes that a watch delivered.
 #[derive(Debug, Deserialize)]
-pub struct Follow {
-    /// Up to this revision.
+pub struct WatchResponse {
+    /// The revision up to which the changes are complete.
     #[serde(rename = "epoch")]
     pub revision: u64,
     /// The changes.
     #[serde(default)]
-    pub events: Vec<Event>,
+    pub events: Vec<WatchEvent>,
 }
 
-/// Turns one of our records into a value.
+/// Encodes a record as a value.
 pub fn to_value<T: Serialize>(record: &T) -> Value {
     Value::serialized(record).unwrap_or(Value::Null)
 }
 
-/// Reads one of our records; `None` if it is of no form we know.
+/// Decodes a record; `None` if the value has no known form.
 pub fn from_value<T: serde::de::DeserializeOwned>(value: &Value) -> Option<T> {
     value.deserialized().ok()
 }
--- a/src/store/observer.rs
+++ b/src/store/observer.rs
@@ -1,5 +1,5 @@
-//! What the rest of the process learns from the traffic with the key-value store, and what the store's
-//! actor asks it.
+//! The interface between the store's actor and the rest of the process: notifications of what the
+//! requests showed, and queries that decide how the actor reads and writes.
 
 use std::time::Instant;
 
@@ -7,7 +7,7 @@
 
 use super::replica::ReplicaChange;
 
-/// Implemented by whoever acts on the store's answers. Calls come from the thread of the store's actor
+/// Implemented by whoever acts on the responses of the store. Calls come from the thread of the store's actor
 /// and must not block.
 pub trait StoreObserver: Send + Sync {
     /// A request sent at `sent` was answered.
@@ -16,19 +16,19 @@
     /// A request sent at `sent` failed in a way that shows contact to be lost.
     fn request_failed(&self, operation: StoreOperation, sent: Instant);
 
-    /// A watch or a read brought this many events.
+    /// A watch or a read delivered this many events.
     fn events_received(&self, count: usize);
 
     /// These records changed in the replica.
     fn replica_changed(&self, changes: &[ReplicaChange]);
 
-    /// The replica has all that was confirmed to anybody before `sent`.
+    /// The replica contains everything that was confirmed to anybody before `sent`.
     fn replica_confirmed(&self, sent: Instant);
 
-    /// Whether a read is required now, without anybody having asked for a record.
-    fn requires_read(&self, now: Instant) -> bool;
+    /// Whether a read is needed now to confirm the replica, even if no read is pending.
+    fn needs_confirming_read(&self, now: Instant) -> bool;
 
-    /// Whether this process holds a term: its watch is kept short then, and its writes have no bound on
-    /// their time in the queue.
+    /// Whether this process has a term of its own: its watches have a short timeout then, and its writes
+    /// may stay in the queue without a bound on their time.
     fn leads(&self) -> bool;
 }
--- a/src/store/replica.rs
+++ b/src/store/replica.rs
@@ -1,12 +1,14 @@
-//! What this node knows of our records: everything up to one revision, from the watch.
+//! The replica of all records in this process: complete up to one revision, by the watch.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
+use serde::de::DeserializeOwned;
+
 use super::keys::{
     self, DoneRecord, InventoryRecord, JobRecord, Key, LeaderRecord, LiveRecord, MisdirectedRecord,
-    SentRecord,
+    SentRecord, TermRecord,
 };
-use super::{from_value, Event, Row, Value};
+use super::{from_value, KeyValue, Value, WatchEvent};
 use crate::model::{JobId, Term, Verdict};
 
 /// A record with its version.
@@ -18,42 +20,77 @@
     pub record: T,
 }
 
+/// The verdict on a job.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct JobVerdict {
+    /// The verdict.
+    pub verdict: Verdict,
+    /// Number of the job's tasks.
+    pub tasks: u32,
+}
+
+impl JobVerdict {
+    /// The verdict in a job's record.
+    pub fn of(record: &JobRecord) -> Self {
+        Self {
+            verdict: record.verdict,
+            tasks: record.tasks,
+        }
+    }
+
+    /// Whether it never changes again.
+    pub fn is_final(&self) -> bool {
+        self.verdict != Verdict::Accepted
+    }
+}
+
+/// What the replica knows of the verdict on a job.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum VerdictState {
+    /// There is this verdict.
+    Recorded(JobVerdict),
+    /// There is no such job.
+    NoSuchJob,
+    /// There is no verdict in the replica, but one may have been evicted.
+    MayBeEvicted,
+}
+
 /// The records as of [`Replica::revision`].
 #[derive(Debug, Default)]
 pub struct Replica {
-    /// All changes up to this one are in.
+    /// All changes up to this revision are applied.
     pub revision: u64,
-    /// Whether the first reading is complete.
+    /// Whether all keys were read once.
     pub loaded: bool,
-    /// Who leads.
+    /// The leader.
     pub leader: Option<Versioned<LeaderRecord>>,
-    /// Highest term and the version of its key.
+    /// The highest term and the version of its key.
     pub term: Versioned<Term>,
-    /// Operators' settings as they stand, and the version of their key.
+    /// The operators' settings and the version of their key.
     pub settings: Versioned<Option<Value>>,
-    /// Verdicts: all that may still change, and the latest final ones. Of others the state service
-    /// has to be asked.
-    pub jobs: HashMap<JobId, Versioned<(Verdict, u32)>>,
-    /// The final ones, oldest first.
-    over: VecDeque<JobId>,
-    /// Final verdicts kept at most; 0: all. They are kept for ever by the state service, and a
-    /// small machine that runs for weeks must not be ended for them.
-    most_over: usize,
-    /// Whether any was let go: then not finding a job here says nothing.
-    pub trimmed: bool,
-    /// Descriptions.
+    /// Verdicts: all that may still change, and the latest final ones. Others have to be looked up in
+    /// the store.
+    pub jobs: HashMap<JobId, Versioned<JobVerdict>>,
+    /// Jobs with a final verdict, the oldest first.
+    final_verdicts: VecDeque<JobId>,
+    /// Bound on the final verdicts kept; 0: no bound. The store keeps them for ever, and a small
+    /// machine must not run out of memory for them after weeks.
+    final_verdicts_max: usize,
+    /// Whether any was evicted: then a job without a verdict here may exist.
+    has_evicted: bool,
+    /// Descriptions of jobs with tasks that may run.
     pub live: BTreeMap<JobId, Live>,
     /// Completed tasks.
     pub done: BTreeMap<(JobId, usize), Versioned<DoneRecord>>,
-    /// Machines that may hold tasks.
+    /// The machine inventory, by shard.
     pub inventory: BTreeMap<usize, Versioned<InventoryRecord>>,
-    /// Versions of what nodes said of the workers that report to them in vain.
+    /// Versions of the controllers' counts of misdirected heartbeats.
     pub misdirected: BTreeMap<String, u64>,
-    /// Where starts may have been sent, by key.
+    /// The dispatch records, by key: where starts may have been sent.
     pub sent: BTreeMap<String, Versioned<SentRecord>>,
 }
 
-/// A job's description as the records have it.
+/// The description of a job.
 #[derive(Debug, Clone)]
 pub struct Live {
     /// The version of its key.
@@ -73,75 +110,75 @@
     }
 }
 
-/// What a leader has to hear of.
+/// A change that others have to be notified of.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ReplicaChange {
     /// This job's records changed.
     Job(JobId),
-    /// Who leads changed.
+    /// The leader changed.
     Leader,
-    /// Operators' settings changed.
+    /// The operators' settings changed.
     Settings,
-    /// A node says how many workers it has sent elsewhere.
+    /// A controller recorded this count of misdirected heartbeats.
     Misdirected(String, u64),
 }
 
 impl Replica {
-    /// An empty one that keeps so many final verdicts at most.
-    pub fn keeping(most_over: usize) -> Self {
+    /// An empty replica that keeps at most so many final verdicts.
+    pub fn with_final_verdicts_max(final_verdicts_max: usize) -> Self {
         Self {
-            most_over,
+            final_verdicts_max,
             ..Self::default()
         }
     }
 
-    /// Starts over from a full reading.
-    pub fn load(&mut self, rows: Vec<Row>, revision: u64) -> Vec<ReplicaChange> {
+    /// Replaces everything by the keys of a complete read.
+    pub fn load(&mut self, keys_read: Vec<KeyValue>, revision: u64) -> Vec<ReplicaChange> {
         let mut before: Vec<JobId> = self.jobs.keys().cloned().collect();
-        let most_over = self.most_over;
+        let final_verdicts_max = self.final_verdicts_max;
         *self = Replica::default();
-        let mut news = vec![ReplicaChange::Leader, ReplicaChange::Settings];
-        for row in rows {
-            self.put(&row.key, &row.value, row.version);
+        let mut changes = vec![ReplicaChange::Leader, ReplicaChange::Settings];
+        for read in keys_read {
+            self.put(&read.key, &read.value, read.version);
         }
-        // Only now is it known of which jobs there is more than a verdict.
-        self.most_over = most_over;
-        self.trim();
+        // Only now all descriptions are known, which keep verdicts from eviction.
+        self.final_verdicts_max = final_verdicts_max;
+        self.evict_final_verdicts();
         before.extend(self.jobs.keys().cloned());
         before.sort();
         before.dedup();
-        news.extend(before.into_iter().map(ReplicaChange::Job));
+        changes.extend(before.into_iter().map(ReplicaChange::Job));
         self.revision = revision;
         self.loaded = true;
-        news
+        changes
     }
 
-    /// Takes what the watch brought.
-    pub fn apply(&mut self, events: &[Event], revision: u64) -> Vec<ReplicaChange> {
-        let mut news = Vec::new();
+    /// Applies the changes that the watch delivered.
+    pub fn apply(&mut self, events: &[WatchEvent], revision: u64) -> Vec<ReplicaChange> {
+        let mut changes = Vec::new();
         let before = self.revision;
-        // Two requests may bring the same changes, the older answer last: what is in already
-        // must not come again over what came after it.
+        // Two requests may deliver the same changes, the older response last: a change that is applied
+        // already must not overwrite later ones.
         for event in events.iter().filter(|e| e.version > before) {
-            let told = match (&event.put, &event.delete, &event.value) {
+            let change = match (&event.put, &event.delete, &event.value) {
                 (Some(key), _, Some(value)) => self.put(key, value, event.version),
                 (None, Some(key), _) => self.delete(key, event.version),
                 _ => None,
             };
-            news.extend(told.filter(|told| news.last() != Some(told)));
+            changes.extend(change.filter(|change| changes.last() != Some(change)));
         }
         self.revision = self.revision.max(revision);
-        news
+        changes
     }
 
     fn put(&mut self, key: &str, value: &Value, version: u64) -> Option<ReplicaChange> {
         match keys::parse(key)? {
             Key::Leader => {
-                self.leader = from_value(value).map(|record| Versioned { version, record });
+                self.leader = versioned(value, version);
                 Some(ReplicaChange::Leader)
             }
             Key::Term => {
-                let record: keys::TermRecord = from_value(value)?;
+                let record: TermRecord = from_value(value)?;
                 self.term = Versioned {
                     version,
                     record: record.term,
@@ -149,55 +186,18 @@
                 None
             }
             Key::Settings => {
-                self.settings = Versioned {
-                    version,
-                    record: Some(value.clone()),
-                };
+                let record = Some(value.clone());
+                self.settings = Versioned { version, record };
                 Some(ReplicaChange::Settings)
             }
-            Key::Job(id) => {
-                let read: JobRecord = from_value(value)?;
-                // After a first reading in pages the watch repeats changes; older ones lose.
-                if self.jobs.get(&id).is_none_or(|old| old.version < version) {
-                    let record = (read.verdict, read.tasks);
-                    self.jobs.insert(id.clone(), Versioned { version, record });
-                    if let Some(record) = read.live {
-                        let live = Live {
-                            version,
-                            record,
-                            has_own_key: false,
-                        };
-                        self.live.insert(id.clone(), live);
-                    } else if self.live.get(&id).is_some_and(|live| !live.has_own_key) {
-                        self.live.remove(&id);
-                    }
-                    if read.verdict != Verdict::Accepted {
-                        self.over.push_back(id.clone());
-                        self.trim();
-                    }
-                }
-                Some(ReplicaChange::Job(id))
-            }
-            Key::Live(id) => {
-                let record: LiveRecord = from_value(value)?;
-                if self.live.get(&id).is_none_or(|old| old.version < version) {
-                    let live = Live {
-                        version,
-                        record,
-                        has_own_key: true,
-                    };
-                    self.live.insert(id.clone(), live);
-                }
-                Some(ReplicaChange::Job(id))
-            }
+            Key::Job(id) => self.put_job(id, from_value(value)?, version),
+            Key::Live(id) => self.put_own_description(id, from_value(value)?, version),
             Key::Done(id, chunk) => {
-                let record: DoneRecord = from_value(value)?;
-                self.done.insert((id, chunk), Versioned { version, record });
+                self.done.insert((id, chunk), versioned(value, version)?);
                 None
             }
             Key::Inventory(shard) => {
-                let record: InventoryRecord = from_value(value)?;
-                self.inventory.insert(shard, Versioned { version, record });
+                self.inventory.insert(shard, versioned(value, version)?);
                 None
             }
             Key::Misdirected(member) => {
@@ -206,13 +206,64 @@
                 Some(ReplicaChange::Misdirected(member, record.count))
             }
             Key::Sent(key) => {
-                let record: SentRecord = from_value(value)?;
-                self.sent.insert(key, Versioned { version, record });
+                self.sent.insert(key, versioned(value, version)?);
                 None
             }
         }
     }
 
+    fn put_job(&mut self, id: JobId, record: JobRecord, version: u64) -> Option<ReplicaChange> {
+        // After a load in pages the watch repeats changes, and an older version must not replace a
+        // newer one.
+        let outdated = self.jobs.get(&id).is_some_and(|old| old.version >= version);
+        if outdated {
+            return Some(ReplicaChange::Job(id));
+        }
+        let verdict = JobVerdict::of(&record);
+        let versioned_verdict = Versioned {
+            version,
+            record: verdict,
+        };
+        self.jobs.insert(id.clone(), versioned_verdict);
+        self.put_description_of_record(&id, record.live, version);
+        if verdict.is_final() {
+            self.final_verdicts.push_back(id.clone());
+            self.evict_final_verdicts();
+        }
+        Some(ReplicaChange::Job(id))
+    }
+
+    /// Takes the description in a job's record; one with a key of its own does not depend on that record.
+    fn put_description_of_record(&mut self, id: &JobId, live: Option<LiveRecord>, version: u64) {
+        if let Some(record) = live {
+            let live = Live {
+                version,
+                record,
+                has_own_key: false,
+            };
+            self.live.insert(id.clone(), live);
+        } else if self.live.get(id).is_some_and(|live| !live.has_own_key) {
+            self.live.remove(id);
+        }
+    }
+
+    fn put_own_description(
+        &mut self,
+        id: JobId,
+        record: LiveRecord,
+        version: u64,
+    ) -> Option<ReplicaChange> {
+        if self.live.get(&id).is_none_or(|old| old.version < version) {
+            let live = Live {
+                version,
+                record,
+                has_own_key: true,
+            };
+            self.live.insert(id.clone(), live);
+        }
+        Some(ReplicaChange::Job(id))
+    }
+
     fn delete(&mut self, key: &str, version: u64) -> Option<ReplicaChange> {
         match keys::parse(key)? {
             Key::Leader => {
@@ -237,26 +288,26 @@
                 self.sent.remove(&key);
                 None
             }
-            // These are never deleted by us.
+            // No controller deletes these.
             Key::Term | Key::Settings | Key::Job(_) | Key::Misdirected(_) => None,
         }
     }
 
-    /// Lets the oldest final verdicts go, beyond the bound, of which nothing is under way.
-    fn trim(&mut self) {
-        if self.most_over == 0 {
+    /// Evicts the oldest final verdicts beyond the bound, of jobs without a description.
+    fn evict_final_verdicts(&mut self) {
+        if self.final_verdicts_max == 0 {
             return;
         }
-        for _ in self.most_over..self.over.len() {
-            let Some(oldest) = self.over.pop_front() else {
+        for _ in self.final_verdicts_max..self.final_verdicts.len() {
+            let Some(oldest) = self.final_verdicts.pop_front() else {
                 return;
             };
             if self.live.contains_key(&oldest) {
-                // Its tasks may be somewhere still; the leader needs its verdict.
-                self.over.push_back(oldest);
+                // A task of it may run somewhere still, and then the leader needs the verdict.
+                self.final_verdicts.push_back(oldest);
             } else {
                 self.jobs.remove(&oldest);
-                self.trimmed = true;
+                self.has_evicted = true;
             }
         }
     }
@@ -266,13 +317,12 @@
         self.jobs.get(id).map_or(0, |job| job.version)
     }
 
-    /// A job's verdict, if it is known here: nothing is known of one that is not, where older
-    /// verdicts were let go.
-    pub fn verdict(&self, id: &JobId) -> Option<Option<(Verdict, u32)>> {
+    /// The state of the verdict on a job.
+    pub fn verdict(&self, id: &JobId) -> VerdictState {
         match self.jobs.get(id) {
-            Some(job) => Some(Some(job.record)),
-            None if self.trimmed => None,
-            None => Some(None),
+            Some(job) => VerdictState::Recorded(job.record),
+            None if self.has_evicted => VerdictState::MayBeEvicted,
+            None => VerdictState::NoSuchJob,
         }
     }
 
@@ -282,17 +332,17 @@
         kept.map_or(0, |kept| kept.version)
     }
 
-    /// The version of a shard of the roster; 0: there is none.
+    /// The version of a shard of the machine inventory; 0: there is none.
     pub fn inventory_version(&self, shard: usize) -> u64 {
         self.inventory.get(&shard).map_or(0, |kept| kept.version)
     }
 
-    /// The version of what a node said of the workers that report to it in vain; 0: nothing.
+    /// The version of a controller's count of misdirected heartbeats; 0: there is none.
     pub fn misdirected_version(&self, member: &str) -> u64 {
         self.misdirected.get(member).copied().unwrap_or(0)
     }
 
-    /// The completed tasks of a job, for taking over.
+    /// The chunks of completed tasks of a job, for recovery.
     pub fn done_chunks<'a>(
         &'a self,
         id: &'a JobId,
@@ -303,5 +353,9 @@
     }
 }
 
+fn versioned<T: DeserializeOwned>(value: &Value, version: u64) -> Option<Versioned<T>> {
+    from_value(value).map(|record| Versioned { version, record })
+}
+
 #[cfg(test)]
 mod tests;
--- a/src/store/replica/tests.rs
+++ b/src/store/replica/tests.rs
@@ -12,7 +12,7 @@
 /// Verdicts are kept for ever, but not by a process of 128 MB.
 #[test]
 fn final_verdicts_are_kept_up_to_a_bound_and_open_ones_always() {
-    let mut replica = Replica::keeping(10);
+    let mut replica = Replica::with_final_verdicts_max(10);
     for number in 0..200 {
         put(
             &mut replica,
@@ -32,10 +32,10 @@
     }
     assert_eq!(replica.jobs.len(), 50 + 10);
     let last = JobId::parse("wk-000149").unwrap();
-    assert_eq!(replica.jobs[&last].record.0, Verdict::Done);
+    assert_eq!(replica.jobs[&last].record.verdict, Verdict::Done);
     let first = JobId::parse("wk-000000").unwrap();
-    assert_eq!(replica.job_version(&first), 0, "to be asked for");
-    assert!(replica.over.len() <= 10);
+    assert_eq!(replica.job_version(&first), 0, "evicted");
+    assert!(replica.final_verdicts.len() <= 10);
 }
 
 /// A count of misdirected reports that is written late must meet a condition that has moved on.
@@ -44,9 +44,9 @@
     let mut replica = Replica::default();
     assert_eq!(replica.misdirected_version("knot-1"), 0);
     let record = to_value(&MisdirectedRecord { count: 9 });
-    let told = replica.put(&keys::misdirected("knot-1"), &record, 7);
+    let change = replica.put(&keys::misdirected("knot-1"), &record, 7);
     assert_eq!(
-        told,
+        change,
         Some(ReplicaChange::Misdirected("knot-1".to_owned(), 9))
     );
     assert_eq!(replica.misdirected_version("knot-1"), 7);
--- a/src/store/shared_replica.rs
+++ b/src/store/shared_replica.rs
@@ -1,11 +1,11 @@
-//! The replica as the parts of a process share it.
+//! The replica as the actors and handlers of a process share it.
 
 use parking_lot::{Mutex, MutexGuard};
 use tokio::sync::{watch, Notify};
 
 use super::replica::Replica;
 
-/// The replica behind a short lock, with its revision for those who wait for one.
+/// The replica behind a lock held for short times, with its revision for those who wait for one.
 pub struct SharedReplica {
     replica: Mutex<Replica>,
     revision: watch::Sender<u64>,
@@ -13,7 +13,7 @@
 }
 
 impl SharedReplica {
-    /// Shares a replica that was just made.
+    /// Shares a new replica.
     pub fn new(replica: Replica) -> Self {
         Self {
             replica: Mutex::new(replica),
@@ -27,7 +27,7 @@
         self.replica.lock()
     }
 
-    /// Follows the revision up to which the replica is complete.
+    /// Subscribes to the revision up to which the replica is complete.
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.revision.subscribe()
     }
@@ -36,7 +36,7 @@
         self.revision.send_replace(revision);
     }
 
-    /// Has the store read at once.
+    /// Requests a linearizable read at once.
     pub fn request_read(&self) {
         self.read_requested.notify_one();
     }
--- a/tests/common/scene.rs
+++ b/tests/common/scene.rs
@@ -19,7 +19,7 @@
 use knotlanding::sched::{self, Decisions};
 use knotlanding::store::keys::{self, InventoryRecord, JobRecord, LiveRecord, SentRecord};
 use knotlanding::store::replica::Replica;
-use knotlanding::store::{to_value, Row, StoreError, TransactionOutcome};
+use knotlanding::store::{to_value, KeyValue, StoreError, TransactionOutcome};
 use knotlanding::wire::{
     ExitCause, Heartbeat, ListedMachine, TaskPhase, TaskStatus, WorkerCommand,
 };
@@ -155,7 +155,7 @@
 
     pub fn replica(&self) -> Replica {
         let rows = self.records.iter().enumerate();
-        let rows = rows.map(|(at, (key, value))| Row {
+        let rows = rows.map(|(at, (key, value))| KeyValue {
             key: key.clone(),
             value: value.clone(),
             version: at as u64 + 1 + self.rewritten,
--- a/tests/common/world.rs
+++ b/tests/common/world.rs
@@ -50,8 +50,10 @@
 use knotlanding::sched::{self, Decisions};
 use knotlanding::service::Shared;
 use knotlanding::store::keys::{self, JobRecord, LeaderRecord, LiveRecord, TermRecord};
+use knotlanding::store::replica::VerdictState;
 use knotlanding::store::{
-    to_value, Change, Condition, Event, Row, StoreError, Transaction, TransactionOutcome, Value,
+    to_value, Change, Condition, KeyValue, StoreError, Transaction, TransactionOutcome, Value,
+    WatchEvent,
 };
 use knotlanding::timing::{renew_every, LEASE_TIME_MIN};
 use knotlanding::wire::{
--- a/tests/common/world/controllers.rs
+++ b/tests/common/world/controllers.rs
@@ -163,7 +163,7 @@
             }
             RequestPurpose::Poll(id) if succeeded => {
                 let verdict = shared.replica.lock().verdict(&JobId::parse(&id).unwrap());
-                let verdict = verdict.unwrap().map(|(verdict, _)| verdict);
+                let verdict = known_verdict(verdict);
                 self.told(&id, sent, verdict);
             }
             RequestPurpose::CancelRead(id) if succeeded => self.write_cancellation(n, &id, sent),
@@ -177,7 +177,7 @@
         let (verdict, version, live) = {
             let replica = shared.replica.lock();
             let live = replica.live.get(&job).map(|live| live.record.clone());
-            let verdict = replica.verdict(&job).unwrap().map(|(verdict, _)| verdict);
+            let verdict = known_verdict(replica.verdict(&job));
             (verdict, replica.job_version(&job), live)
         };
         if verdict != Some(Verdict::Accepted) {
@@ -537,3 +537,12 @@
         (!up.is_empty()).then(|| up[self.rng.random_range(0..up.len())])
     }
 }
+
+/// The verdict in a replica without a bound on final verdicts, which evicts none.
+fn known_verdict(state: VerdictState) -> Option<Verdict> {
+    match state {
+        VerdictState::Recorded(verdict) => Some(verdict.verdict),
+        VerdictState::NoSuchJob => None,
+        VerdictState::MayBeEvicted => panic!("a verdict was evicted"),
+    }
+}
--- a/tests/common/world/links.rs
+++ b/tests/common/world/links.rs
@@ -285,7 +285,7 @@
             StoreRequest::Multi(group) => Some(Mail::LateWrite(group.clone())),
             _ => None,
         };
-        let unknown = StoreResponse::Failed(StoreError::Unknown);
+        let unknown = StoreResponse::Failed(StoreError::OutcomeUnknown);
         if self.keeps_request(&cut, late) {
             return Some(unknown);
         }
--- a/tests/common/world/state_service.rs
+++ b/tests/common/world/state_service.rs
@@ -31,8 +31,8 @@
 
 #[derive(Clone, Debug)]
 pub(super) enum StoreResponse {
-    Rows(Vec<Row>, u64),
-    Events(Vec<Event>, u64),
+    Rows(Vec<KeyValue>, u64),
+    Events(Vec<WatchEvent>, u64),
     Lease(u64),
     Fine,
     LeaseOver,
@@ -44,7 +44,7 @@
 pub(super) struct Store {
     pub(super) revision: u64,
     pub(super) keys: BTreeMap<String, (Value, u64, Option<u64>)>,
-    pub(super) events: Vec<(u64, Event)>,
+    pub(super) events: Vec<(u64, WatchEvent)>,
     pub(super) leases: BTreeMap<u64, f64>,
     pub(super) next_lease: u64,
 }
@@ -79,7 +79,7 @@
             Change::Put { key, value, lease } => {
                 self.keys
                     .insert(key.clone(), (value.clone(), version, *lease));
-                Event {
+                WatchEvent {
                     put: Some(key.clone()),
                     delete: None,
                     value: Some(value.clone()),
@@ -90,7 +90,7 @@
                 if self.keys.remove(key).is_none() {
                     return;
                 }
-                Event {
+                WatchEvent {
                     put: None,
                     delete: Some(key.clone()),
                     value: None,
@@ -117,7 +117,7 @@
             Change::Delete { .. } => None,
         });
         if leases.into_iter().any(|l| !self.leases.contains_key(&l)) {
-            return TransactionOutcome::Failed(StoreError::LeaseOver);
+            return TransactionOutcome::Failed(StoreError::LeaseExpired);
         }
         self.revision += 1;
         group.changes.iter().for_each(|change| self.change(change));
@@ -148,7 +148,7 @@
             .is_some_and(|(n, until)| n == node && self.t < until);
         if unread && matches!(ask, StoreRequest::Load | StoreRequest::Read(_)) {
             let left = (sent + ANSWER_LIMIT - self.t).max(0.0);
-            let unknown = StoreResponse::Failed(StoreError::Unknown);
+            let unknown = StoreResponse::Failed(StoreError::OutcomeUnknown);
             self.post(left, Mail::FromStore(node, incarnation, unknown, why, sent));
             return;
         }
@@ -166,7 +166,7 @@
             if let StoreRequest::Multi(group) = &ask {
                 if self.answer_is_lost(group) {
                     let left = (sent + ANSWER_LIMIT - self.t).max(0.0);
-                    let unknown = StoreResponse::Failed(StoreError::Unknown);
+                    let unknown = StoreResponse::Failed(StoreError::OutcomeUnknown);
                     self.post(left, Mail::FromStore(node, incarnation, unknown, why, sent));
                     return;
                 }
@@ -181,7 +181,7 @@
         // Too late an answer counts as none.
         let left = (sent + ANSWER_LIMIT - self.t).max(0.0);
         if after > left {
-            let unknown = StoreResponse::Failed(StoreError::Unknown);
+            let unknown = StoreResponse::Failed(StoreError::OutcomeUnknown);
             self.post(left, Mail::FromStore(node, incarnation, unknown, why, sent));
         } else {
             self.post(
@@ -213,7 +213,7 @@
                     .store
                     .keys
                     .iter()
-                    .map(|(key, (value, version, _))| Row {
+                    .map(|(key, (value, version, _))| KeyValue {
                         key: key.clone(),
                         value: value.clone(),
                         version: *version,
--- a/tests/formats/requests.rs
+++ b/tests/formats/requests.rs
@@ -134,24 +134,24 @@
     ]});
     recorder.answer(200, followed.unwrap());
     let hold = Duration::from_millis(1500);
-    let read = client.follow("kl/", 431, hold, LIMIT).await.unwrap();
+    let read = client.watch("kl/", 431, hold, LIMIT).await.unwrap();
     assert_eq!(read.revision, 433);
     assert_eq!(read.events[0].put.as_deref(), Some("c/9"));
     assert_eq!(read.events[0].value, Some(Value::from(5)));
     assert_eq!(read.events[1].delete.as_deref(), Some("c/d"));
     assert_eq!(read.events[1].version, 432);
     recorder.answer(410, cbor!({"error" => "gone"}).unwrap());
-    let read = client.follow("kl/", 1, hold, LIMIT).await;
-    assert_eq!(read.unwrap_err(), StoreError::TooOld);
+    let read = client.watch("kl/", 1, hold, LIMIT).await;
+    assert_eq!(read.unwrap_err(), StoreError::HistoryCompacted);
 
     recorder.answer(200, cbor!({"hold" => 7}).unwrap());
     let lease = client.grant(Duration::from_millis(3200)).await.unwrap();
     assert_eq!(lease, 7);
     client.renew(lease, LIMIT).await.unwrap();
-    client.end(lease).await.unwrap();
+    client.revoke(lease).await.unwrap();
     recorder.answer(404, cbor!({"error" => "no such lease"}).unwrap());
     let renewed = client.renew(lease, LIMIT).await;
-    assert_eq!(renewed.unwrap_err(), StoreError::LeaseOver);
+    assert_eq!(renewed.unwrap_err(), StoreError::LeaseExpired);
 
     fixture::assert_text("requests-state-service.txt", &recorder.requests());
 }
--- a/tests/meetings.rs
+++ b/tests/meetings.rs
@@ -20,7 +20,7 @@
 use knotlanding::service::Shared;
 use knotlanding::store::keys::{self, JobRecord};
 use knotlanding::store::replica::ReplicaChange;
-use knotlanding::store::{to_value, Row, TransactionOutcome};
+use knotlanding::store::{to_value, KeyValue, TransactionOutcome};
 use knotlanding::timing::LEASE_TIME_MIN;
 use scene::{accepted, array, machine_types};
 
@@ -51,7 +51,7 @@
         let shared = Shared::new(Settings::parse(&text, "a test").unwrap());
         let start = Instant::now();
         let rows = accepted(&array("wk-000001", 1), false).into_iter();
-        let rows = rows.enumerate().map(|(at, (key, value))| Row {
+        let rows = rows.enumerate().map(|(at, (key, value))| KeyValue {
             key,
             value,
             version: at as u64 + 1,
@@ -117,7 +117,7 @@
                 tasks: 1,
                 live: Some(live),
             };
-            knotlanding::store::Event {
+            knotlanding::store::WatchEvent {
                 put: Some(keys::job(&id)),
                 delete: None,
                 value: Some(to_value(&record)),
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -16,7 +16,7 @@
 use ciborium::{cbor, Value};
 use knotlanding::config::Settings;
 use knotlanding::sockets::Sockets;
-use knotlanding::store::client::answer_bytes_max;
+use knotlanding::store::client::response_bytes_max;
 use knotlanding_testbed::message::{encode, number, text};
 use node::{job, with, without, Bench, Node, PROGRAM, TEST_TIMEOUT};
 
@@ -135,7 +135,7 @@
     let bench = Bench::with_settings("large-watch", small);
     let node = bench.start();
     node.accept(&job("wk-000060", "array", 2, 4.0)).await;
-    let most = answer_bytes_max(20.0);
+    let most = response_bytes_max(20.0);
     let value = Value::Text("x".repeat(16 * 1024));
     let count = 2 * most / (16 * 1024);
     let keys = (0..count).map(|n| (format!("kl/other/{n:04}"), value.clone()));
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -200,8 +200,10 @@
     s.heartbeat("m-g1n", &[]);
     let replica = s.replica();
     let lost = s.cluster.due_writes(&replica, s.now).remove(0);
-    s.cluster
-        .written(&lost.kind, &TransactionOutcome::Failed(StoreError::Unknown));
+    s.cluster.written(
+        &lost.kind,
+        &TransactionOutcome::Failed(StoreError::OutcomeUnknown),
+    );
     s.heartbeat("m-g2n", &[]);
     let again = s.cluster.due_writes(&replica, s.now).remove(0);
     s.cluster
