--- a/tests/service.rs
+++ b/tests/service.rs
@@ -16,7 +16,7 @@
 use ciborium::{cbor, Value};
 use knotlanding::config::Settings;
 use knotlanding::sockets::Sockets;
-use knotlanding::store::client::answer_bytes_max;
+use knotlanding::store::client::response_bytes_max;
 use knotlanding_testbed::message::{encode, number, text};
 use node::{job, with, without, Bench, Node, PROGRAM, TEST_TIMEOUT};
 
@@ -135,7 +135,7 @@
     let bench = Bench::with_settings("large-watch", small);
     let node = bench.start();
     node.accept(&job("wk-000060", "array", 2, 4.0)).await;
-    let most = answer_bytes_max(20.0);
+    let most = response_bytes_max(20.0);
     let value = Value::Text("x".repeat(16 * 1024));
     let count = 2 * most / (16 * 1024);
     let keys = (0..count).map(|n| (format!("kl/other/{n:04}"), value.clone()));
@@ -558,7 +558,7 @@
 #[test]
 fn a_report_is_answered_by_what_holds_after_a_pause_and_not_by_what_held_before() {
     use knotlanding::api::workers::{receive, Reception};
-    use knotlanding::leader::{HeldLease, Leadership};
+    use knotlanding::leader::Leadership;
     use knotlanding::model::Term;
     use knotlanding::timing::LEASE_TIME_MIN;
     let text = common::settings_of_nobody();
@@ -577,12 +577,9 @@
     *shared.cluster.lock() = Some(cluster);
     {
         let mut election = shared.election.lock();
-        election.lease = Some(HeldLease {
-            id: 7,
-            renewed: start,
-        });
-        election.take(Leadership { term, version: 1 });
-        election.freshness().proved(start);
+        election.hold_lease(7, start);
+        election.become_leader(Leadership { term, version: 1 });
+        election.freshness().confirm(start);
     }
     // The first look at the clock comes at once, all others after the pause.
     let answered = |pause: Duration| {
