--- a/src/actors/scheduler.rs
+++ b/src/actors/scheduler.rs
@@ -1,5 +1,5 @@
-//! Owner of the round: takes all that happened since the last one, decides, writes down what
-//! has to be written, and sends stops straight away.
+//! The actor of the scheduling cycle: runs cycles on all that happened since the last one, writes the
+//! records that their decisions need, and sends direct commands.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -22,23 +22,24 @@
 use crate::store::{keys, Condition, StoreError, TransactionOutcome};
 use crate::wire::{self, Heartbeat, WorkerCommand};
 
-/// Shortest time between two rounds: events gather meanwhile.
-const ROUND_INTERVAL_MIN: Duration = Duration::from_millis(150);
-/// Longest time between two rounds, so that what time alone brings is seen.
-const ROUND_INTERVAL_MAX: Duration = Duration::from_secs(1);
-/// A round may take up to this part of the time; the more it costs, the rarer it gets.
-const ROUND_PART: u32 = 8;
-/// A round that is late by this much is so because nothing of us ran.
-const STOOD_STILL: Duration = Duration::from_millis(1500);
-/// Longest pause after a round that took long: when the process stood still in the middle of
-/// one, that says nothing of what rounds cost.
-const ROUND_PAUSE_MAX: Duration = Duration::from_secs(2);
+/// Shortest time between two cycles: events gather meanwhile.
+const CYCLE_INTERVAL_MIN: Duration = Duration::from_millis(150);
+/// Longest time between two cycles, so that timeouts are seen.
+const CYCLE_INTERVAL_MAX: Duration = Duration::from_secs(1);
+/// After a cycle the loop pauses for this many times its duration, so that cycles leave the
+/// processor to others.
+const PAUSE_FACTOR: u32 = 8;
+/// A cycle that is late by this much is so because the process was paused.
+const PROCESS_PAUSE_MIN: Duration = Duration::from_millis(1500);
+/// Longest pause after a cycle that took long: when the process was paused in the middle of one,
+/// its duration says nothing of what cycles cost.
+const PAUSE_MAX: Duration = Duration::from_secs(2);
 /// Pause after a write that failed.
 const WRITE_RETRY_DELAY: Duration = Duration::from_millis(400);
-/// A worker that has not taken a direct command by then gets it by its report.
-const ORDER_LIMIT: Duration = Duration::from_secs(2);
+/// A worker that has not taken a direct command by then gets it with the answer to its heartbeat.
+const DIRECT_COMMAND_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The latest round's shortages, for the fleet.
+/// The unmet demand of the latest cycle, for the fleet.
 pub type SharedDemand = Arc<Mutex<Vec<UnmetDemand>>>;
 
 /// The actor.
@@ -50,7 +51,7 @@
 }
 
 impl SchedulerActor {
-    /// A round that writes through `store` and commands workers through `http`.
+    /// A scheduler that writes through `store` and commands workers through `http`.
     pub fn new(
         shared: Arc<Shared>,
         store: Addr<StoreActor>,
@@ -70,21 +71,21 @@
     type Context = Context<Self>;
 
     fn started(&mut self, _: &mut Self::Context) {
-        let rounds = SchedulerLoop {
+        let scheduler = SchedulerLoop {
             shared: self.shared.clone(),
             store: self.store.clone(),
             http: self.http.clone(),
             unmet_demand: self.unmet_demand.clone(),
             writes_backoff_until: Mutex::default(),
-            at_once: Semaphore::new(self.shared.sockets.direct),
+            direct_commands: Semaphore::new(self.shared.sockets.direct),
         };
-        actix::spawn(Rc::new(rounds).run());
+        actix::spawn(Rc::new(scheduler).run());
     }
 }
 
-/// How long to leave the processor to others after a round that took so long.
+/// How long to leave the processor to others after a cycle that took so long.
 fn pause_after(took: Duration) -> Duration {
-    (took * ROUND_PART).clamp(ROUND_INTERVAL_MIN, ROUND_PAUSE_MAX)
+    (took * PAUSE_FACTOR).clamp(CYCLE_INTERVAL_MIN, PAUSE_MAX)
 }
 
 struct SchedulerLoop {
@@ -93,13 +94,13 @@
     http: Client,
     unmet_demand: SharedDemand,
     writes_backoff_until: Mutex<Option<Instant>>,
-    /// AddressedCommand commands under way, each with a socket.
-    at_once: Semaphore,
+    /// Limits the direct commands in flight, each of which takes a socket.
+    direct_commands: Semaphore,
 }
 
 impl SchedulerLoop {
     async fn run(self: Rc<Self>) {
-        // The term of the round before and when the next one was due.
+        // The term of the cycle before and when the next one was due.
         let mut due: Option<(Term, Instant)> = None;
         loop {
             let began = Instant::now();
@@ -108,33 +109,33 @@
                 if let Some((_, due)) = due.filter(|(term, _)| *term == leadership.term) {
                     self.resume(leadership, due, began);
                 }
-                self.round(leadership, began);
+                self.run_cycle(leadership, began);
             }
             let pause = pause_after(began.elapsed());
             if let Some(leadership) = &leadership {
-                due = Some((leadership.term, began + pause.max(ROUND_INTERVAL_MAX)));
+                due = Some((leadership.term, began + pause.max(CYCLE_INTERVAL_MAX)));
             }
             actix::clock::sleep(pause).await;
             let woken = self.shared.wake_scheduler.notified();
-            let _ = actix::clock::timeout(ROUND_INTERVAL_MAX.saturating_sub(pause), woken).await;
+            let _ = actix::clock::timeout(CYCLE_INTERVAL_MAX.saturating_sub(pause), woken).await;
         }
     }
 
-    /// After a time without rounds, as when the process stood still or the state service was
-    /// out, what was not heard meanwhile says nothing about the machines.
+    /// After a time without cycles, as when the process was paused or the key-value store was out,
+    /// heartbeats missed meanwhile are no evidence against the machines.
     fn resume(&self, leadership: &Leadership, due: Instant, now: Instant) {
         let missed = now.saturating_duration_since(due);
-        if missed < STOOD_STILL {
+        if missed < PROCESS_PAUSE_MIN {
             return;
         }
-        info!(?missed, "rounds go on");
+        info!(?missed, "scheduling resumed after a pause");
         let mut guard = self.shared.cluster.lock();
         if let Some(cluster) = guard.as_mut().filter(|c| c.term == leadership.term) {
             cluster.resume(missed, now);
         }
     }
 
-    fn round(self: &Rc<Self>, leadership: &Leadership, now: Instant) {
+    fn run_cycle(self: &Rc<Self>, leadership: &Leadership, now: Instant) {
         let refusal = self.shared.links.placement_refusal();
         let starting = refusal.is_none()
             && self
@@ -150,10 +151,10 @@
             };
             self.shared.drain_by_operator(cluster);
             cluster.expire(now);
-            // Of jobs that may have been cancelled unseen nothing is decided; what was decided
+            // Nothing is decided of jobs that may have been cancelled unseen; what was decided
             // before goes on.
             let decisions = if starting {
-                sched::round(cluster, &self.shared.policy, now)
+                sched::run_cycle(cluster, &self.shared.policy, now)
             } else {
                 let reason = refusal.map_or(PendingReason::StaleReplica, PendingReason::Gate);
                 cluster.set_pending_reason(reason);
@@ -170,7 +171,7 @@
                     stops,
                     unmet_demand = decisions.unmet_demand.len(),
                     unreconciled,
-                    "round"
+                    "scheduling cycle"
                 );
                 let mut metrics = self.shared.metrics.lock();
                 metrics.counts.starts += starts as u64;
@@ -214,15 +215,15 @@
         cluster.map_or(Vec::new(), |cluster| cluster.due_writes(&replica, now))
     }
 
-    /// Writes what the cluster state waits for, on condition that we still lead.
+    /// Writes records that the cluster state waits for, on condition that this controller still leads.
     async fn write(self: Rc<Self>, leadership: Leadership, mut write: RecordWrite) {
         let condition = Condition::new(keys::LEADER, leadership.version);
         write.group.conditions.push(condition);
         let sent = self.store.send(Commit(write.group, write.urgency)).await;
         let outcome = sent.unwrap_or(TransactionOutcome::Failed(StoreError::Unknown));
-        debug!(kind = ?write.kind, urgency = ?write.urgency, "write ended");
+        debug!(kind = ?write.kind, urgency = ?write.urgency, "record write completed");
         if !outcome.committed() {
-            debug!(kind = ?write.kind, ?outcome, "write failed");
+            debug!(kind = ?write.kind, ?outcome, "record write failed");
             *self.writes_backoff_until.lock() = Some(Instant::now() + WRITE_RETRY_DELAY);
         }
         if let Some(cluster) = self.shared.cluster.lock().as_mut() {
@@ -233,24 +234,24 @@
         self.shared.wake_scheduler.notify_one();
     }
 
-    /// Sends stops straight to a worker. Late or repeated they do no harm, since no attempt
-    /// is ever used twice.
+    /// Sends terminations directly to a worker. Late or repeated they do no harm, since no attempt is
+    /// ever used twice.
     async fn command(self: Rc<Self>, direct: AddressedCommand) {
         let AddressedCommand {
             machine,
             address,
             body,
         } = direct;
-        // What waits here waits for its machine's report as well, whichever comes first.
-        let Ok(_permit) = self.at_once.acquire().await else {
+        // A command that waits here also leaves with the answer to the next heartbeat of its machine.
+        let Ok(_permit) = self.direct_commands.acquire().await else {
             return;
         };
-        // Waiting for a place, or standing still, may have taken longer than the lead lasts.
+        // Waiting for a permit, or a pause of the process, may have outlasted the leadership.
         let leading = self.shared.election.lock().leadership(Instant::now());
         if leading.is_none_or(|leadership| leadership.term != FencingToken(body.token).term()) {
             return;
         }
-        let asked = Instant::now();
+        let sent_at = Instant::now();
         debug_assert!(!body
             .commands
             .iter()
@@ -258,16 +259,16 @@
         let sent = self
             .http
             .post(format!("http://{address}/orders"))
-            .timeout(ORDER_LIMIT)
-            // Kept open, these would take a socket a machine beside the machine's own.
+            .timeout(DIRECT_COMMAND_TIMEOUT)
+            // Kept open, these would take a second socket for each machine.
             .force_close()
             .content_type(wire::CBOR)
             .send_body(wire::encode(&body))
             .await;
         let Ok(mut answer) = sent else {
-            debug!(%machine, "no answer to a direct command");
+            debug!(%machine, "direct command unanswered");
             if let Some(cluster) = self.shared.cluster.lock().as_mut() {
-                cluster.command_unanswered(&machine, asked);
+                cluster.command_unanswered(&machine, sent_at);
             }
             return;
         };
@@ -281,7 +282,7 @@
         if let Some(cluster) = self.shared.cluster.lock().as_mut() {
             if cluster.term == FencingToken(body.token).term() {
                 let verified =
-                    cluster.apply_heartbeat(&heartbeat, HeartbeatSource::Command(asked), now);
+                    cluster.apply_heartbeat(&heartbeat, HeartbeatSource::Command(sent_at), now);
                 debug!(%machine, ?verified, "direct command answered");
                 if verified == Verified::Deposed {
                     return;
--- a/src/sched/allocate.rs
+++ b/src/sched/allocate.rs
@@ -1,101 +1,104 @@
-//! Tentative allocation: filters, then scores.
+//! Tentative allocation: filtering and scoring of machines for the tasks of one job.
 
 use std::cmp::Ordering;
 use std::collections::{BinaryHeap, HashMap, HashSet};
 
-use super::order::overdue;
+use super::order::past_start_deadline;
 use super::{zones_of, View};
 use crate::capacity::{CapacityIndex, ExpectedReleases, MachineCapacity};
-use crate::cluster::{ImageId, InstancePhase, Job};
+use crate::cluster::{ImageId, InstancePhase, Job, PoolId};
 use crate::model::{JobSpec, MachineId, Resources};
 
-/// What an unused part of a machine counts against it, in seconds of fetching.
-const PACKING_S: f64 = 6.0;
-/// What the rest of another image's fetch counts: it delays ours, and ours delays it.
-const SHARED_LINE: f64 = 1.5;
-/// What it counts to take room that a class of higher rank could use and may have to take
-/// back by force.
-const CONTESTED_S: f64 = 15.0;
-/// What it counts to take an ordinary machine where a spot one would do, in seconds of fetching.
-const DEAR_S: f64 = 2.0;
-/// Fetches shorter than this are never waited around.
-const LONG_FETCH_S: f64 = 10.0;
+/// Score of the part of a machine that stays unused, in seconds of pulling an image.
+const FRAGMENTATION_S: f64 = 6.0;
+/// Factor of the rest of another image's pull: it delays ours, and ours delays it.
+const CONCURRENT_PULL_FACTOR: f64 = 1.5;
+/// Score of capacity that a class of higher priority could use and may have to preempt.
+const CONTENTION_S: f64 = 15.0;
+/// Score of an on-demand machine where a spot machine would do.
+const ON_DEMAND_S: f64 = 2.0;
+/// A pull shorter than this is never avoided by waiting for a machine that has the image.
+const LONG_PULL_S: f64 = 10.0;
 
-/// What allocation found.
+/// Machines for tasks of one job. Nothing is taken from their capacity until it is reserved.
 #[derive(Debug, Default)]
-pub struct Found {
-    /// Tasks with their rooms.
+pub struct Allocation {
+    /// Tasks with their machines, as indices into [`CapacityIndex::all`].
     pub members: Vec<(u32, usize)>,
-    /// The zone the rest is bound to.
+    /// The zone to which the rest of the tasks is bound.
     pub zone: Option<String>,
-    /// Tasks that do better to wait for a place that comes free.
+    /// Tasks that start sooner on an expected release.
     pub deferred: u32,
-    cost: f64,
+    score: f64,
 }
 
-impl Found {
-    /// Takes the room, for this round.
-    pub fn keep(&self, rooms: &mut CapacityIndex, need: &Resources) {
+impl Allocation {
+    /// Takes the capacity, for this cycle.
+    pub fn reserve(&self, capacity: &mut CapacityIndex, need: &Resources) {
         for (_, at) in &self.members {
-            rooms.all[*at].free.sub(need);
+            capacity.all[*at].free.sub(need);
         }
     }
 
     /// Tasks with their machines.
-    pub fn machines(&self, rooms: &CapacityIndex) -> Vec<(u32, MachineId)> {
+    pub fn machines(&self, capacity: &CapacityIndex) -> Vec<(u32, MachineId)> {
         let members = self.members.iter();
         members
-            .map(|(index, at)| (*index, rooms.all[*at].machine.id.clone()))
+            .map(|(index, at)| (*index, capacity.all[*at].machine.id.clone()))
             .collect()
     }
 }
 
-/// A class of jobs that has to start promptly, with what it needs.
+/// A class with an objective on its start, by the latest of its jobs.
 #[derive(Debug)]
-pub struct Claim<'a>(&'a JobSpec);
+pub struct LatencySensitiveClass<'a>(&'a JobSpec);
 
-/// The classes that start promptly and arrived lately, by a sample of each.
-pub fn claims<'a>(view: View<'a>) -> Vec<Claim<'a>> {
+/// The classes with an objective on their start of which jobs arrived lately.
+pub fn latency_sensitive_classes<'a>(view: View<'a>) -> Vec<LatencySensitiveClass<'a>> {
     let mut seen: HashSet<&str> = HashSet::new();
     let arrivals = view.cluster.arrivals.iter().rev();
     arrivals
         .map(|(_, spec)| spec.as_ref())
         .filter(|spec| view.policy.prompt.contains_key(&spec.class))
         .filter(|spec| seen.insert(&spec.class))
-        .map(Claim)
+        .map(LatencySensitiveClass)
         .collect()
 }
 
-/// What a job asks of a room, looked up once a job.
-struct RoomRequest<'a> {
+/// What scoring needs of a job, looked up once for all machines.
+struct PlacementRequest<'a> {
     view: View<'a>,
     spec: &'a JobSpec,
     image: ImageId,
-    claims: &'a [Claim<'a>],
+    latency_sensitive: &'a [LatencySensitiveClass<'a>],
 }
 
-impl<'a> RoomRequest<'a> {
-    fn of(view: View<'a>, claims: &'a [Claim<'a>], job: &'a Job) -> Self {
+impl<'a> PlacementRequest<'a> {
+    fn of(
+        view: View<'a>,
+        latency_sensitive: &'a [LatencySensitiveClass<'a>],
+        job: &'a Job,
+    ) -> Self {
         Self {
             view,
             spec: &job.spec,
             image: job.image,
-            claims,
+            latency_sensitive,
         }
     }
 
-    /// Seconds until a task's image would be there.
-    fn fetch_s(&self, room: &MachineCapacity, rate: f64) -> f64 {
-        let machine = room.machine;
+    /// Seconds until the image would be on the machine.
+    fn pull_s(&self, candidate: &MachineCapacity, rate: f64) -> f64 {
+        let machine = candidate.machine;
         if machine.has_image(self.image) {
             return 0.0;
         }
         let rate = rate.max(f64::MIN_POSITIVE);
         let mut own = self.spec.image_gb / rate;
-        // Images fetched at the same time share the line: each of them waits for the others.
+        // Images pulled at the same time share the bandwidth: each of them delays the others.
         let mut others: Vec<(ImageId, f64)> = Vec::new();
         for instance in machine.instances.values() {
-            let coming = matches!(
+            let pulling = matches!(
                 instance.phase,
                 InstancePhase::Planned
                     | InstancePhase::Dispatched { .. }
@@ -105,12 +108,12 @@
                 .spec
                 .as_ref()
                 .zip(instance.image)
-                .filter(|_| coming)
+                .filter(|_| pulling)
             else {
                 continue;
             };
-            let passed = self.view.now.saturating_duration_since(instance.since);
-            let left = (other.image_gb / rate - passed.as_secs_f64()).max(0.0);
+            let elapsed = self.view.now.saturating_duration_since(instance.since);
+            let left = (other.image_gb / rate - elapsed.as_secs_f64()).max(0.0);
             if image == self.image {
                 own = own.min(left);
             } else if !machine.has_image(image) {
@@ -120,14 +123,22 @@
                 }
             }
         }
-        own + others.iter().map(|(_, left)| left).sum::<f64>() * SHARED_LINE
+        own + others.iter().map(|(_, left)| left).sum::<f64>() * CONCURRENT_PULL_FACTOR
     }
 
-    /// Lower is better; with the part of it that is fetching.
-    fn score(&self, rooms: &CapacityIndex, room: &MachineCapacity, free: &Resources) -> (f64, f64) {
-        let (pool, machine_type) = rooms.pool(room.pool);
+    /// The score of a machine with this much free capacity.
+    fn score(
+        &self,
+        capacity: &CapacityIndex,
+        candidate: &MachineCapacity,
+        free: &Resources,
+    ) -> Score {
+        let (pool, machine_type) = capacity.pool(candidate.pool);
         let Some(machine_type) = machine_type else {
-            return (f64::INFINITY, 0.0);
+            return Score {
+                total: f64::INFINITY,
+                pull_s: 0.0,
+            };
         };
         let left = |free: f64, need: f64, whole: f64| {
             if whole > 0.0 {
@@ -137,30 +148,41 @@
             }
         };
         let need = &self.spec.task_resources;
-        // What the task leaves unused, in the resource that the machine is rented for.
-        let waste = if machine_type.room.gpus > 0.0 {
+        // The part that stays unused, of the resource that the machine is rented for.
+        let fragmentation = if machine_type.room.gpus > 0.0 {
             left(free.gpus, need.gpus, machine_type.room.gpus)
         } else {
             left(free.cpus, need.cpus, machine_type.room.cpus)
         };
-        let contested = self.claims.iter().any(|Claim(other)| {
+        let mut classes = self.latency_sensitive.iter();
+        let contested = classes.any(|LatencySensitiveClass(other)| {
             other.priority > self.spec.priority
                 && other.allows(&pool.machine_type, &pool.zone, pool.spot)
                 && other.task_resources.fits(free)
         });
-        let claim = if contested { CONTESTED_S } else { 0.0 };
-        let fetch = self.fetch_s(room, machine_type.fetch_rate);
-        // The dearer of two machines that are alike is the one to be emptied and returned.
-        let dear = if pool.spot { 0.0 } else { DEAR_S };
-        (fetch + waste * PACKING_S + claim + dear, fetch)
+        let contention = if contested { CONTENTION_S } else { 0.0 };
+        let pull_s = self.pull_s(candidate, machine_type.fetch_rate);
+        // Of two machines that are alike, the more expensive one is to become idle and be released.
+        let on_demand = if pool.spot { 0.0 } else { ON_DEMAND_S };
+        Score {
+            total: pull_s + fragmentation * FRAGMENTATION_S + contention + on_demand,
+            pull_s,
+        }
     }
 }
 
-/// A room that a task fits in; the best one comes first.
+/// The score of a machine for a task, in seconds of pulling an image; lower is better.
+#[derive(Debug, Clone, Copy)]
+struct Score {
+    total: f64,
+    /// The part of it that is pulling the image.
+    pull_s: f64,
+}
+
+/// A machine with capacity for a task; the best one is the greatest.
 struct Candidate {
-    score: f64,
-    fetch: f64,
-    at: usize,
+    score: Score,
+    machine: usize,
     free: Resources,
 }
 
@@ -180,26 +202,64 @@
 
 impl Ord for Candidate {
     fn cmp(&self, other: &Self) -> Ordering {
-        let by_score = other.score.total_cmp(&self.score);
-        by_score.then(other.at.cmp(&self.at))
+        let by_score = other.score.total.total_cmp(&self.score.total);
+        by_score.then(other.machine.cmp(&self.machine))
     }
 }
 
-/// The places to be left that a job's tasks may wait for.
-struct AwaitedDepartures<'a> {
-    departures: &'a mut ExpectedReleases,
-    from: usize,
+/// Expected releases that tasks of a job may wait for.
+struct AwaitedReleases<'a> {
+    releases: &'a mut ExpectedReleases,
+    /// How far earlier tasks of the job have searched them.
+    searched: usize,
 }
 
-/// Fills `tasks` in order as far as they fit, within `zone` if given. Nothing is taken yet.
-fn fill(
-    request: &RoomRequest,
+/// Filtering: machines that may take a task of the job, each with its score.
+fn candidates(
+    request: &PlacementRequest,
+    job: &Job,
+    pools: &[PoolId],
+    capacity: &CapacityIndex,
+) -> BinaryHeap<Candidate> {
+    // A machine on which this job failed gets no second attempt while others are there.
+    let all_failed = capacity.all.len() <= job.failed_on.len();
+    let eligible =
+        |at: &usize| all_failed || !job.failed_on.contains(&capacity.all[*at].machine.id);
+    capacity
+        .fitting(pools, &request.spec.task_resources)
+        .filter(eligible)
+        .map(|at| {
+            let candidate = &capacity.all[at];
+            Candidate {
+                score: request.score(capacity, candidate, &candidate.free),
+                machine: at,
+                free: candidate.free,
+            }
+        })
+        .collect()
+}
+
+/// Pools whose machines the job may use.
+fn pools_of(view: View, job: &Job, zone: Option<&str>, capacity: &CapacityIndex) -> Vec<PoolId> {
+    let age = view.now.saturating_duration_since(job.submitted);
+    if past_start_deadline(job, age) {
+        // Whatever it costs, it has to start.
+        capacity.all_pools_for(&job.spec, zone)
+    } else {
+        capacity.pools_for(&job.spec, zone)
+    }
+}
+
+/// Allocates machines to `tasks` in their order as far as there is capacity, within `zone` if
+/// given.
+fn allocate(
+    request: &PlacementRequest,
     job: &Job,
     tasks: &[u32],
     zone: Option<&str>,
-    rooms: &CapacityIndex,
-    mut awaited: Option<AwaitedDepartures>,
-) -> Found {
+    capacity: &CapacityIndex,
+    mut awaited: Option<AwaitedReleases>,
+) -> Allocation {
     let spec = request.spec;
     let cap = spec.zone_cap();
     let mut in_zone: HashMap<&str, u32> = if spec.zone_spread {
@@ -207,151 +267,133 @@
     } else {
         HashMap::new()
     };
-    let age = request.view.now.saturating_duration_since(job.submitted);
-    let pools = if overdue(job, age) {
-        // Whatever it costs, it has to begin.
-        rooms.all_pools_for(spec, zone)
-    } else {
-        rooms.pools_for(spec, zone)
-    };
-    // A machine on which this job failed gets no second try while others are there.
-    let all_failed = rooms.all.len() <= job.failed_on.len();
-    let fine = |at: &usize| all_failed || !job.failed_on.contains(&rooms.all[*at].machine.id);
-    let mut candidates: BinaryHeap<Candidate> = rooms
-        .fitting(&pools, &spec.task_resources)
-        .filter(fine)
-        .map(|at| {
-            let room = &rooms.all[at];
-            let (score, fetch) = request.score(rooms, room, &room.free);
-            Candidate {
-                score,
-                fetch,
-                at,
-                free: room.free,
-            }
-        })
-        .collect();
-    let mut found = Found::default();
+    let pools = pools_of(request.view, job, zone, capacity);
+    let mut candidates = candidates(request, job, &pools, capacity);
+    let mut allocation = Allocation::default();
     let mut tasks = tasks.iter();
     let mut next = tasks.next();
     while let (Some(index), Some(mut best)) = (next, candidates.pop()) {
-        let room = &rooms.all[best.at];
+        let machine = &capacity.all[best.machine];
         if spec.zone_spread {
-            let zone = rooms.pool(room.pool).0.zone.as_str();
-            let there = in_zone.entry(zone).or_default();
-            if *there >= cap {
+            let zone = capacity.pool(machine.pool).0.zone.as_str();
+            let placed = in_zone.entry(zone).or_default();
+            if *placed >= cap {
                 continue;
             }
-            *there += 1;
+            *placed += 1;
         }
-        if let Some(awaited) = awaited.as_mut().filter(|_| best.fetch > LONG_FETCH_S) {
+        let pull_s = best.score.pull_s;
+        if let Some(awaited) = awaited.as_mut().filter(|_| pull_s > LONG_PULL_S) {
             let wanted = (&pools[..], request.image);
-            let limit = best.fetch;
-            let departures = &mut awaited.departures;
-            if departures.claim(rooms, wanted, limit, &mut awaited.from) {
-                found.deferred += 1;
+            let releases = &mut awaited.releases;
+            if releases.claim(capacity, wanted, pull_s, &mut awaited.searched) {
+                allocation.deferred += 1;
                 next = tasks.next();
                 candidates.push(best);
                 continue;
             }
         }
-        found.cost += best.score;
-        found.members.push((*index, best.at));
+        allocation.score += best.score.total;
+        allocation.members.push((*index, best.machine));
         next = tasks.next();
         best.free.sub(&spec.task_resources);
         if spec.task_resources.fits(&best.free) {
-            let (score, fetch) = request.score(rooms, room, &best.free);
-            candidates.push(Candidate {
-                score,
-                fetch,
-                ..best
-            });
+            best.score = request.score(capacity, machine, &best.free);
+            candidates.push(best);
         }
     }
-    found
+    allocation
 }
 
-/// The zones to be tried one by one: one settled, or each, for a job bound to one zone.
-pub(super) fn zones_to_try(view: View, job: &Job, rooms: &CapacityIndex) -> Vec<Option<String>> {
+/// The zones to be tried one by one, for a job bound to one zone: the one where its tasks are, or
+/// each.
+pub(super) fn zones_to_try(view: View, job: &Job, capacity: &CapacityIndex) -> Vec<Option<String>> {
     if !job.spec.single_zone {
         return vec![None];
     }
     let settled: HashSet<&str> = zones_of(view.cluster, job).into_keys().collect();
     if !settled.is_empty() {
-        // In more than one zone already can't be: nothing is started until that is over.
+        // Tasks in several zones must not be: nothing is started until that is over.
         let mut settled: Vec<_> = settled.into_iter().map(|z| Some(z.to_owned())).collect();
         settled.truncate(if settled.len() > 1 { 0 } else { 1 });
         return settled;
     }
-    rooms.zones().into_iter().map(Some).collect()
+    capacity.zones().into_iter().map(Some).collect()
 }
 
-/// MachineCapacity for all of a gang's missing members, or what there is of it. Nothing is taken yet.
+/// Machines for all missing members of a gang, or for as many as there is capacity.
 pub fn gang(
     view: View,
-    claims: &[Claim],
+    latency_sensitive: &[LatencySensitiveClass],
     job: &Job,
     missing: &[u32],
-    rooms: &CapacityIndex,
-) -> Found {
-    best_zone(view, claims, job, missing, rooms, None)
+    capacity: &CapacityIndex,
+) -> Allocation {
+    best_zone(view, latency_sensitive, job, missing, capacity, None)
 }
 
-/// What room there is for a gang's missing members in the zone where it is being made, or
+/// Machines for the missing members of a gang in the zone where capacity is being freed for it, or
 /// anywhere.
-pub fn claimed(
+pub fn reserved(
     view: View,
-    claims: &[Claim],
+    latency_sensitive: &[LatencySensitiveClass],
     job: &Job,
     missing: &[u32],
-    (rooms, zone): (&CapacityIndex, Option<&str>),
-) -> Found {
-    let request = RoomRequest::of(view, claims, job);
-    fill(&request, job, missing, zone, rooms, None)
+    (capacity, zone): (&CapacityIndex, Option<&str>),
+) -> Allocation {
+    let request = PlacementRequest::of(view, latency_sensitive, job);
+    allocate(&request, job, missing, zone, capacity, None)
 }
 
-/// MachineCapacity for as many of an array's tasks as fit. Nothing is taken yet.
+/// Machines for as many tasks of an array as there is capacity.
 pub fn array(
     view: View,
-    claims: &[Claim],
+    latency_sensitive: &[LatencySensitiveClass],
     job: &Job,
     missing: &[u32],
-    rooms: &CapacityIndex,
-    departures: &mut ExpectedReleases,
-) -> Found {
-    best_zone(view, claims, job, missing, rooms, Some(departures))
+    capacity: &CapacityIndex,
+    expected_releases: &mut ExpectedReleases,
+) -> Allocation {
+    best_zone(
+        view,
+        latency_sensitive,
+        job,
+        missing,
+        capacity,
+        Some(expected_releases),
+    )
 }
 
 fn best_zone(
     view: View,
-    claims: &[Claim],
+    latency_sensitive: &[LatencySensitiveClass],
     job: &Job,
     missing: &[u32],
-    rooms: &CapacityIndex,
-    mut departures: Option<&mut ExpectedReleases>,
-) -> Found {
-    let request = RoomRequest::of(view, claims, job);
-    let zones = zones_to_try(view, job, rooms);
+    capacity: &CapacityIndex,
+    mut expected_releases: Option<&mut ExpectedReleases>,
+) -> Allocation {
+    let request = PlacementRequest::of(view, latency_sensitive, job);
+    let zones = zones_to_try(view, job, capacity);
     let settled = job.spec.single_zone && job.has_placements();
-    // Waiting for places to come free is worked out for one zone only.
-    let alone = zones.len() == 1;
-    let mut best: Option<Found> = None;
+    // Expected releases are taken into account where there is one zone only.
+    let only_zone = zones.len() == 1;
+    let mut best: Option<Allocation> = None;
     for zone in zones {
-        let awaited = departures
+        let awaited = expected_releases
             .as_deref_mut()
-            .filter(|_| alone)
-            .map(|departures| AwaitedDepartures {
-                departures,
-                from: 0,
+            .filter(|_| only_zone)
+            .map(|releases| AwaitedReleases {
+                releases,
+                searched: 0,
             });
-        let mut found = fill(&request, job, missing, zone.as_deref(), rooms, awaited);
-        found.zone = zone.filter(|_| settled);
+        let mut allocation = allocate(&request, job, missing, zone.as_deref(), capacity, awaited);
+        allocation.zone = zone.filter(|_| settled);
         let better = best.as_ref().is_none_or(|best| {
-            let (more, most) = (found.members.len(), best.members.len());
-            more > most || (more == most && found.cost < best.cost)
+            let (more, most) = (allocation.members.len(), best.members.len());
+            more > most || (more == most && allocation.score < best.score)
         });
         if better {
-            best = Some(found);
+            best = Some(allocation);
         }
     }
     best.unwrap_or_default()
--- a/src/sched/mod.rs
+++ b/src/sched/mod.rs
@@ -1,405 +1,63 @@
-//! The round: order the jobs, tentatively allocate, decide. Pure functions of the cluster state and
-//! an `Instant`; nothing here does I/O or changes the cluster state.
+//! The scheduling cycle: jobs are put in order, machines are filtered and scored for their pending
+//! tasks, tasks are bound to the best ones, and work that may be preempted makes way for the
+//! rest. Pure functions of the cluster state and an `Instant`; nothing here does I/O, and only
+//! [`apply`] changes the cluster state.
 
 pub mod allocate;
+mod cycle;
+mod decisions;
+mod drain;
 pub mod order;
 pub mod preempt;
 
 use std::collections::HashMap;
-use std::fmt;
-use std::time::{Duration, Instant};
+use std::time::Instant;
 
-use crate::capacity::{CapacityIndex, ExpectedReleases};
 use crate::cluster::{Cluster, Job};
-use crate::demand::UnmetDemand;
-use crate::model::{Attempt, JobId, MachineId, Priority, Resources, TaskId};
-use crate::pending_reason::PendingReason;
 use crate::policy::SchedulingPolicy;
-use allocate::Claim;
-
-/// Tasks of one job started in one round; a larger array goes on in the next one.
-const STARTS_PER_JOB_MAX: usize = 256;
-/// A gang that has waited this many times its workers' gang wait keeps its tentative room
-/// from later jobs, so that smaller ones can't starve it.
-const KEEP_ROOM_AFTER: u32 = 2;
-
-/// How long room that stops make is kept for the gang they are made for: saving, stopping and
-/// the reports that show it, for the slowest of its machines.
-const CLAIM_LASTS: Duration = Duration::from_secs(20);
-
-/// What a round looks at: the cluster state, the rules and the time.
+use cycle::Cycle;
+pub use decisions::{
+    apply, AttemptChoice, Decisions, GangRestart, GangRestartReason, PendingJob, Reservation,
+    Start, TaskTermination,
+};
+use preempt::Preemptor;
+
+/// What a scheduling cycle works on: the cluster state, the policy and the time.
 #[derive(Debug, Clone, Copy)]
 pub struct View<'a> {
     /// The cluster state.
     pub cluster: &'a Cluster,
-    /// What of the settings matters.
+    /// The scheduling policy.
     pub policy: &'a SchedulingPolicy,
     /// The time.
     pub now: Instant,
 }
 
-/// Which attempt a start belongs to.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum AttemptChoice {
-    /// One of its own, for the gang as a whole.
-    New,
-    /// The gang's present one: a member is replaced before the gang has started.
-    Same(Attempt),
-}
-
-/// Starts that leave together.
-#[derive(Debug, Clone, PartialEq)]
-pub struct Start {
-    /// The job.
-    pub job: JobId,
-    /// The attempt.
-    pub under: AttemptChoice,
-    /// Tasks and where each goes.
-    pub members: Vec<(u32, MachineId)>,
-}
-
-/// A single task to be stopped.
-#[derive(Debug, Clone, PartialEq)]
-pub struct TaskTermination {
-    /// The task.
-    pub task: TaskId,
-    /// Its attempt.
-    pub attempt: Attempt,
-    /// Where it is.
-    pub machine: MachineId,
-    /// Time to save.
-    pub grace_s: f64,
-}
-
-/// Why a gang is terminated as a whole and starts again.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum GangRestartReason {
-    /// A member was lost, and the rest is below the minimum or of another attempt.
-    MemberLost,
-    /// Capacity is needed for a job that goes first.
-    Preempted,
-    /// The machine of a member is drained or about to be taken back by the cloud.
-    MachineLeaving,
-}
-
-impl fmt::Display for GangRestartReason {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(match self {
-            Self::MemberLost => "a member is gone",
-            Self::Preempted => "preempted",
-            Self::MachineLeaving => "its machine is leaving",
-        })
-    }
-}
-
-/// A gang to be terminated as a whole.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub struct GangRestart {
-    /// The gang.
-    pub job: JobId,
-    /// Why.
-    pub reason: GangRestartReason,
-}
-
-/// A job with tasks that stay pending in this cycle.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub struct PendingJob {
-    /// The job.
-    pub job: JobId,
-    /// Why its tasks are pending.
-    pub reason: PendingReason,
-}
-
-/// What a round decides.
-#[derive(Debug, Default)]
-pub struct Decisions {
-    /// Starts.
-    pub starts: Vec<Start>,
-    /// Gangs to be stopped as a whole.
-    pub gang_restarts: Vec<GangRestart>,
-    /// Tasks to be stopped.
-    pub terminations: Vec<TaskTermination>,
-    /// Jobs for which others are stopped, with the zone.
-    pub claims: Vec<(JobId, Option<String>)>,
-    /// What the fleet is short of.
-    pub unmet_demand: Vec<UnmetDemand>,
-    /// Why tasks of jobs stay pending.
-    pub pending: Vec<PendingJob>,
-}
-
-impl Decisions {
-    fn keep_pending(&mut self, job: &JobId, reason: PendingReason) {
-        let job = job.clone();
-        self.pending.push(PendingJob { job, reason });
-    }
-
-    fn restart_gang(&mut self, job: &JobId, reason: GangRestartReason) {
-        let job = job.clone();
-        self.gang_restarts.push(GangRestart { job, reason });
-    }
-}
-
-/// One round.
-pub fn round(cluster: &Cluster, policy: &SchedulingPolicy, now: Instant) -> Decisions {
+/// Runs one scheduling cycle.
+pub fn run_cycle(cluster: &Cluster, policy: &SchedulingPolicy, now: Instant) -> Decisions {
     let view = View {
         cluster,
         policy,
         now,
     };
-    let mut decisions = Decisions::default();
-    let mut rooms = CapacityIndex::of(cluster, now);
-    let mut used: HashMap<String, Resources> = cluster
-        .team_use()
-        .into_iter()
-        .map(|(team, sum)| (team.to_owned(), sum))
-        .collect();
-    let mut departures = ExpectedReleases::of(&rooms, now);
-    let claims = allocate::claims(view);
-    let ordered = order::order(cluster, policy, now);
-    let mut wanting = Vec::new();
-    for entry in &ordered.entries {
-        let job = entry.job;
-        let id = &job.spec.id;
-        let why = if cluster.blocked(job) {
-            Some(PendingReason::UnreconciledMachines)
-        } else if job.backoff_until.is_some_and(|until| now < until) {
-            Some(match job.suspected() {
-                true => PendingReason::TrialBackoff,
-                false => PendingReason::FailureBackoff,
-            })
-        } else if job.stopping {
-            Some(PendingReason::Terminating)
-        } else {
-            None
-        };
-        if let Some(why) = why {
-            if job.pending_count() > 0 {
-                decisions.keep_pending(id, why);
-            }
-            continue;
-        }
-        let sum = used.entry(job.spec.team.clone()).or_default();
-        if job.gang() {
-            step_gang(view, &claims, entry, sum, &mut rooms, &mut decisions);
-        } else {
-            step_array(
-                view,
-                &claims,
-                entry,
-                sum,
-                &mut rooms,
-                &mut departures,
-                &mut decisions,
-            );
-        }
-        let unmet_demand = decisions.unmet_demand.last().filter(|s| s.spec.id == *id);
-        if let Some(unmet_demand) = unmet_demand {
-            wanting.push((entry, unmet_demand.tasks));
-        }
-    }
-    preempt::preempt(view, &ordered, &wanting, &mut decisions);
-    preempt::leave_noticed(cluster, &mut decisions, now);
+    let mut cycle = Cycle::new(view);
+    let queue = order::order(cluster, policy, now);
+    let mut preemptors = Vec::new();
+    for entry in &queue.entries {
+        let unplaced = cycle.schedule(entry);
+        preemptors.extend(unplaced.map(|tasks| Preemptor { entry, tasks }));
+    }
+    let mut decisions = cycle.into_decisions();
+    preempt::preempt(view, &queue, &preemptors, &mut decisions);
+    drain::drain_leaving_machines(cluster, &mut decisions, now);
     decisions
 }
 
-/// A gang: whole, repaired, or not at all.
-fn step_gang(
-    view: View,
-    claims: &[Claim],
-    entry: &order::Entry,
-    used: &mut Resources,
-    rooms: &mut CapacityIndex,
-    decisions: &mut Decisions,
-) {
-    let View {
-        cluster,
-        policy,
-        now,
-    } = view;
-    let job = entry.job;
-    let id = &job.spec.id;
-    let placed = job.placements.len() as u32;
-    let missing: Vec<u32> = job.pending().collect();
-    if missing.is_empty() {
-        return;
-    }
-    let under = match job.attempt {
-        None => AttemptChoice::New,
-        Some(attempt) => {
-            let mixed = job
-                .placements
-                .values()
-                .flatten()
-                .any(|p| p.attempt != attempt);
-            // Running and succeeded members together are fewer than the minimum.
-            let broken = job.seen_running && placed + job.done.len() < job.spec.minimum();
-            if mixed || broken {
-                decisions.restart_gang(id, GangRestartReason::MemberLost);
-                return;
-            }
-            AttemptChoice::Same(attempt)
-        }
-    };
-    let mut wanted = *used;
-    wanted.add(&job.spec.task_resources.times(missing.len() as u32));
-    if !policy.within_limit(&job.spec.team, &wanted) {
-        decisions.keep_pending(id, PendingReason::TeamLimit);
-        return;
-    }
-    let found = allocate::gang(view, claims, job, &missing, rooms);
-    // Ready when the allocated members reach the minimum, or with those that succeeded.
-    if found.members.len() as u32 + placed + job.done.len() >= job.spec.minimum() {
-        *used = wanted;
-        found.keep(rooms, &job.spec.task_resources);
-        decisions.starts.push(Start {
-            job: id.clone(),
-            under,
-            members: found.machines(rooms),
-        });
-        return;
-    }
-    if job.suspected() {
-        // Nothing is kept, stopped or rented for it.
-        decisions.keep_pending(id, PendingReason::TrialCapacity);
-        return;
-    }
-    let age = now.saturating_duration_since(job.submitted);
-    let claim = job.claim.as_ref().filter(|(_, until)| now < *until);
-    if let Some((zone, _)) = claim {
-        // Else what was stopped for it would start again in the room that this has made.
-        let found = allocate::claimed(view, claims, job, &missing, (rooms, zone.as_deref()));
-        found.keep(rooms, &job.spec.task_resources);
-    } else if age >= cluster.timing.gang_barrier_timeout * KEEP_ROOM_AFTER {
-        found.keep(rooms, &job.spec.task_resources);
-    }
-    decisions.keep_pending(id, PendingReason::GangCapacity);
-    decisions.unmet_demand.push(UnmetDemand {
-        spec: job.spec.clone(),
-        tasks: missing.len() as u32,
-        submitted: job.submitted,
-        target: entry.target,
-        zone: found.zone,
-    });
-}
-
-/// An array: every task is a gang of one.
-fn step_array(
-    view: View,
-    claims: &[Claim],
-    entry: &order::Entry,
-    used: &mut Resources,
-    rooms: &mut CapacityIndex<'_>,
-    departures: &mut ExpectedReleases,
-    decisions: &mut Decisions,
-) {
-    let policy = view.policy;
-    let job = entry.job;
-    let id = &job.spec.id;
-    let age = view.now.saturating_duration_since(job.submitted);
-    let late = job.spec.priority == Priority::BestEffort && order::overdue(job, age);
-    let most = match (job.suspected(), job.has_placements()) {
-        // The first one may go where the others would be too dear.
-        (false, _) if late => 1,
-        (false, _) => STARTS_PER_JOB_MAX,
-        // One task tells whether it still fails.
-        (true, false) => 1,
-        (true, true) => 0,
-    };
-    let missing: Vec<u32> = job.pending().take(most).collect();
-    if missing.is_empty() {
-        return;
-    }
-    let mut allowed = 0;
-    let mut sum = *used;
-    for _ in &missing {
-        sum.add(&job.spec.task_resources);
-        if !policy.within_limit(&job.spec.team, &sum) {
-            break;
-        }
-        allowed += 1;
-    }
-    if allowed == 0 {
-        decisions.keep_pending(id, PendingReason::TeamLimit);
-        return;
-    }
-    let found = allocate::array(view, claims, job, &missing[..allowed], rooms, departures);
-    let placed = found.members.len();
-    used.add(&job.spec.task_resources.times(placed as u32));
-    found.keep(rooms, &job.spec.task_resources);
-    for member in found.machines(rooms) {
-        decisions.starts.push(Start {
-            job: id.clone(),
-            under: AttemptChoice::New,
-            members: vec![member],
-        });
-    }
-    let waiting = (allowed - placed) as u32;
-    if job.suspected() {
-        if waiting > 0 {
-            decisions.keep_pending(id, PendingReason::TrialCapacity);
-        }
-    } else if waiting > 0 && found.deferred >= waiting {
-        decisions.keep_pending(id, PendingReason::ImageLocality);
-    } else if waiting > 0 {
-        decisions.keep_pending(id, PendingReason::Capacity);
-        decisions.unmet_demand.push(UnmetDemand {
-            spec: job.spec.clone(),
-            tasks: waiting - found.deferred,
-            submitted: job.submitted,
-            target: entry.target,
-            zone: found.zone,
-        });
-    }
-}
-
-/// Carries the decisions over into the cluster state.
-pub fn apply(cluster: &mut Cluster, decisions: &Decisions, now: Instant) {
-    for start in &decisions.starts {
-        let attempt = match start.under {
-            AttemptChoice::New => cluster.next_attempt(),
-            AttemptChoice::Same(attempt) => attempt,
-        };
-        for (index, machine) in &start.members {
-            let task = TaskId {
-                job: start.job.clone(),
-                index: *index,
-            };
-            tracing::debug!(%task, %machine, attempt = attempt.0, "start");
-            cluster.plan(&task, machine, attempt, now);
-        }
-    }
-    for GangRestart { job, reason } in &decisions.gang_restarts {
-        tracing::info!(%job, %reason, "gang restarted");
-        cluster.stop_gang(job);
-    }
-    for termination in &decisions.terminations {
-        tracing::info!(task = %termination.task, machine = %termination.machine, "task stops");
-        let instance = crate::cluster::InstanceId {
-            task: termination.task.clone(),
-            attempt: termination.attempt,
-        };
-        cluster.stop(&termination.machine, &instance, termination.grace_s);
-    }
-    for (id, zone) in &decisions.claims {
-        if let Some(job) = cluster.jobs.get_mut(id) {
-            job.claim = Some((zone.clone(), now + CLAIM_LASTS));
-        }
-    }
-    for PendingJob { job: id, reason } in &decisions.pending {
-        if let Some(job) = cluster.jobs.get_mut(id) {
-            if job.pending_reason != *reason {
-                tracing::debug!(job = %id, %reason, "pending reason changed");
-            }
-            job.pending_reason = *reason;
-        }
-    }
-}
-
-/// Zones in which a job's tasks may be now.
+/// Zones in which tasks of a job may be now, with their number.
 pub(crate) fn zones_of<'a>(cluster: &'a Cluster, job: &'a Job) -> HashMap<&'a str, u32> {
     let mut zones = HashMap::new();
-    for place in job.placements.values().flatten() {
-        if let Some(machine) = cluster.machines.get(&place.machine) {
+    for placement in job.placements.values().flatten() {
+        if let Some(machine) = cluster.machines.get(&placement.machine) {
             *zones.entry(machine.zone.as_str()).or_default() += 1;
         }
     }
--- a/src/sched/order.rs
+++ b/src/sched/order.rs
@@ -1,4 +1,4 @@
-//! The order in which jobs are considered.
+//! Ordering: the queue of jobs as a scheduling cycle considers them.
 
 use std::cmp::Reverse;
 use std::collections::{HashMap, HashSet};
@@ -8,47 +8,47 @@
 use crate::model::{JobId, Priority, Resources};
 use crate::policy::SchedulingPolicy;
 
-/// Every job, the largest too, has to begin within this time of its submission.
-const BEGIN_WITHIN: Duration = Duration::from_secs(240);
-/// A job that waited for this part of it without any start goes first within its priority,
-/// whatever else: the rest of the time is for its room to come free.
-const OLD_PART: u32 = 2;
+/// Every job, the largest too, has to start within this time of its submission.
+const START_DEADLINE: Duration = Duration::from_secs(240);
+/// A job that was pending for this part of it without any start goes first within its priority,
+/// whatever else: the rest of the time is for capacity to come free for it.
+const START_DEADLINE_DIVISOR: u32 = 2;
 
-/// Without an aim on it, a deadline missed by up to this much still counts for something.
-const GRACE_PART: f64 = 1.5;
+/// Without an objective on it, a deadline missed by up to this factor still counts for something.
+const DEADLINE_GRACE_FACTOR: f64 = 1.5;
 
-/// A job with its place in the order.
+/// A job in the queue.
 #[derive(Debug)]
-pub struct Entry<'a> {
+pub struct QueueEntry<'a> {
     /// The job.
     pub job: &'a Job,
-    /// Its unfinished tasks without a place.
+    /// Its unfinished tasks without a placement.
     pub pending: u32,
     /// Whether it is within its team's guarantee.
     pub guaranteed: bool,
-    /// When it should be over, as far as that can still be.
-    pub target: Instant,
-    /// Targets it can't meet any more.
-    pub missed: usize,
+    /// The first objective on its completion that it can still meet.
+    pub objective: Instant,
+    /// Objectives that it can't meet any more.
+    pub missed_objectives: usize,
 }
 
-/// All that is open, first things first.
+/// All schedulable jobs, the first to be considered first.
 #[derive(Debug)]
-pub struct Ordered<'a> {
+pub struct JobQueue<'a> {
     /// Jobs with unplaced tasks.
-    pub entries: Vec<Entry<'a>>,
+    pub entries: Vec<QueueEntry<'a>>,
     /// All jobs within their teams' guarantees, those without unplaced tasks as well.
     pub guaranteed: HashSet<&'a JobId>,
 }
 
-/// The times by which a job should be over, first things first: its deadline, else what the
-/// aims allow its class.
-fn targets(job: &Job, policy: &SchedulingPolicy) -> Vec<Instant> {
+/// The times by which a job should be complete, soonest first: by its deadline, else by the
+/// objectives of its class.
+fn objectives(job: &Job, policy: &SchedulingPolicy) -> Vec<Instant> {
     if let Some(due) = job.spec.deadline_s.map(crate::time::secs) {
         let times = policy
             .deadlines
             .get(&job.spec.class)
-            .map_or(&[1.0, GRACE_PART][..], |t| t);
+            .map_or(&[1.0, DEADLINE_GRACE_FACTOR][..], |t| t);
         return times
             .iter()
             .map(|times| job.submitted + due.mul_f64(*times))
@@ -65,22 +65,25 @@
     times
 }
 
-/// The first target that the job can still meet, with the number of those it can't.
-fn reachable(job: &Job, policy: &SchedulingPolicy, now: Instant) -> (usize, Instant) {
-    let targets = targets(job, policy);
+/// The number of objectives that the job can't meet any more, and the first one that it can.
+fn reachable_objective(job: &Job, policy: &SchedulingPolicy, now: Instant) -> (usize, Instant) {
+    let objectives = objectives(job, policy);
     let at_best = now + job.spec.estimate();
-    let missed = targets.iter().filter(|target| **target < at_best).count();
-    let target = targets.get(missed).or(targets.last()).copied();
-    (missed, target.unwrap_or(at_best))
+    let missed = objectives
+        .iter()
+        .filter(|objective| **objective < at_best)
+        .count();
+    let objective = objectives.get(missed).or(objectives.last()).copied();
+    (missed, objective.unwrap_or(at_best))
 }
 
-/// Open jobs with unplaced tasks, first things first.
-pub fn order<'a>(cluster: &'a Cluster, policy: &SchedulingPolicy, now: Instant) -> Ordered<'a> {
+/// Schedulable jobs with unplaced tasks, the first to be considered first.
+pub fn order<'a>(cluster: &'a Cluster, policy: &SchedulingPolicy, now: Instant) -> JobQueue<'a> {
     let mut jobs: Vec<&Job> = cluster.jobs.values().filter(|job| job.open()).collect();
     jobs.sort_by_key(|job| job.submitted);
     let mut sums: HashMap<&str, Resources> = HashMap::new();
     let mut guaranteed = HashSet::new();
-    let mut entries: Vec<Entry> = Vec::with_capacity(jobs.len());
+    let mut entries: Vec<QueueEntry> = Vec::with_capacity(jobs.len());
     for job in jobs {
         let sum = sums.entry(job.spec.team.as_str()).or_default();
         let unfinished = job.spec.tasks - job.done.len();
@@ -98,65 +101,73 @@
         if pending == 0 {
             continue;
         }
-        let (missed, target) = reachable(job, policy, now);
-        entries.push(Entry {
+        let (missed_objectives, objective) = reachable_objective(job, policy, now);
+        entries.push(QueueEntry {
             job,
             pending,
             guaranteed: within,
-            target,
-            missed,
+            objective,
+            missed_objectives,
         });
     }
-    // A guarantee is a claim against other teams; alone, a team's jobs go by their targets.
+    // A guarantee holds against other teams; alone, a team's jobs go by their objectives.
     let contested = sums.len() > 1;
-    entries.sort_by_cached_key(|entry| key(entry, contested, now));
-    Ordered {
+    entries.sort_by_cached_key(|entry| QueueKey::new(entry, contested, now));
+    JobQueue {
         entries,
         guaranteed,
     }
 }
 
-/// Last what fails everywhere. First what has waited for too long, oldest first; then what is guaranteed; then what can
-/// still meet most of its aims, the least work first.
-type Key = (
-    bool,
-    Reverse<Priority>,
-    bool,
-    bool,
-    usize,
-    Duration,
-    Instant,
-);
+/// The place of a job in the queue. The fields are compared in their order, the least goes first.
+#[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct QueueKey {
+    /// Jobs that fail everywhere go last.
+    suspected: bool,
+    priority: Reverse<Priority>,
+    /// Jobs past their start deadline go first within their priority.
+    before_start_deadline: bool,
+    /// Jobs within their team's guarantee go before others, where teams compete.
+    outside_guarantee: bool,
+    missed_objectives: usize,
+    /// Among jobs that can meet as many objectives, the least work goes first.
+    remaining_work: Duration,
+    /// The objective, or the submission of a job past its start deadline.
+    time: Instant,
+}
 
-fn key(entry: &Entry, contested: bool, now: Instant) -> Key {
-    let job = entry.job;
-    let age = now.saturating_duration_since(job.submitted);
-    if overdue(job, age) && !job.suspected() {
+impl QueueKey {
+    fn new(entry: &QueueEntry, contested: bool, now: Instant) -> Self {
+        let job = entry.job;
+        let age = now.saturating_duration_since(job.submitted);
         let priority = Reverse(job.spec.priority);
-        return (
-            false,
+        if past_start_deadline(job, age) && !job.suspected() {
+            return Self {
+                suspected: false,
+                priority,
+                before_start_deadline: false,
+                outside_guarantee: false,
+                missed_objectives: 0,
+                remaining_work: Duration::ZERO,
+                time: job.submitted,
+            };
+        }
+        Self {
+            suspected: job.suspected(),
             priority,
-            false,
-            false,
-            0,
-            Duration::ZERO,
-            job.submitted,
-        );
+            before_start_deadline: true,
+            outside_guarantee: contested && !entry.guaranteed,
+            missed_objectives: entry.missed_objectives,
+            remaining_work: job.spec.estimate() * entry.pending,
+            time: entry.objective,
+        }
     }
-    (
-        job.suspected(),
-        Reverse(job.spec.priority),
-        true,
-        contested && !entry.guaranteed,
-        entry.missed,
-        job.spec.estimate() * entry.pending,
-        entry.target,
-    )
 }
 
-/// Whether nothing of a job was ever started although it has waited for long.
-pub(super) fn overdue(job: &Job, age: Duration) -> bool {
-    age >= BEGIN_WITHIN / OLD_PART
+/// Whether no task of a job was ever started although the job has been pending for so long that it
+/// has to go first, to start in time.
+pub(super) fn past_start_deadline(job: &Job, age: Duration) -> bool {
+    age >= START_DEADLINE / START_DEADLINE_DIVISOR
         && !job.has_placements()
         && job.done.is_empty()
         && job.first_run.is_none()
--- a/tests/common/scene.rs
+++ b/tests/common/scene.rs
@@ -228,7 +228,7 @@
             assert_eq!(*machine.load(), machine.counted(), "{}", machine.id);
         }
         self.cluster.expire(self.now);
-        let decisions = sched::round(&self.cluster, &self.policy, self.now);
+        let decisions = sched::run_cycle(&self.cluster, &self.policy, self.now);
         sched::apply(&mut self.cluster, &decisions, self.now);
         for start in &decisions.starts {
             let to: Vec<_> = start
--- a/tests/common/world/controllers.rs
+++ b/tests/common/world/controllers.rs
@@ -366,7 +366,7 @@
             }
             cluster.expire(now);
             let decisions = if starting {
-                sched::round(cluster, &self.policy, now)
+                sched::run_cycle(cluster, &self.policy, now)
             } else {
                 Decisions::default()
             };
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -227,7 +227,7 @@
         rounds += 1;
         assert!(rounds <= 4, "{} of {gangs} started", started.len());
         let now = scene.now;
-        let decisions = knotlanding::sched::round(&scene.cluster, &scene.policy, now);
+        let decisions = knotlanding::sched::run_cycle(&scene.cluster, &scene.policy, now);
         knotlanding::sched::apply(&mut scene.cluster, &decisions, now);
         for start in &decisions.starts {
             assert_eq!(start.members.len(), 16, "whole or not at all");
