--- a/src/api/users.rs
+++ b/src/api/users.rs
@@ -134,7 +134,7 @@
     let fits_one = catalog.iter().any(|machine_type| {
         let mut zones = machine_type.zones.iter();
         let zone = zones.any(|zone| spec.allows(&machine_type.name, zone, false));
-        zone && spec.task_resources.fits(&machine_type.room)
+        zone && spec.task_resources.fits(&machine_type.capacity)
     });
     if !fits_one {
         return Some("a task fits no machine type allowed".to_owned());
--- a/src/fleet/idle.rs
+++ b/src/fleet/idle.rs
@@ -114,7 +114,7 @@
     fn of_pool(&self, pool: &MachinePool, machine_type: &MachineType, young: bool) -> f64 {
         let uses = self.0.values().filter(|(spec, _)| {
             spec.allows(&pool.machine_type, &pool.zone, pool.spot)
-                && spec.task_resources.fits(&machine_type.room)
+                && spec.task_resources.fits(&machine_type.capacity)
         });
         let most = uses
             .map(|(_, part)| *part)
@@ -133,9 +133,9 @@
             continue;
         };
         let asked = cluster.arrivals.iter().any(|(_, spec)| {
-            policy.hurries(&spec.class, machine_type.boot)
+            policy.is_urgent(&spec.class, machine_type.boot)
                 && spec.allows(&pool.machine_type, &pool.zone, pool.spot)
-                && spec.task_resources.fits(&machine_type.room)
+                && spec.task_resources.fits(&machine_type.capacity)
         });
         if asked {
             pools.insert(id);
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -119,7 +119,7 @@
     // Who has to start soon is not made to wait for others to finish.
     let (prompt, patient): (Vec<&UnmetDemand>, Vec<&UnmetDemand>) = unmet_demand
         .iter()
-        .partition(|want| policy.hurries(&want.spec.class, planner.quickest_boot(&want.spec)));
+        .partition(|want| policy.is_urgent(&want.spec.class, planner.quickest_boot(&want.spec)));
     for want in prompt {
         planner.place_want(want);
     }
--- a/src/fleet/planner.rs
+++ b/src/fleet/planner.rs
@@ -6,8 +6,9 @@
 use super::idle::Demand;
 use super::lost::cut_off;
 use super::{FleetView, IdlePolicy, Market};
-use crate::capacity::price_cap;
-use crate::capacity::{CapacityIndex, ExpectedReleases};
+use crate::capacity::price_cap::exceeds_price_cap;
+use crate::capacity::releases::ExpectedReleases;
+use crate::capacity::CapacityIndex;
 use crate::cluster::{Cluster, Machine};
 use crate::demand::UnmetDemand;
 use crate::model::{JobSpec, MachineId, MachinePool, MachineType, Resources};
@@ -161,21 +162,21 @@
         let rooms = CapacityIndex::of(cluster, now);
         let departures = ExpectedReleases::of(&rooms, now);
         let mut departing = Vec::new();
-        for place in departures.places() {
-            let room = &rooms.all[place.room];
+        for place in departures.all() {
+            let room = &rooms.machines[place.machine];
             let mut free = room.free;
-            free.add(&place.amount);
+            free.add(&place.resources);
             let vacancy = Vacancy {
                 machine: None,
                 free,
-                rest_s: Some(place.rest_s),
+                rest_s: Some(place.after_s),
             };
             if let Some(at) = offer_of(room.machine).filter(|_| !leaving.contains(&room.machine.id))
             {
                 departing.push((at, vacancy));
             }
         }
-        for room in rooms.all {
+        for room in rooms.machines {
             if let Some(at) = offer_of(room.machine).filter(|_| !leaving.contains(&room.machine.id))
             {
                 vacancies[at].push(Vacancy {
@@ -188,7 +189,7 @@
         for (at, machine) in coming(cluster, leaving, &options, &offer_of, now) {
             vacancies[at].push(Vacancy {
                 machine: Some(machine),
-                free: options[at].machine_type.room,
+                free: options[at].machine_type.capacity,
                 rest_s: None,
             });
         }
@@ -231,7 +232,7 @@
         let usable = self.options.iter().filter(|option| {
             let pool = &option.pool;
             spec.allows(&pool.machine_type, &pool.zone, pool.spot)
-                && spec.task_resources.fits(&option.machine_type.room)
+                && spec.task_resources.fits(&option.machine_type.capacity)
         });
         let boots = usable.map(|option| option.machine_type.boot);
         boots.min().unwrap_or(Duration::ZERO)
@@ -245,9 +246,14 @@
                 let pool = &option.pool;
                 zone.is_none_or(|zone| zone == pool.zone)
                     && spec.allows(&pool.machine_type, &pool.zone, pool.spot)
-                    && !price_cap::too_dear(spec, option.machine_type, self.cluster.catalog())
+                    && !exceeds_price_cap(spec, option.machine_type, self.cluster.catalog())
+            })
+            .map(|(at, option)| {
+                (
+                    at,
+                    spec.task_resources.count_in(&option.machine_type.capacity),
+                )
             })
-            .map(|(at, option)| (at, spec.task_resources.count_in(&option.machine_type.room)))
             .filter(|(_, each)| *each > 0)
             .collect()
     }
@@ -276,7 +282,7 @@
                 return;
             }
         }
-        let latest = want.target.checked_sub(spec.estimate());
+        let latest = want.complete_by.checked_sub(spec.estimate());
         let slack = latest.map_or(Duration::ZERO, |at| at.saturating_duration_since(self.now));
         let mut bounds = Bounds {
             zone: zone.as_deref(),
@@ -360,7 +366,7 @@
             *self.rents.entry(at).or_default() += here.div_ceil(each);
             while here > 0 {
                 let on_it = here.min(each);
-                let mut free = option.machine_type.room;
+                let mut free = option.machine_type.capacity;
                 free.sub(&spec.task_resources.times(on_it));
                 here -= on_it;
                 self.vacancies[at].push(Vacancy {
@@ -389,7 +395,7 @@
         for (at, spec) in &cluster.arrivals {
             let recent = self.now.saturating_duration_since(*at) <= window;
             let boot = self.quickest_boot(spec);
-            if recent && policy.hurries(&spec.class, boot) {
+            if recent && policy.is_urgent(&spec.class, boot) {
                 let entry = classes.entry(&spec.class).or_insert((0.0, spec));
                 entry.0 += f64::from(spec.tasks);
             }
--- a/src/model.rs
+++ b/src/model.rs
@@ -175,11 +175,11 @@
 const ROUNDING: f64 = 1e-6;
 
 impl Resources {
-    /// Whether this fits into `room`.
-    pub fn fits(&self, room: &Resources) -> bool {
-        self.cpus <= room.cpus + ROUNDING
-            && self.gpus <= room.gpus + ROUNDING
-            && self.memory <= room.memory + ROUNDING
+    /// Whether this fits into the free capacity.
+    pub fn fits(&self, free: &Resources) -> bool {
+        self.cpus <= free.cpus + ROUNDING
+            && self.gpus <= free.gpus + ROUNDING
+            && self.memory <= free.memory + ROUNDING
     }
 
     /// Adds.
@@ -206,12 +206,12 @@
         }
     }
 
-    /// How many of this fit into `room`.
-    pub fn count_in(&self, room: &Resources) -> u32 {
+    /// How many of this fit into the free capacity.
+    pub fn count_in(&self, free: &Resources) -> u32 {
         let parts = [
-            (self.cpus, room.cpus),
-            (self.gpus, room.gpus),
-            (self.memory, room.memory),
+            (self.cpus, free.cpus),
+            (self.gpus, free.gpus),
+            (self.memory, free.memory),
         ];
         let fit = parts
             .iter()
@@ -323,7 +323,7 @@
     /// Its name.
     pub name: String,
     /// What an empty machine offers.
-    pub room: Resources,
+    pub capacity: Resources,
     /// Price an hour.
     pub price: f64,
     /// Price an hour as a spot machine, at present.
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,4 +1,4 @@
-//! What scheduling needs of the settings: teams' quotas and the service-level objectives of classes.
+//! The scheduling policy: teams' quotas and the service-level objectives of job classes.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -6,54 +6,54 @@
 use crate::config::{Settings, TeamSettings};
 use crate::model::Resources;
 
-/// A class that may take this many boots to start can wait for one: for it to be late, for its
-/// image, and for room.
-const BOOTS_TO_SPARE: u32 = 3;
+/// A class that may take this many boots to start can wait for one: the rest is for a late boot, for
+/// pulling the image, and for capacity.
+const BOOTS_PER_START: u32 = 3;
 
-/// What the scheduler needs of the settings.
+/// Quotas and objectives, from the settings.
 #[derive(Debug, Clone)]
 pub struct SchedulingPolicy {
     /// Teams by name.
     pub teams: HashMap<String, TeamSettings>,
-    /// The times that aims allow a class, shortest first.
-    pub aims: HashMap<String, Vec<Duration>>,
-    /// Classes that are to start soon, with the time allowed.
-    pub prompt: HashMap<String, Duration>,
-    /// Times its deadline that a job may take by the aims, least first.
-    pub deadlines: HashMap<String, Vec<f64>>,
-    /// How soon work within a guarantee is to start, if there is an aim on it.
-    pub guarantee: Option<Duration>,
+    /// Objectives on the time from submission to completion by class, shortest first.
+    pub completion_objectives: HashMap<String, Vec<Duration>>,
+    /// Objectives on the time from submission to start by class.
+    pub start_objectives: HashMap<String, Duration>,
+    /// Objectives on deadlines by class, as factors of the deadline, least first.
+    pub deadline_objectives: HashMap<String, Vec<f64>>,
+    /// The objective on the time in which work within a guarantee starts.
+    pub guarantee_objective: Option<Duration>,
     /// Zones of the deployment.
     pub zones: Vec<String>,
 }
 
 impl SchedulingPolicy {
-    /// From the settings.
+    /// The policy of the settings.
     pub fn new(settings: &Settings) -> Self {
-        let mut aims: HashMap<String, Vec<Duration>> = HashMap::new();
-        let mut prompt: HashMap<String, Duration> = HashMap::new();
-        let mut deadlines: HashMap<String, Vec<f64>> = HashMap::new();
-        let mut guarantee = None;
+        let mut completion_objectives: HashMap<String, Vec<Duration>> = HashMap::new();
+        let mut start_objectives: HashMap<String, Duration> = HashMap::new();
+        let mut deadline_objectives: HashMap<String, Vec<f64>> = HashMap::new();
+        let mut guarantee_objective = None;
         for objective in &settings.params.objectives {
             let class = objective.class.clone();
             let within = objective.within_s.map(crate::time::secs);
             match (objective.kind.as_str(), within) {
                 ("wait", Some(within)) => {
-                    let entry = prompt.entry(class).or_insert(within);
+                    let entry = start_objectives.entry(class).or_insert(within);
                     *entry = within.min(*entry);
                 }
                 ("finished", Some(within)) => {
-                    let times = aims.entry(class).or_default();
+                    let times = completion_objectives.entry(class).or_default();
                     times.push(within);
                     times.sort();
                 }
-                ("guarantee", Some(within)) => guarantee = Some(within),
+                ("guarantee", Some(within)) => guarantee_objective = Some(within),
                 ("deadline", _) => {
-                    let times = deadlines.entry(class).or_default();
+                    let times = deadline_objectives.entry(class).or_default();
                     times.push(objective.times.unwrap_or(1.0));
                     times.sort_by(f64::total_cmp);
                 }
-                // Aims of other kinds say nothing about when a job should start or end.
+                // Objectives of other kinds say nothing about when a job should start or end.
                 _ => {}
             }
         }
@@ -62,65 +62,65 @@
             teams: teams
                 .map(|team| (team.name.clone(), team.clone()))
                 .collect(),
-            aims,
-            prompt,
-            deadlines,
-            guarantee,
+            completion_objectives,
+            start_objectives,
+            deadline_objectives,
+            guarantee_objective,
             zones: settings.params.zones.clone(),
         }
     }
 
-    /// Whether jobs of a class have to start so soon that nobody may wait for a machine to boot
-    /// first. An aim on starting that leaves time for several boots asks for no spare room.
-    pub fn hurries(&self, class: &str, boot: Duration) -> bool {
-        let within = self.prompt.get(class);
-        within.is_some_and(|within| *within < boot * BOOTS_TO_SPARE)
+    /// Whether jobs of a class have to start so soon that they can't wait for a machine to boot. An
+    /// objective that leaves time for several boots needs no spare capacity.
+    pub fn is_urgent(&self, class: &str, boot: Duration) -> bool {
+        let within = self.start_objectives.get(class);
+        within.is_some_and(|within| *within < boot * BOOTS_PER_START)
     }
 
-    /// Whether the team may use `sum` at once. One that the settings don't name any more has no
-    /// limit: its accepted jobs have to run all the same.
-    pub fn within_limit(&self, team: &str, sum: &Resources) -> bool {
+    /// Whether this use is within the limit of the team's quota. A team that the settings don't name
+    /// any more has no limit: its accepted jobs have to run all the same.
+    pub fn within_limit(&self, team: &str, used: &Resources) -> bool {
         self.teams.get(team).is_none_or(|t| {
             let limit = Resources {
-                cpus: unmanaged_if_zero(t.cpus_max),
-                gpus: unmanaged_if_zero(t.gpus_max),
+                cpus: unlimited_if_zero(t.cpus_max),
+                gpus: unlimited_if_zero(t.gpus_max),
                 memory: f64::INFINITY,
             };
-            sum.fits(&limit)
+            used.fits(&limit)
         })
     }
 
-    /// Whether a task uses something of which the team is guaranteed an amount.
-    pub fn claims(&self, team: &str, need: &Resources) -> bool {
+    /// Whether the team's guarantee covers a resource that a task uses.
+    pub fn has_guarantee_for(&self, team: &str, task: &Resources) -> bool {
         self.teams
             .get(team)
-            .is_some_and(|t| (t.cpus > 0.0 && need.cpus > 0.0) || (t.gpus > 0.0 && need.gpus > 0.0))
+            .is_some_and(|t| (t.cpus > 0.0 && task.cpus > 0.0) || (t.gpus > 0.0 && task.gpus > 0.0))
     }
 
-    /// Whether the team uses more than its guarantee of something that the task uses, too.
-    pub fn beyond(&self, team: &str, sum: &Resources, need: &Resources) -> bool {
+    /// Whether this use exceeds the team's guarantee of a resource that the task uses, too.
+    pub fn exceeds_guarantee(&self, team: &str, used: &Resources, task: &Resources) -> bool {
         self.teams.get(team).is_none_or(|t| {
-            let over = |sum: f64, own: f64, need: f64| need > 0.0 && sum > own;
+            let over = |used: f64, guaranteed: f64, task: f64| task > 0.0 && used > guaranteed;
             let managed = t.cpus > 0.0 || t.cpus_max > 0.0;
-            (managed && over(sum.cpus, t.cpus, need.cpus)) || over(sum.gpus, t.gpus, need.gpus)
+            (managed && over(used.cpus, t.cpus, task.cpus)) || over(used.gpus, t.gpus, task.gpus)
         })
     }
 
-    /// Whether `sum` is within what the team is guaranteed.
-    pub fn within_guarantee(&self, team: &str, sum: &Resources) -> bool {
+    /// Whether this use is within the team's guarantee.
+    pub fn within_guarantee(&self, team: &str, used: &Resources) -> bool {
         self.teams.get(team).is_some_and(|t| {
             let managed = t.cpus > 0.0 || t.gpus > 0.0;
             let limit = Resources {
-                cpus: unmanaged_if_zero(t.cpus),
-                gpus: unmanaged_if_zero(t.gpus),
+                cpus: unlimited_if_zero(t.cpus),
+                gpus: unlimited_if_zero(t.gpus),
                 memory: f64::INFINITY,
             };
-            managed && sum.fits(&limit)
+            managed && used.fits(&limit)
         })
     }
 }
 
-fn unmanaged_if_zero(amount: f64) -> f64 {
+fn unlimited_if_zero(amount: f64) -> f64 {
     if amount > 0.0 {
         amount
     } else {
--- a/src/sched/allocate.rs
+++ b/src/sched/allocate.rs
@@ -5,7 +5,8 @@
 
 use super::order::past_start_deadline;
 use super::{zones_of, View};
-use crate::capacity::{CapacityIndex, ExpectedReleases, MachineCapacity};
+use crate::capacity::releases::{ExpectedReleases, ImageReleaseRequest};
+use crate::capacity::{CapacityIndex, IndexedPool, MachineCapacity};
 use crate::cluster::{ImageId, InstancePhase, Job, PoolId};
 use crate::model::{JobSpec, MachineId, Resources};
 
@@ -23,7 +24,7 @@
 /// Machines for tasks of one job. Nothing is taken from their capacity until it is reserved.
 #[derive(Debug, Default)]
 pub struct Allocation {
-    /// Tasks with their machines, as indices into [`CapacityIndex::all`].
+    /// Tasks with their machines, as indices into [`CapacityIndex::machines`].
     pub members: Vec<(u32, usize)>,
     /// The zone to which the rest of the tasks is bound.
     pub zone: Option<String>,
@@ -36,7 +37,7 @@
     /// Takes the capacity, for this cycle.
     pub fn reserve(&self, capacity: &mut CapacityIndex, need: &Resources) {
         for (_, at) in &self.members {
-            capacity.all[*at].free.sub(need);
+            capacity.machines[*at].free.sub(need);
         }
     }
 
@@ -44,7 +45,7 @@
     pub fn machines(&self, capacity: &CapacityIndex) -> Vec<(u32, MachineId)> {
         let members = self.members.iter();
         members
-            .map(|(index, at)| (*index, capacity.all[*at].machine.id.clone()))
+            .map(|(index, at)| (*index, capacity.machines[*at].machine.id.clone()))
             .collect()
     }
 }
@@ -59,7 +60,7 @@
     let arrivals = view.cluster.arrivals.iter().rev();
     arrivals
         .map(|(_, spec)| spec.as_ref())
-        .filter(|spec| view.policy.prompt.contains_key(&spec.class))
+        .filter(|spec| view.policy.start_objectives.contains_key(&spec.class))
         .filter(|spec| seen.insert(&spec.class))
         .map(LatencySensitiveClass)
         .collect()
@@ -133,7 +134,7 @@
         candidate: &MachineCapacity,
         free: &Resources,
     ) -> Score {
-        let (pool, machine_type) = capacity.pool(candidate.pool);
+        let IndexedPool { pool, machine_type } = capacity.pool(candidate.pool);
         let Some(machine_type) = machine_type else {
             return Score {
                 total: f64::INFINITY,
@@ -149,10 +150,10 @@
         };
         let need = &self.spec.task_resources;
         // The part that stays unused, of the resource that the machine is rented for.
-        let fragmentation = if machine_type.room.gpus > 0.0 {
-            left(free.gpus, need.gpus, machine_type.room.gpus)
+        let fragmentation = if machine_type.capacity.gpus > 0.0 {
+            left(free.gpus, need.gpus, machine_type.capacity.gpus)
         } else {
-            left(free.cpus, need.cpus, machine_type.room.cpus)
+            left(free.cpus, need.cpus, machine_type.capacity.cpus)
         };
         let mut classes = self.latency_sensitive.iter();
         let contested = classes.any(|LatencySensitiveClass(other)| {
@@ -222,14 +223,14 @@
     capacity: &CapacityIndex,
 ) -> BinaryHeap<Candidate> {
     // A machine on which this job failed gets no second attempt while others are there.
-    let all_failed = capacity.all.len() <= job.failed_on.len();
+    let all_failed = capacity.machines.len() <= job.failed_on.len();
     let eligible =
-        |at: &usize| all_failed || !job.failed_on.contains(&capacity.all[*at].machine.id);
+        |at: &usize| all_failed || !job.failed_on.contains(&capacity.machines[*at].machine.id);
     capacity
         .fitting(pools, &request.spec.task_resources)
         .filter(eligible)
         .map(|at| {
-            let candidate = &capacity.all[at];
+            let candidate = &capacity.machines[at];
             Candidate {
                 score: request.score(capacity, candidate, &candidate.free),
                 machine: at,
@@ -273,9 +274,9 @@
     let mut tasks = tasks.iter();
     let mut next = tasks.next();
     while let (Some(index), Some(mut best)) = (next, candidates.pop()) {
-        let machine = &capacity.all[best.machine];
+        let machine = &capacity.machines[best.machine];
         if spec.zone_spread {
-            let zone = capacity.pool(machine.pool).0.zone.as_str();
+            let zone = capacity.pool(machine.pool).pool.zone.as_str();
             let placed = in_zone.entry(zone).or_default();
             if *placed >= cap {
                 continue;
@@ -284,9 +285,13 @@
         }
         let pull_s = best.score.pull_s;
         if let Some(awaited) = awaited.as_mut().filter(|_| pull_s > LONG_PULL_S) {
-            let wanted = (&pools[..], request.image);
+            let wanted = ImageReleaseRequest {
+                pools: &pools,
+                image: request.image,
+                within_s: pull_s,
+            };
             let releases = &mut awaited.releases;
-            if releases.claim(capacity, wanted, pull_s, &mut awaited.searched) {
+            if releases.reserve_with_image(capacity, wanted, &mut awaited.searched) {
                 allocation.deferred += 1;
                 next = tasks.next();
                 candidates.push(best);
--- a/src/sched/cycle.rs
+++ b/src/sched/cycle.rs
@@ -6,7 +6,8 @@
 use super::decisions::{AttemptChoice, Decisions, GangRestartReason, Start};
 use super::order::{self, QueueEntry};
 use super::View;
-use crate::capacity::{CapacityIndex, ExpectedReleases};
+use crate::capacity::releases::ExpectedReleases;
+use crate::capacity::CapacityIndex;
 use crate::cluster::Job;
 use crate::demand::UnmetDemand;
 use crate::model::{Priority, Resources};
@@ -238,7 +239,7 @@
             spec: job.spec.clone(),
             tasks,
             submitted: job.submitted,
-            target: entry.objective,
+            complete_by: entry.objective,
             zone,
         });
         tasks
--- a/src/sched/order.rs
+++ b/src/sched/order.rs
@@ -46,7 +46,7 @@
 fn objectives(job: &Job, policy: &SchedulingPolicy) -> Vec<Instant> {
     if let Some(due) = job.spec.deadline_s.map(crate::time::secs) {
         let times = policy
-            .deadlines
+            .deadline_objectives
             .get(&job.spec.class)
             .map_or(&[1.0, DEADLINE_GRACE_FACTOR][..], |t| t);
         return times
@@ -54,9 +54,9 @@
             .map(|times| job.submitted + due.mul_f64(*times))
             .collect();
     }
-    let aims = policy.aims.get(&job.spec.class);
-    let prompt = policy.prompt.get(&job.spec.class);
-    let times = aims.into_iter().flatten().chain(prompt);
+    let completion = policy.completion_objectives.get(&job.spec.class);
+    let start = policy.start_objectives.get(&job.spec.class);
+    let times = completion.into_iter().flatten().chain(start);
     let mut times: Vec<Instant> = times.map(|time| job.submitted + *time).collect();
     if times.is_empty() {
         times.push(job.submitted + job.spec.estimate());
@@ -92,7 +92,7 @@
             sum.add(&job.spec.task_resources.times(unfinished));
         }
         let within = !job.suspected()
-            && policy.claims(&job.spec.team, &job.spec.task_resources)
+            && policy.has_guarantee_for(&job.spec.team, &job.spec.task_resources)
             && policy.within_guarantee(&job.spec.team, sum);
         if within {
             guaranteed.insert(&job.spec.id);
--- a/src/sched/preempt/guarantee.rs
+++ b/src/sched/preempt/guarantee.rs
@@ -17,7 +17,7 @@
 /// Whether a job within its team's guarantee may preempt work of other teams now.
 pub(super) fn may_reclaim(view: View, entry: &QueueEntry) -> bool {
     let waited = view.now.saturating_duration_since(entry.job.submitted);
-    let delay = match view.policy.guarantee {
+    let delay = match view.policy.guarantee_objective {
         Some(within) => within.saturating_sub(crate::time::secs(RELEASE_WAIT_MIN_S)),
         None => RECLAIM_DELAY,
     };
@@ -35,6 +35,6 @@
     team_use.get(team).is_some_and(|sum| {
         let mut rest = *sum;
         rest.sub(task);
-        view.policy.beyond(team, &rest, task)
+        view.policy.exceeds_guarantee(team, &rest, task)
     })
 }
--- a/src/sched/preempt/releases.rs
+++ b/src/sched/preempt/releases.rs
@@ -3,6 +3,7 @@
 use std::time::Duration;
 
 use super::{Preemption, Preemptor, View};
+use crate::capacity::releases::ReleaseRequest;
 use crate::sched::order::QueueEntry;
 
 /// Terminating, saving and starting take about this long: capacity that is released sooner is
@@ -19,17 +20,17 @@
     } = view;
     let spec = &entry.job.spec;
     let age = now.saturating_duration_since(entry.job.submitted);
-    let within = policy.prompt.get(&spec.class);
+    let within = policy.start_objectives.get(&spec.class);
     let left = within.map_or(Duration::ZERO, |within| within.saturating_sub(age));
     let usable = cluster.catalog().iter().filter(|machine_type| {
         let allowed = |zone: &String| spec.allows(&machine_type.name, zone, false);
-        spec.task_resources.fits(&machine_type.room) && machine_type.zones.iter().any(allowed)
+        spec.task_resources.fits(&machine_type.capacity) && machine_type.zones.iter().any(allowed)
     });
     let rates = usable.map(|machine_type| machine_type.fetch_rate.max(f64::MIN_POSITIVE));
     let slowest = rates.fold(f64::INFINITY, f64::min);
     let pull_s = spec.image_gb / slowest;
     let wait_s = (left.as_secs_f64() - pull_s - RELEASE_WAIT_MIN_S).max(RELEASE_WAIT_MIN_S);
-    match policy.guarantee {
+    match policy.guarantee_objective {
         // Half of it passes in terminating and starting.
         Some(within) if entry.guaranteed => wait_s.min(within.as_secs_f64() / 2.0),
         _ => wait_s,
@@ -47,12 +48,18 @@
         let Preemptor { entry, tasks } = *preemptor;
         let spec = &entry.job.spec;
         let wait_s = release_wait_s(self.view, entry);
+        let request = |zone| ReleaseRequest {
+            spec,
+            zone,
+            tasks,
+            within_s: wait_s,
+        };
         let (capacity, releases) = (&self.capacity, &mut self.expected_releases);
-        let most = zones.iter().max_by_key(|zone| {
-            releases.could_serve(capacity, (spec, zone.as_deref()), tasks, wait_s)
-        });
-        let zone = most.cloned().flatten();
-        let served = releases.serve(capacity, (spec, zone.as_deref()), tasks, wait_s);
+        let most = zones
+            .iter()
+            .max_by_key(|zone| releases.count(capacity, request(zone.as_deref())));
+        let zone = most.and_then(|zone| zone.as_deref());
+        let served = releases.reserve(capacity, request(zone));
         // Capacity for a part of its members is of no use to a gang.
         if entry.job.gang() && served < tasks {
             tasks
--- a/src/sched/preempt/victims.rs
+++ b/src/sched/preempt/victims.rs
@@ -85,7 +85,7 @@
         };
         let mut victims: HashSet<(MachineId, InstanceId)> = HashSet::new();
         let mut options: BinaryHeap<Reverse<PreemptionOption>> = BinaryHeap::new();
-        let machines = self.capacity.all.iter().enumerate();
+        let machines = self.capacity.machines.iter().enumerate();
         for (at, _) in machines.filter(|(_, machine)| pools.contains(&machine.pool)) {
             options.extend(self.option(at, &plan, &victims).map(Reverse));
         }
@@ -114,7 +114,7 @@
         plan: &mut PreemptionPlan,
         victims: &mut HashSet<(MachineId, InstanceId)>,
     ) {
-        let machine = &self.capacity.all[option.machine].machine.id;
+        let machine = &self.capacity.machines[option.machine].machine.id;
         plan.ready += 1;
         plan.cost += option.cost;
         let before = self.reserved.get(machine).copied();
@@ -140,7 +140,7 @@
         plan: &PreemptionPlan,
         victims: &HashSet<(MachineId, InstanceId)>,
     ) -> Option<PreemptionOption> {
-        let machine = self.capacity.all[at].machine;
+        let machine = self.capacity.machines[at].machine;
         let catalog = self.view.cluster.catalog();
         let machine_type = find_machine_type(catalog, &machine.machine_type)?;
         let job = self.preemptor.job;
@@ -178,7 +178,7 @@
         let View { cluster, now, .. } = self.view;
         let reserved = plan.reserved.get(&machine.id);
         let reserved = reserved.or(self.reserved.get(&machine.id));
-        let mut free = machine_type.room;
+        let mut free = machine_type.capacity;
         free.sub(&reserved.copied().unwrap_or_default());
         let mut candidates = Vec::new();
         let instances = machine.instances.iter();
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -428,7 +428,7 @@
             .into_iter()
             .map(|f| MachineType {
                 name: f.name,
-                room: Resources {
+                capacity: Resources {
                     cpus: f.cpus,
                     gpus: f.gpus,
                     memory: f.memory,
--- a/tests/common/scene.rs
+++ b/tests/common/scene.rs
@@ -50,7 +50,7 @@
 pub fn machine_types() -> Vec<MachineType> {
     let machine_type = |name: &str, cpus: f64, gpus: f64, price: f64| MachineType {
         name: name.to_owned(),
-        room: Resources {
+        capacity: Resources {
             cpus,
             gpus,
             memory: 64.0,
--- a/tests/common/world/invariants.rs
+++ b/tests/common/world/invariants.rs
@@ -76,7 +76,7 @@
             let machine_type = machine_types()
                 .into_iter()
                 .find(|b| b.name == worker.machine_type);
-            if machine_type.is_some_and(|machine_type| taken.fits(&machine_type.room)) {
+            if machine_type.is_some_and(|machine_type| taken.fits(&machine_type.capacity)) {
                 *zones.entry(&worker.zone).or_default() += 1;
             }
         }
--- a/tests/formats/requests.rs
+++ b/tests/formats/requests.rs
@@ -172,7 +172,7 @@
         gpus: 8.0,
         memory: 768.0,
     };
-    assert_eq!((read.name.as_str(), read.room), ("g8", whole));
+    assert_eq!((read.name.as_str(), read.capacity), ("g8", whole));
     assert_eq!((read.price, read.spot_price), (12.0, 4.5));
     assert_eq!(read.boot, Duration::from_secs(45));
     assert_eq!((read.cache_gb, read.fetch_rate), (200.0, 1.0));
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -481,8 +481,11 @@
     ];
     let settings = Settings::parse(&(text + &more.concat()), "test").unwrap();
     let policy = SchedulingPolicy::new(&settings);
-    assert_eq!(policy.prompt.len(), 1, "only what it was before");
-    assert!(policy.aims.is_empty(), "a colour is no time to be over");
-    assert_eq!(policy.guarantee, Some(Duration::from_secs(5)));
-    assert_eq!(policy.deadlines["batch"], [1.75]);
+    assert_eq!(policy.start_objectives.len(), 1, "only what it was before");
+    assert!(
+        policy.completion_objectives.is_empty(),
+        "a colour is no time to be over"
+    );
+    assert_eq!(policy.guarantee_objective, Some(Duration::from_secs(5)));
+    assert_eq!(policy.deadline_objectives["batch"], [1.75]);
 }
