--- a/tests/common/scene.rs
+++ b/tests/common/scene.rs
@@ -10,7 +10,7 @@
     AddressedCommand, Cluster, HeartbeatSource, RecordKind, Sent, Verified,
 };
 use knotlanding::config::Settings;
-use knotlanding::fleet::{self, FleetView, IdlePolicy, Market};
+use knotlanding::fleet::{self, Action, FleetView, IdlePolicy, Market};
 use knotlanding::model::{
     FencingToken, JobId, JobKind, JobSpec, MachineId, MachineType, Priority, Resources, Term,
     Verdict,
@@ -50,7 +50,7 @@
 pub fn machine_types() -> Vec<MachineType> {
     let machine_type = |name: &str, cpus: f64, gpus: f64, price: f64| MachineType {
         name: name.to_owned(),
-        room: Resources {
+        capacity: Resources {
             cpus,
             gpus,
             memory: 64.0,
@@ -228,7 +228,7 @@
             assert_eq!(*machine.load(), machine.counted(), "{}", machine.id);
         }
         self.cluster.expire(self.now);
-        let decisions = sched::round(&self.cluster, &self.policy, self.now);
+        let decisions = sched::run_cycle(&self.cluster, &self.policy, self.now);
         sched::apply(&mut self.cluster, &decisions, self.now);
         for start in &decisions.starts {
             let to: Vec<_> = start
@@ -238,8 +238,9 @@
                 .collect();
             self.note(&format!("round: start {} [{}]", start.job, to.join(", ")));
         }
-        for (job, why) in &decisions.gang_stops {
-            self.note(&format!("round: stop gang {job}: {why}"));
+        for restart in &decisions.gang_restarts {
+            let (job, reason) = (&restart.job, restart.reason);
+            self.note(&format!("round: stop gang {job}: {reason}"));
         }
         for termination in &decisions.terminations {
             self.note(&format!(
@@ -247,8 +248,9 @@
                 termination.task, termination.machine
             ));
         }
-        for (job, why) in &decisions.waits {
-            self.note(&format!("round: {job} waits for {why}"));
+        for pending in &decisions.pending {
+            let (job, reason) = (&pending.job, pending.reason);
+            self.note(&format!("round: {job} waits for {reason}"));
         }
         self.write(writes_work);
         let direct = self.cluster.direct_commands(self.now);
@@ -405,7 +407,11 @@
             now: self.now,
         });
         for action in actions {
-            self.note(&format!("fleet: {action:?}"));
+            let shown = match action {
+                Action::Rent(pool, count) => format!("Rent({pool:?}, {count})"),
+                Action::Return(ids, reason) => format!("Return({ids:?}, {:?})", reason.as_str()),
+            };
+            self.note(&format!("fleet: {shown}"));
         }
     }
 }
