--- a/src/actors/scheduler.rs
+++ b/src/actors/scheduler.rs
@@ -12,7 +12,7 @@
 use tokio::sync::Semaphore;
 use tracing::{debug, info};
 
-use crate::cluster::{AddressedCommand, HeartbeatSource, RecordWrite, Verified};
+use crate::cluster::{AddressedCommand, HeartbeatOrdering, HeartbeatSource, RecordWrite};
 use crate::demand::UnmetDemand;
 use crate::leader::Leadership;
 use crate::model::{FencingToken, Term};
@@ -183,7 +183,7 @@
             }
             let direct = cluster.direct_commands(now);
             let waits = std::mem::take(&mut cluster.waits);
-            (direct, waits, cluster.take_settled_after(now))
+            (direct, waits, cluster.take_reconciliation_time(now))
         };
         let writes = self.due_writes(leadership, now);
         let (commands, records) = (direct.len() as u64, writes.len() as u64);
@@ -285,7 +285,7 @@
                 let verified =
                     cluster.apply_heartbeat(&heartbeat, HeartbeatSource::Command(asked), now);
                 debug!(%machine, ?verified, "direct command answered");
-                if verified == Verified::Deposed {
+                if verified == HeartbeatOrdering::Deposed {
                     return;
                 }
             }
--- a/src/cluster/commands.rs
+++ b/src/cluster/commands.rs
@@ -92,7 +92,7 @@
                     address: machine.address.clone(),
                     body: DirectCommand {
                         token: machine.token.0,
-                        epoch: machine.newest.0,
+                        epoch: machine.last_message.epoch,
                         commands,
                     },
                 });
@@ -126,7 +126,7 @@
         for (_, id) in due.into_iter().take(most) {
             if let Some(machine) = self.machines.get_mut(&id) {
                 machine.last_probe = Some(now);
-                all.push(question(machine, machine.newest.0, first));
+                all.push(question(machine, machine.last_message.epoch, first));
             }
         }
         for machine in self.machines.values_mut() {
@@ -136,7 +136,7 @@
             {
                 // If this arrives, its next report comes at once and ends the doubt.
                 machine.last_probe = Some(now);
-                all.push(question(machine, machine.newest.0, first));
+                all.push(question(machine, machine.last_message.epoch, first));
                 continue;
             }
             let Some((epoch, asked)) = &mut machine.pending_probe else {
@@ -196,7 +196,7 @@
             let images = machine.images.iter();
             let hint = MachineHint {
                 address: machine.address.clone(),
-                epoch: machine.newest.0,
+                epoch: machine.last_message.epoch,
                 images: images
                     .map(|(image, gb)| (self.images.name(*image).to_owned(), *gb as f32))
                     .collect(),
--- a/src/cluster/machine.rs
+++ b/src/cluster/machine.rs
@@ -8,7 +8,7 @@
 use knotlanding_links::reachability::Reachability;
 
 use super::faults::FaultAttribution;
-use super::{ImageId, PoolId};
+use super::{ImageId, MessageOrder, PoolId};
 use crate::model::{Attempt, FencingToken, JobId, JobSpec, MachineId, Resources, TaskId};
 use crate::wire::{ExitCause, BODY_LIMIT};
 
@@ -33,13 +33,11 @@
 pub enum InstancePhase {
     /// Decided, not sent: nothing can have happened yet.
     Planned,
-    /// Sent in the answer to that report. The next report of the worker's own shows whether
-    /// it took.
+    /// Sent in the answer to a heartbeat. The next one that the worker sends by itself shows
+    /// whether it took.
     Dispatched {
-        /// The session answered.
-        epoch: u64,
-        /// The report answered.
-        sequence: u64,
+        /// The heartbeat answered.
+        in_reply_to: MessageOrder,
     },
     /// Waits for its image.
     PullingImage,
@@ -156,8 +154,8 @@
     pub since: Instant,
     /// When it was rented, as far as known.
     pub rented_at: Instant,
-    /// Newest report's session and number.
-    pub newest: (u64, u64),
+    /// Place of its last message among all of its incarnation.
+    pub last_message: MessageOrder,
     /// Highest token it has reported or we have used for it.
     pub token: FencingToken,
     /// It has reported our term: no older leader can command it any more.
@@ -186,7 +184,7 @@
     /// When the newest report arrived.
     pub last_heartbeat: Option<Instant>,
     /// When we last answered 200; its lease can't end before that plus the lease's time.
-    pub answered: Option<Instant>,
+    pub last_answered: Option<Instant>,
     /// When the cloud takes it away.
     pub spot_deadline: Option<Instant>,
     /// All starts that may be on it, and exited ones in its reports.
@@ -240,7 +238,7 @@
             pool: None,
             since: now,
             rented_at: now,
-            newest: (0, 0),
+            last_message: MessageOrder::default(),
             token: FencingToken::default(),
             fenced: false,
             fresh: false,
@@ -253,7 +251,7 @@
             incarnation: FencingToken::default(),
             first_heartbeat: None,
             last_heartbeat: None,
-            answered: None,
+            last_answered: None,
             spot_deadline: None,
             instances: BTreeMap::new(),
             inventory_record: Persistence::NotWritten,
--- /dev/null
+++ b/src/cluster/reconcile/exits.rs
@@ -0,0 +1,84 @@
+//! What the exit of a task means for its job and its machine.
+
+use std::time::Instant;
+
+use tracing::warn;
+
+use crate::cluster::{Cluster, InstanceId, TerminationEvidence};
+use crate::model::{MachineId, TaskId};
+use crate::time::secs;
+use crate::wire::ExitCause;
+
+/// How long a job waits after a refused start, until the cluster state is right again.
+const BACKOFF_AFTER_REFUSAL_S: f64 = 3.0;
+
+impl Cluster {
+    /// A task has exited.
+    pub(super) fn apply_exit(
+        &mut self,
+        id: &MachineId,
+        instance: &InstanceId,
+        cause: ExitCause,
+        now: Instant,
+    ) {
+        self.remove_placement(id, instance, TerminationEvidence::Exited);
+        let job_id = &instance.task.job;
+        match cause {
+            ExitCause::Done => self.apply_completion(id, instance, now),
+            ExitCause::Error => self.failed(id, job_id, now),
+            ExitCause::InsufficientCapacity
+            | ExitCause::AlreadyPresent
+            | ExitCause::UnknownTask => {
+                let task = &instance.task;
+                warn!(machine = %id, %task, reason = ?cause, "start refused by machine");
+                if let Some(job) = self.jobs.get_mut(job_id) {
+                    job.backoff_until = Some(now + secs(BACKOFF_AFTER_REFUSAL_S));
+                }
+            }
+            // Of a gang that can never succeed every member fails; one that only ends with another
+            // member had no fault of its own.
+            ExitCause::GangMemberLost => self.prove(job_id),
+            ExitCause::Stopped | ExitCause::GangBarrierTimeout | ExitCause::Other => {}
+        }
+    }
+
+    /// A task has completed.
+    fn apply_completion(&mut self, id: &MachineId, instance: &InstanceId, now: Instant) {
+        let job_id = &instance.task.job;
+        if let Some(job) = self.jobs.get_mut(job_id) {
+            if instance.task.index < job.spec.tasks {
+                job.done.insert(instance.task.index);
+            }
+        }
+        self.drop_plans(&instance.task);
+        self.succeeded(id, job_id);
+        self.note_slowdown(id, instance, now);
+    }
+
+    /// Drops the plans of a completed task. A late heartbeat of a machine that was declared failed
+    /// may show the completion after the task was planned elsewhere; nothing was dispatched there,
+    /// and nothing else would ever end that plan.
+    fn drop_plans(&mut self, task: &TaskId) {
+        let Some(job) = self.jobs.get(&task.job) else {
+            return;
+        };
+        let placements = job.placements.get(&task.index).into_iter().flatten();
+        let plans: Vec<(MachineId, InstanceId)> = placements
+            .map(|placement| {
+                let instance = InstanceId {
+                    task: task.clone(),
+                    attempt: placement.attempt,
+                };
+                (placement.machine.clone(), instance)
+            })
+            .filter(|(machine, instance)| {
+                let machine = self.machines.get(machine);
+                let state = machine.and_then(|machine| machine.instances.get(instance));
+                state.is_some_and(|state| !state.sent())
+            })
+            .collect();
+        for (machine, instance) in plans {
+            self.remove_instance(&machine, &instance, TerminationEvidence::NeverDispatched);
+        }
+    }
+}
--- /dev/null
+++ b/src/cluster/reconcile/machine_status.rs
@@ -0,0 +1,133 @@
+//! What a heartbeat says of the machine itself: its order, description, notice and token.
+
+use std::time::Instant;
+
+use tracing::{info, warn};
+
+use super::MessageOrder;
+use crate::cluster::InstanceId;
+use crate::cluster::{Cluster, TerminationEvidence};
+use crate::model::{FencingToken, MachineId};
+use crate::time::secs;
+use crate::wire::Heartbeat;
+
+impl Cluster {
+    /// Applies all of a newer heartbeat but its tasks; whether the machine was busy before it.
+    pub(super) fn apply_machine_status(
+        &mut self,
+        id: &MachineId,
+        heartbeat: &Heartbeat,
+        now: Instant,
+    ) -> Option<bool> {
+        self.note_lost_lease(id, heartbeat, now);
+        let machine = self.machines.get_mut(id)?;
+        machine.last_message = MessageOrder::of(heartbeat);
+        machine.pending_probe = None;
+        machine.unanswered_commands = 0;
+        machine.first_heartbeat.get_or_insert(now);
+        if machine.last_heartbeat.is_none() {
+            self.note_first_heartbeat(id, now);
+        }
+        let machine = self.machines.get_mut(id)?;
+        machine.last_heartbeat = Some(now);
+        self.apply_description(id, heartbeat);
+        self.apply_spot_notice(id, heartbeat, now);
+        self.apply_token(id, heartbeat)
+    }
+
+    /// A later epoch although our last answer should still hold the lease: the answer did not
+    /// arrive.
+    fn note_lost_lease(&mut self, id: &MachineId, heartbeat: &Heartbeat, now: Instant) {
+        let lease = self.timing.lease;
+        let Some(machine) = self.machines.get_mut(id) else {
+            return;
+        };
+        let later_epoch =
+            machine.last_heartbeat.is_some() && heartbeat.epoch > machine.last_message.epoch;
+        let lease_held = machine
+            .last_answered
+            .is_some_and(|at| now.saturating_duration_since(at) < lease);
+        if later_epoch && lease_held {
+            warn!(machine = %id, epoch = heartbeat.epoch, "worker lease ended although answered");
+            machine.doubt(now);
+        }
+    }
+
+    /// The first heartbeat of this term: what an earlier leader knew of the machine's images is
+    /// taken over.
+    fn note_first_heartbeat(&mut self, id: &MachineId, now: Instant) {
+        let Some(machine) = self.machines.get_mut(id) else {
+            return;
+        };
+        self.dirty = true;
+        machine.idle_since = now;
+        if let Some(hint) = self.hints.remove(id) {
+            let images = hint.images.iter();
+            let images = images.map(|(name, gb)| (self.images.id(name), f64::from(*gb)));
+            machine.images = images.collect();
+        }
+        self.changed.machines.insert(id.clone());
+    }
+
+    /// Applies what the machine is: its address, type, zone, and whether it is a spot machine.
+    fn apply_description(&mut self, id: &MachineId, heartbeat: &Heartbeat) {
+        let Some(machine) = self.machines.get_mut(id) else {
+            return;
+        };
+        machine.address.clone_from(&heartbeat.address);
+        let known = machine.pool.and_then(|pool| self.pools.get(pool));
+        let same = known.is_some_and(|pool| {
+            pool.machine_type == heartbeat.machine_type
+                && pool.zone == heartbeat.zone
+                && pool.spot == heartbeat.spot
+        });
+        if !same {
+            machine.machine_type.clone_from(&heartbeat.machine_type);
+            machine.zone.clone_from(&heartbeat.zone);
+            machine.spot = heartbeat.spot;
+            let pool = self
+                .pools
+                .id(&heartbeat.machine_type, &heartbeat.zone, heartbeat.spot);
+            machine.pool = Some(pool);
+        }
+    }
+
+    /// Applies the notice that the cloud will take the machine away, or that it will not.
+    fn apply_spot_notice(&mut self, id: &MachineId, heartbeat: &Heartbeat, now: Instant) {
+        let Some(machine) = self.machines.get_mut(id) else {
+            return;
+        };
+        let spot_deadline = heartbeat.notice_s.map(|s| now + secs(s));
+        if machine.spot_deadline.is_some() != spot_deadline.is_some() {
+            match heartbeat.notice_s {
+                Some(notice_s) => info!(machine = %id, notice_s, "spot notice received"),
+                None => info!(machine = %id, "spot notice withdrawn"),
+            }
+            self.dirty = true;
+        }
+        machine.spot_deadline = spot_deadline;
+    }
+
+    /// Applies the token that the machine has seen, and whether it may hold anything; whether it
+    /// was busy before.
+    fn apply_token(&mut self, id: &MachineId, heartbeat: &Heartbeat) -> Option<bool> {
+        let machine = self.machines.get_mut(id)?;
+        let token = FencingToken(heartbeat.token);
+        machine.fenced = token.term() == self.term;
+        machine.reachability.heard(token.0);
+        machine.token = machine.token.max(token).max(FencingToken::first(self.term));
+        let was_fresh = machine.fresh;
+        machine.fresh =
+            heartbeat.token == 0 && heartbeat.tasks.is_empty() && machine.known_to_cloud;
+        let was_busy = machine.busy();
+        if was_fresh && !heartbeat.tasks.is_empty() {
+            // It looked fresh by a late copy only, so its free capacity is not what it seemed.
+            let plans = machine.instances.iter().filter(|(_, state)| !state.sent());
+            let plans: Vec<InstanceId> = plans.map(|(instance, _)| instance.clone()).collect();
+            for instance in plans {
+                self.remove_instance(id, &instance, TerminationEvidence::NeverDispatched);
+            }
+        }
+        Some(was_busy)
+    }
+}
--- /dev/null
+++ b/src/cluster/reconcile/ordering.rs
@@ -0,0 +1,87 @@
+//! Which of two messages of a machine is the later one.
+
+use std::time::Instant;
+
+use tracing::info;
+
+use crate::cluster::{Cluster, Machine};
+use crate::model::{FencingToken, MachineId};
+use crate::wire::Heartbeat;
+
+/// The place of a message among all that one incarnation of a machine sends. Later epochs come
+/// after earlier ones, and sequence numbers order the messages of one epoch.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub struct MessageOrder {
+    /// The agent's epoch.
+    pub epoch: u64,
+    /// The number of the message in it.
+    pub sequence: u64,
+}
+
+impl MessageOrder {
+    /// The place of a heartbeat.
+    pub fn of(heartbeat: &Heartbeat) -> Self {
+        Self {
+            epoch: heartbeat.epoch,
+            sequence: heartbeat.sequence,
+        }
+    }
+}
+
+/// What made a worker send a heartbeat.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum HeartbeatSource {
+    /// The worker sent it by itself.
+    Worker,
+    /// It answers a direct command sent at that time.
+    Command(Instant),
+}
+
+/// How a heartbeat compares with all that came before it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum HeartbeatOrdering {
+    /// It is newer than all before, and was applied.
+    Newer,
+    /// It is old: nothing in it counts.
+    Older,
+    /// The worker has seen a higher term than ours.
+    Deposed,
+}
+
+impl Cluster {
+    /// Whether a heartbeat is newer than all before. The first one of a new incarnation is.
+    pub(super) fn is_newer(
+        &mut self,
+        id: &MachineId,
+        heartbeat: &Heartbeat,
+        source: HeartbeatSource,
+        now: Instant,
+    ) -> bool {
+        let machine = self
+            .machines
+            .entry(id.clone())
+            .or_insert_with(|| Machine::new(id.clone(), now));
+        let order = MessageOrder::of(heartbeat);
+        // After a restart, late copies of the former incarnation's messages may have higher numbers.
+        let former = source == HeartbeatSource::Worker
+            && FencingToken(heartbeat.token) < machine.incarnation;
+        if machine.last_heartbeat.is_none() || !(former || order <= machine.last_message) {
+            return true;
+        }
+        let requested_since = match source {
+            HeartbeatSource::Worker => false,
+            HeartbeatSource::Command(at) => machine.last_heartbeat.is_some_and(|last| at > last),
+        };
+        if !requested_since || order == machine.last_message {
+            // A late copy, or a restarted machine that counts from one again: a probe shows which.
+            if order < machine.last_message && machine.pending_probe.is_none() {
+                machine.pending_probe = Some((heartbeat.epoch, None));
+            }
+            return false;
+        }
+        // Within one incarnation the order only grows, and this message is later than the last one.
+        info!(machine = %id, epoch = order.epoch, "machine restarted");
+        self.begin_incarnation(id);
+        true
+    }
+}
--- /dev/null
+++ b/src/cluster/reconcile/response.rs
@@ -0,0 +1,94 @@
+//! The commands in the answer to a heartbeat.
+
+use std::time::Instant;
+
+use crate::cluster::commands::stop_command;
+use crate::cluster::{Cluster, InstanceId, InstancePhase, Job, TaskInstance, Termination};
+use crate::model::{FencingToken, MachineId};
+use crate::wire::{ExitCause, WorkerCommand};
+
+/// Whether a machine may drop an exited task from its heartbeats: a completion that is still
+/// wanted has to be in the records first.
+fn may_clear(job: Option<&Job>, instance: &InstanceId, cause: ExitCause) -> bool {
+    let unrecorded = |job: &Job| job.wanted() && !job.done.is_durable(instance.task.index);
+    cause != ExitCause::Done || !job.is_some_and(unrecorded)
+}
+
+/// Ends what nobody wants at once, also where a checkpoint is under way.
+fn terminate_unwanted(state: &mut TaskInstance) {
+    if state.sent() && state.stop.is_none_or(|stop| stop.grace_s > 0.0) {
+        state.stop = Some(Termination {
+            grace_s: 0.0,
+            told: None,
+        });
+    }
+}
+
+/// The command that drops an exited task from the machine's heartbeats.
+fn clear_command(instance: &InstanceId) -> WorkerCommand {
+    WorkerCommand::Clear {
+        task: instance.task.to_string(),
+        attempt: instance.attempt.0,
+    }
+}
+
+/// The command that starts a task.
+fn run_command(instance: &InstanceId) -> WorkerCommand {
+    WorkerCommand::Run {
+        task: instance.task.to_string(),
+        attempt: instance.attempt.0,
+    }
+}
+
+impl Cluster {
+    /// Notes that a machine gets a 200 of ours, whatever the commands in it: its lease may be
+    /// renewed. The token it is answered with.
+    pub fn mark_answered(&mut self, id: &MachineId, now: Instant) -> FencingToken {
+        let first = FencingToken::first(self.term);
+        self.machines.get_mut(id).map_or(first, |machine| {
+            machine.last_answered = Some(now);
+            machine.token.max(first)
+        })
+    }
+
+    /// The commands in the answer to a machine's last heartbeat. Starts are dispatched here only:
+    /// the worker drops an answer that comes late, so nothing sent here is executed late. Without
+    /// `starts` they wait: the replica may lack a cancellation.
+    pub fn respond(&mut self, id: &MachineId, now: Instant, starts: bool) -> Vec<WorkerCommand> {
+        let mut commands = Vec::new();
+        let Some(machine) = self.machines.get_mut(id) else {
+            return commands;
+        };
+        machine.last_answered = Some(now);
+        let in_reply_to = machine.last_message;
+        let can_start = starts && machine.can_start(now, self.timing.suspect_after);
+        for (instance, state) in &mut machine.instances {
+            let job = self.jobs.get(&instance.task.job);
+            if let InstancePhase::Exited(cause) = state.phase {
+                if may_clear(job, instance, cause) {
+                    commands.push(clear_command(instance));
+                }
+                continue;
+            }
+            let wanted =
+                job.is_some_and(|job| job.wanted() && !job.done.contains(instance.task.index));
+            if !wanted {
+                terminate_unwanted(state);
+            }
+            if let Some(stop) = &mut state.stop {
+                // Every heartbeat shows whether the stop has arrived, so it may be sent again.
+                stop.told = None;
+            }
+            if let Some(command) = stop_command(instance, state, now) {
+                commands.push(command);
+            }
+            let recorded = job.is_some_and(|job| job.may_send(id));
+            if state.phase == InstancePhase::Planned && wanted && recorded && can_start {
+                state.phase = InstancePhase::Dispatched { in_reply_to };
+                commands.push(run_command(instance));
+            }
+        }
+        machine.recount();
+        commands
+    }
+}
--- a/src/cluster/records.rs
+++ b/src/cluster/records.rs
@@ -7,6 +7,7 @@
 use std::time::{Duration, Instant};
 
 use super::machine::Persistence;
+use super::quota::blocked_by;
 use super::sent::{Entry, Page};
 use super::{Cluster, Job};
 use crate::model::{JobId, MachineId, Priority, Verdict};
@@ -154,7 +155,7 @@
             if job.writing {
                 continue;
             }
-            let blocked = super::blocked_by(&self.unreconciled, &self.machines, job);
+            let blocked = blocked_by(&self.unreconciled, &self.machines, job);
             let mut conditions = vec![Condition::new(keys::job(id), job.version)];
             let all_done = job.done.len() == job.spec.tasks;
             let rested = job
--- /dev/null
+++ b/src/cluster/recovery.rs
@@ -0,0 +1,124 @@
+//! Recovery of the cluster state by a new leader: the records are read, and machines of earlier
+//! terms stay unreconciled until they are heard or their leases are over.
+
+use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
+use std::time::{Duration, Instant, SystemTime};
+
+use tracing::info;
+
+use super::sent::SentLists;
+use super::{
+    commands, done, records, Catalog, Changed, Cluster, Images, Machine, MachinePools, Persistence,
+};
+use crate::config::Settings;
+use crate::model::{JobId, MachineId, Term};
+use crate::state_summary::SummaryCache;
+use crate::store::replica::Replica;
+use crate::timing::WorkerTiming;
+
+impl Cluster {
+    /// Builds the cluster state of a new term from the records, and trusts nothing else.
+    pub fn recover(
+        term: Term,
+        settings: &Settings,
+        replica: &Replica,
+        catalog: Catalog,
+        now: Instant,
+        wall: SystemTime,
+    ) -> Self {
+        let inventory =
+            records::MachineInventory::load(&replica.inventory, settings.params.state.value_kb);
+        let unreconciled: BTreeSet<MachineId> = inventory.machines().cloned().collect();
+        let (sent, said) = SentLists::load(term, &replica.sent, settings.params.state.value_kb);
+        let mut cluster = Self {
+            term,
+            since: now,
+            became_leader_at: now,
+            timing: WorkerTiming::new(settings),
+            jobs: BTreeMap::new(),
+            machines: BTreeMap::new(),
+            unreconciled,
+            reconciliation_reported: false,
+            dirty: true,
+            waits: Vec::new(),
+            arrivals: Vec::new(),
+            pools: MachinePools::default(),
+            images: Images::default(),
+            changed: Changed::default(),
+            hints: HashMap::new(),
+            slowdowns: VecDeque::new(),
+            departed: BTreeSet::new(),
+            cuts: BTreeMap::new(),
+            attempts: 0,
+            budget: commands::CommandBudget::new(settings.params.resources.cores, now),
+            versions: HashMap::new(),
+            chunk: done::chunk_size(settings.params.state.value_kb),
+            inventory,
+            sent,
+            listed_at: None,
+            said,
+            catalog,
+        };
+        cluster.recover_machines(now);
+        cluster.recover_jobs(replica, now, wall);
+        cluster
+    }
+
+    /// Adds the machines that the inventory records name.
+    fn recover_machines(&mut self, now: Instant) {
+        for id in &self.unreconciled {
+            let mut machine = Machine::new(id.clone(), now);
+            machine.inventory_record = Persistence::Written;
+            self.machines.insert(id.clone(), machine);
+        }
+    }
+
+    /// Adds the jobs that are not over.
+    fn recover_jobs(&mut self, replica: &Replica, now: Instant, wall: SystemTime) {
+        let ids: Vec<JobId> = replica.live.keys().cloned().collect();
+        for id in ids {
+            self.sync_job(&id, replica, now, wall, true);
+        }
+        // Of whatever else is listed no task can be anywhere.
+        self.said.clear();
+        let jobs = &self.jobs;
+        self.sent.keep(|id| jobs.contains_key(id));
+    }
+
+    /// Takes an earlier leader's summary of the machines. Those that are gone must not come back
+    /// by late copies of their heartbeats.
+    pub fn hint(&mut self, summary: &SummaryCache) {
+        self.hints = summary.hints.clone();
+        for id in &self.unreconciled {
+            if let (Some(machine), Some(hint)) = (self.machines.get_mut(id), self.hints.get(id)) {
+                machine.address.clone_from(&hint.address);
+                machine.last_message.epoch = hint.epoch;
+            }
+        }
+        let gone = summary
+            .gone
+            .iter()
+            .filter(|id| !self.unreconciled.contains(*id));
+        self.departed.extend(gone.cloned());
+    }
+
+    /// The machine is reconciled: nothing of earlier terms is unknown about it any more.
+    pub(super) fn mark_reconciled(&mut self, id: &MachineId) {
+        if !self.unreconciled.remove(id) {
+            return;
+        }
+        self.dirty = true;
+        if self.unreconciled.is_empty() {
+            info!(term = self.term.0, "all machines reconciled");
+        }
+    }
+
+    /// How long after the start of the term all machines were reconciled; given out once.
+    pub fn take_reconciliation_time(&mut self, now: Instant) -> Option<Duration> {
+        if self.reconciliation_reported || !self.unreconciled.is_empty() {
+            return None;
+        }
+        self.reconciliation_reported = true;
+        Some(now.saturating_duration_since(self.since))
+    }
+}
--- a/src/cluster/sync.rs
+++ b/src/cluster/sync.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant, SystemTime};
 
 use super::done::DoneSet;
-use super::{Cluster, Job, Listed, Machine, Persistence, Sent};
+use super::{Cluster, Job, Listed, Machine, Persistence, Sent, TerminationEvidence};
 use crate::model::{JobId, MachineId, MachinePool, Verdict};
 use crate::state_summary::GONE_MACHINES_KEPT;
 use crate::store::keys;
@@ -127,10 +127,10 @@
     pub fn machine_gone(&mut self, id: &MachineId) {
         if let Some(machine) = self.machines.remove(id) {
             for instance in machine.instances.keys() {
-                self.leave(id, instance);
+                self.remove_placement(id, instance, TerminationEvidence::ReleaseConfirmed);
             }
         }
-        self.settled(id);
+        self.mark_reconciled(id);
         self.changed.machines.insert(id.clone());
         self.inventory.remove(id);
         // Reports of it may still be on their way; they must not bring it back.
--- a/src/peer/heartbeats/tests.rs
+++ b/src/peer/heartbeats/tests.rs
@@ -179,7 +179,7 @@
     let answered = |shared: &Shared| {
         let cluster = shared.cluster.lock();
         let machine = cluster.as_ref().unwrap().machines.values().next().unwrap();
-        machine.answered
+        machine.last_answered
     };
     assert_eq!(answered(&shared), Some(at(1)));
     // The first look at the clock comes at once, all others after a pause.
--- a/src/service/heartbeats.rs
+++ b/src/service/heartbeats.rs
@@ -8,7 +8,7 @@
 use std::time::Instant;
 
 use super::Shared;
-use crate::cluster::{HeartbeatSource, Verified};
+use crate::cluster::{HeartbeatOrdering, HeartbeatSource};
 use crate::leader::Role;
 use crate::model::{MachineId, Term};
 use crate::wire::{Heartbeat, HeartbeatResponse};
@@ -38,7 +38,7 @@
         return passing_on;
     };
     let verified = cluster.apply_heartbeat(heartbeat, HeartbeatSource::Worker, clock());
-    if verified == Verified::Deposed {
+    if verified == HeartbeatOrdering::Deposed {
         return passing_on;
     }
     // Looked at under the lock and at the last moment: a lead that has just ended must not send
@@ -51,8 +51,8 @@
     // Stops and clears are safe from whoever holds a token that the worker still obeys. A copy or
     // an older report gets none: its worker does not wait for them.
     let commands = match verified {
-        Verified::Newer => cluster.answer(&id, now, starts),
-        Verified::Older | Verified::Deposed => Vec::new(),
+        HeartbeatOrdering::Newer => cluster.respond(&id, now, starts),
+        HeartbeatOrdering::Older | HeartbeatOrdering::Deposed => Vec::new(),
     };
     if cluster.dirty {
         shared.wake_scheduler.notify_one();
--- a/tests/common/scene.rs
+++ b/tests/common/scene.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant, SystemTime};
 
 use knotlanding::cluster::{
-    AddressedCommand, Cluster, HeartbeatSource, RecordKind, Sent, Verified,
+    AddressedCommand, Cluster, HeartbeatOrdering, HeartbeatSource, RecordKind, Sent,
 };
 use knotlanding::config::Settings;
 use knotlanding::fleet::{self, FleetView, IdlePolicy, Market};
@@ -300,7 +300,7 @@
         (epoch, sequence, token): (u64, u64, u64),
         tasks: &[(&str, u64, TaskPhase, Option<ExitCause>)],
         own: bool,
-    ) -> Verified {
+    ) -> HeartbeatOrdering {
         let source = if own {
             HeartbeatSource::Worker
         } else {
@@ -343,9 +343,9 @@
             "{kind} of {machine} ({epoch}.{sequence} token {token}): [{}] {verified:?}",
             list.join(", ")
         ));
-        if own && verified == Verified::Newer {
+        if own && verified == HeartbeatOrdering::Newer {
             let id = MachineId(machine.into());
-            let commands = self.cluster.answer(&id, self.now, true);
+            let commands = self.cluster.respond(&id, self.now, true);
             if !commands.is_empty() {
                 self.note(&format!("answer to {machine}: {}", shown(&commands)));
             }
--- a/tests/common/world.rs
+++ b/tests/common/world.rs
@@ -37,7 +37,7 @@
 use futures_util::FutureExt;
 use knotlanding::api::workers::{receive, Reception};
 use knotlanding::cluster::{
-    AddressedCommand, Cluster, HeartbeatSource, Machine, RecordKind, Verified,
+    AddressedCommand, Cluster, HeartbeatOrdering, HeartbeatSource, Machine, RecordKind,
 };
 use knotlanding::config::{Peer, Settings, WorkerSettings};
 use knotlanding::demand::UnmetDemand;
--- a/tests/common/world/delivery.rs
+++ b/tests/common/world/delivery.rs
@@ -197,7 +197,11 @@
         if let Some(cluster) = guard.as_mut().filter(|c| c.term == term && !late) {
             let verified =
                 cluster.apply_heartbeat(&heartbeat, HeartbeatSource::Command(asked), now);
-            assert_ne!(verified, Verified::Deposed, "ours was executed or refused");
+            assert_ne!(
+                verified,
+                HeartbeatOrdering::Deposed,
+                "ours was executed or refused"
+            );
         }
     }
 
--- a/tests/reports.rs
+++ b/tests/reports.rs
@@ -7,7 +7,7 @@
 #[path = "common/scene.rs"]
 mod scene;
 
-use knotlanding::cluster::Verified;
+use knotlanding::cluster::HeartbeatOrdering;
 use knotlanding::model::*;
 use knotlanding::wire::ExitCause;
 use scene::*;
@@ -20,13 +20,19 @@
     s.round();
     s.heartbeat("m-g1n", &[]);
     s.heartbeat("m-g1n", &[("wk-000001/0", FIRST, RUNNING, None)]);
-    assert_eq!(s.report_as("m-g1n", (1, 1, 0), &[], true), Verified::Older);
+    assert_eq!(
+        s.report_as("m-g1n", (1, 1, 0), &[], true),
+        HeartbeatOrdering::Older
+    );
     s.note("a new session is proof that all of the old one is gone");
     s.report_as("m-g1n", (2, 1, 1), &[], true);
     s.round();
     s.note("a machine that was returned does not come back by a late report");
     s.cluster.machine_gone(&MachineId("m-g1n".into()));
-    assert_eq!(s.report_as("m-g1n", (2, 2, 1), &[], true), Verified::Older);
+    assert_eq!(
+        s.report_as("m-g1n", (2, 2, 1), &[], true),
+        HeartbeatOrdering::Older
+    );
     assert!(s.cluster.machines.is_empty());
     insta::assert_snapshot!(s.log);
 }
@@ -146,7 +152,7 @@
     for sequence in [1, 3] {
         assert_eq!(
             s.report_as("m-g1n", (1, sequence, 1), &[], true),
-            Verified::Older
+            HeartbeatOrdering::Older
         );
     }
     s.round();
@@ -171,7 +177,7 @@
     let failed = ("wk-000001/0", FIRST, EXITED, Some(ExitCause::Error));
     for sequence in [4, 70] {
         let copy = s.report_as("m-g1n", (1, sequence, 1), &[failed], true);
-        assert_eq!(copy, Verified::Older);
+        assert_eq!(copy, HeartbeatOrdering::Older);
     }
     assert!(s.cluster.machines.values().all(|m| m.blame.is_empty()));
     s.note("a machine that was returned, then copies of what it said");
@@ -213,7 +219,7 @@
     s.round();
     let running = ("wk-000001/0", FIRST, RUNNING, None);
     let copy = s.report_as("m-g1n", (1, 40, 1), &[running], true);
-    assert_eq!(copy, Verified::Older);
+    assert_eq!(copy, HeartbeatOrdering::Older);
     s.note("the new life brings back the token that only it was given");
     s.sequence = 4;
     s.heartbeat("m-g1n", &[]);
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -10,7 +10,7 @@
 
 use std::time::Duration;
 
-use knotlanding::cluster::{DrainReason, Verified};
+use knotlanding::cluster::{DrainReason, HeartbeatOrdering};
 use knotlanding::config::Settings;
 use knotlanding::model::*;
 use knotlanding::policy::SchedulingPolicy;
@@ -75,7 +75,7 @@
     let mut s = Scene::new();
     assert_eq!(
         s.report_as("m-g1n", (1, 1, 2), &[], true),
-        Verified::Deposed
+        HeartbeatOrdering::Deposed
     );
     assert!(s.cluster.machines.is_empty());
 }
