--- a/src/api/admin.rs
+++ b/src/api/admin.rs
@@ -288,9 +288,8 @@
     wanted: VersionedSettings,
 ) -> HttpResponse {
     let value_kb = shared.settings.params.state.value_kb;
-    if let Some(field) = wanted.settings.wrong_field(value_kb) {
-        let error = format!("field `{field}` is out of range");
-        return refuse(HttpResponse::BadRequest(), error);
+    if let Err(error) = wanted.settings.validate(value_kb) {
+        return refuse(HttpResponse::BadRequest(), error.to_string());
     }
     if !shared.replica.lock().loaded {
         return unavailable();
--- a/src/config.rs
+++ b/src/config.rs
@@ -16,7 +16,7 @@
     Unreadable {
         /// The path as it was given.
         path: String,
-        /// What the system said.
+        /// The error of the operating system.
         source: std::io::Error,
     },
     /// Not TOML, or a field is missing or of the wrong kind.
@@ -27,13 +27,13 @@
         /// The reason on one line.
         reason: String,
     },
-    /// A field was read but its value makes no sense.
+    /// A field was read but its value is out of range.
     #[error("settings field `{field}` is wrong: {reason}")]
     Invalid {
         /// The field, with its tables.
         field: String,
         /// What is expected.
-        reason: String,
+        reason: &'static str,
     },
 }
 
@@ -209,27 +209,7 @@
     }
 
     fn check(&self) -> Result<(), ConfigError> {
-        let p = &self.params;
-        let positive = [
-            ("params.workers.report_s", p.workers.report_s),
-            ("params.workers.lease_s", p.workers.lease_s),
-            ("params.workers.gang_wait_s", p.workers.gang_wait_s),
-            ("params.workers.gang_peer_s", p.workers.gang_peer_s),
-            ("params.workers.cancel_s", p.workers.cancel_s),
-            ("params.state.rps", p.state.rps),
-            ("params.state.write_rps", p.state.write_rps),
-            ("params.state.value_kb", p.state.value_kb),
-            ("params.state.txn_ops", p.state.txn_ops as f64),
-            ("params.cloud.rps", p.cloud.rps),
-            ("params.count", p.count as f64),
-            ("params.resources.cores", p.resources.cores),
-            ("params.resources.mem_mb", p.resources.mem_mb),
-            (
-                "params.resources.max_sockets",
-                p.resources.max_sockets as f64,
-            ),
-        ];
-        for (field, value) in positive {
+        for (field, value) in self.numbers_above_zero() {
             if !value.is_finite() || value <= 0.0 {
                 return Err(invalid(field, "must be a number above 0"));
             }
@@ -237,19 +217,32 @@
         if self.member.is_empty() {
             return Err(invalid("member", "must not be empty"));
         }
-        if self.known.iter().any(|peer| peer.member == self.member) {
+        if self.knows(&self.member) {
             return Err(invalid("known", "names this node itself"));
         }
-        for team in &p.teams {
-            let amounts = [team.cpus, team.cpus_max, team.gpus, team.gpus_max];
-            if amounts.iter().any(|a| !a.is_finite() || *a < 0.0) {
-                return Err(invalid(
-                    &format!("params.teams.{}", team.name),
-                    "amounts must be numbers of at least 0",
-                ));
-            }
-        }
-        Ok(())
+        self.params.teams.iter().try_for_each(TeamSettings::check)
+    }
+
+    fn numbers_above_zero(&self) -> [(&'static str, f64); 14] {
+        let params = &self.params;
+        let (workers, state) = (&params.workers, &params.state);
+        let resources = &params.resources;
+        [
+            ("params.workers.report_s", workers.report_s),
+            ("params.workers.lease_s", workers.lease_s),
+            ("params.workers.gang_wait_s", workers.gang_wait_s),
+            ("params.workers.gang_peer_s", workers.gang_peer_s),
+            ("params.workers.cancel_s", workers.cancel_s),
+            ("params.state.rps", state.rps),
+            ("params.state.write_rps", state.write_rps),
+            ("params.state.value_kb", state.value_kb),
+            ("params.state.txn_ops", state.txn_ops as f64),
+            ("params.cloud.rps", params.cloud.rps),
+            ("params.count", params.count as f64),
+            ("params.resources.cores", resources.cores),
+            ("params.resources.mem_mb", resources.mem_mb),
+            ("params.resources.max_sockets", resources.max_sockets as f64),
+        ]
     }
 
     /// Whether another controller has this name.
@@ -269,10 +262,28 @@
     }
 }
 
-fn invalid(field: &str, reason: &str) -> ConfigError {
+impl TeamSettings {
+    fn check(&self) -> Result<(), ConfigError> {
+        let amounts = [
+            ("cpus", self.cpus),
+            ("cpus_max", self.cpus_max),
+            ("gpus", self.gpus),
+            ("gpus_max", self.gpus_max),
+        ];
+        for (name, amount) in amounts {
+            if !amount.is_finite() || amount < 0.0 {
+                let field = format!("params.teams.{}.{name}", self.name);
+                return Err(invalid(field, "must be a number of at least 0"));
+            }
+        }
+        Ok(())
+    }
+}
+
+fn invalid(field: impl Into<String>, reason: &'static str) -> ConfigError {
     ConfigError::Invalid {
-        field: field.to_owned(),
-        reason: reason.to_owned(),
+        field: field.into(),
+        reason,
     }
 }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,11 +1,12 @@
 //! Knotlanding: a gang scheduler for rented clusters.
 //!
-//! One controller leads under a lease in the state service. Every round it tentatively gives
-//! room to each gang's tasks and sends all starts together once the minimum fits; otherwise
-//! nothing of the gang starts. The modules are the parts; `actors` own the loops, the rest
-//! decides or talks.
+//! One controller leads under a lease in an external key-value store. In every scheduling cycle it
+//! tentatively places the tasks of each gang, and sends all their starts together once the gang's
+//! minimum has capacity; otherwise no task of the gang starts. `actors` own the loops; the other
+//! modules decide, or communicate.
 
 pub mod actors;
+pub mod admin_client;
 pub mod api;
 pub mod capacity;
 pub mod cli;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,22 +1,42 @@
 //! The program: reads the command line, then hands over to the library.
 
+use std::fmt::Display;
+use std::net::SocketAddrV4;
 use std::path::Path;
 use std::process::ExitCode;
-use std::time::Duration;
 
 use clap::Parser;
+use knotlanding::admin_client::{self, AdminClientError};
 use knotlanding::cli::{AdminAction, Cli, Command};
-use knotlanding::config::Settings;
-use knotlanding::features::Features;
+use knotlanding::config::{ConfigError, Settings};
+use knotlanding::features::{Features, FeaturesError};
+use thiserror::Error;
 
-/// Exit code for settings or arguments that can't be used.
-const USAGE: u8 = 2;
-/// Exit code for a failure while running.
-const FAILURE: u8 = 1;
-/// A controller that takes longer to answer an operator is taken not to.
-const ADMIN_LIMIT: Duration = Duration::from_secs(10);
-/// Largest answer shown: the status of 4,000 machines and 20,000 jobs has some 6 MB.
-const ADMIN_ANSWER_MAX: usize = 64 * 1024 * 1024;
+/// How the program ends when it fails.
+#[derive(Debug, Clone, Copy)]
+enum FailureCode {
+    /// A failure while running.
+    Runtime = 1,
+    /// Settings or arguments that can't be used.
+    Usage = 2,
+}
+
+impl From<FailureCode> for ExitCode {
+    fn from(code: FailureCode) -> Self {
+        Self::from(code as u8)
+    }
+}
+
+/// Why the files named on the command line can't be used.
+#[derive(Debug, Error)]
+enum LoadError {
+    /// The settings file.
+    #[error(transparent)]
+    Settings(#[from] ConfigError),
+    /// The features file.
+    #[error(transparent)]
+    Features(#[from] FeaturesError),
+}
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
@@ -25,20 +45,20 @@
         (Some(Command::Admin { node, action }), _) => admin(node, action),
         (None, Some(file)) => match load(&file, cli.features.as_deref()) {
             Ok((settings, features)) => serve(settings, features),
-            Err(error) => fail(USAGE, &error),
+            Err(error) => fail(FailureCode::Usage, error),
         },
-        (None, None) => fail(USAGE, "give --config FILE to serve, or see --help"),
+        (None, None) => fail(
+            FailureCode::Usage,
+            "give --config FILE to serve, or see --help",
+        ),
     }
 }
 
 /// Reads the settings, and the features if a file is named.
-fn load(settings: &Path, features: Option<&Path>) -> Result<(Settings, Features), String> {
-    let settings = Settings::load(settings).map_err(|error| error.to_string())?;
-    let features = match features {
-        Some(file) => Features::load(file).map_err(|error| error.to_string())?,
-        None => Features::default(),
-    };
-    Ok((settings, features))
+fn load(settings: &Path, features: Option<&Path>) -> Result<(Settings, Features), LoadError> {
+    let settings = Settings::load(settings)?;
+    let features = features.map(Features::load).transpose()?;
+    Ok((settings, features.unwrap_or_default()))
 }
 
 fn check(file: &Path, features: Option<&Path>) -> ExitCode {
@@ -47,20 +67,20 @@
             println!("{}: fine, for {}", file.display(), settings.member);
             ExitCode::SUCCESS
         }
-        Err(error) => fail(USAGE, &error),
+        Err(error) => fail(FailureCode::Usage, error),
     }
 }
 
-fn fail(code: u8, message: &str) -> ExitCode {
+fn fail(code: FailureCode, message: impl Display) -> ExitCode {
     eprintln!("knotlanding: {message}");
-    ExitCode::from(code)
+    code.into()
 }
 
 fn serve(settings: Settings, features: Features) -> ExitCode {
     log_to_stderr();
     match actix::System::new().block_on(knotlanding::run::serve(settings, features)) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(error) => fail(FAILURE, &format!("cannot serve: {error}")),
+        Err(error) => fail(FailureCode::Runtime, format_args!("cannot serve: {error}")),
     }
 }
 
@@ -78,49 +98,13 @@
         .init();
 }
 
-fn admin(node: std::net::SocketAddrV4, action: AdminAction) -> ExitCode {
-    actix::System::new().block_on(async move {
-        let http = awc::Client::builder().timeout(ADMIN_LIMIT).finish();
-        let url = |path: &str| format!("http://{node}/admin/{path}");
-        let sent = match action {
-            AdminAction::Status => http.get(url("status")).send().await,
-            AdminAction::Job { id } => http.get(url(&format!("jobs/{id}"))).send().await,
-            AdminAction::Machine { name } => {
-                http.get(url(&format!("machines/{name}"))).send().await
-            }
-            AdminAction::Metrics => http.get(url("metrics")).send().await,
-            AdminAction::Links => http.get(url("links")).send().await,
-            AdminAction::Settings => http.get(url("settings")).send().await,
-            AdminAction::Set { json } => {
-                let body = match json.strip_prefix('@') {
-                    Some(file) => match std::fs::read_to_string(file) {
-                        Ok(body) => body,
-                        Err(error) => return fail(USAGE, &format!("cannot read {file}: {error}")),
-                    },
-                    None => json,
-                };
-                http.put(url("settings")).send_body(body).await
-            }
-            AdminAction::Drain { machine } => {
-                http.post(url(&format!("machines/{machine}/drain")))
-                    .send()
-                    .await
-            }
-        };
-        let mut answer = match sent {
-            Ok(answer) => answer,
-            Err(error) => return fail(FAILURE, &format!("{node} does not answer: {error}")),
-        };
-        let status = answer.status();
-        let body = match answer.body().limit(ADMIN_ANSWER_MAX).await {
-            Ok(body) => String::from_utf8_lossy(&body).into_owned(),
-            Err(error) => return fail(FAILURE, &format!("{node} broke off: {error}")),
-        };
-        if status.is_success() {
+fn admin(node: SocketAddrV4, action: AdminAction) -> ExitCode {
+    match actix::System::new().block_on(admin_client::execute(node, action)) {
+        Ok(body) => {
             println!("{body}");
             ExitCode::SUCCESS
-        } else {
-            fail(FAILURE, &format!("{node} refuses ({status}): {body}"))
         }
-    })
+        Err(error @ AdminClientError::UnreadableFile { .. }) => fail(FailureCode::Usage, error),
+        Err(error) => fail(FailureCode::Runtime, error),
+    }
 }
--- a/src/service/operator.rs
+++ b/src/service/operator.rs
@@ -1,6 +1,7 @@
 //! Operators' own settings.
 
 use serde::{Deserialize, Serialize};
+use thiserror::Error;
 
 use crate::fleet::IdlePolicy;
 
@@ -40,20 +41,36 @@
 /// Bytes around each name, in the form by which values are measured.
 const NAME_ENVELOPE_BYTES: usize = 4;
 
+/// A field of the operators' settings that can't be taken.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
+#[error("field `{field}` is out of range")]
+pub struct FieldOutOfRange {
+    /// The field's name.
+    pub field: &'static str,
+}
+
 impl OperatorSettings {
-    /// The first field that makes no sense, or that a value of so many KiB can't hold.
-    pub fn wrong_field(&self, value_kb: f64) -> Option<&'static str> {
+    /// Checks that every field is in its range, and that one value of so many KiB in the key-value
+    /// store can hold them.
+    pub fn validate(&self, value_kb: f64) -> Result<(), FieldOutOfRange> {
         let factor_ok = |f: f64| f.is_finite() && (0.0..=FACTOR_MAX).contains(&f);
         if !factor_ok(self.idle_factor) {
-            return Some("idle_factor");
+            return Err(FieldOutOfRange {
+                field: "idle_factor",
+            });
         }
         if !factor_ok(self.spare_factor) {
-            return Some("spare_factor");
+            return Err(FieldOutOfRange {
+                field: "spare_factor",
+            });
         }
         let names_ok = self.drained.iter().all(|name| !name.is_empty());
         let bytes = self.drained.iter().map(|n| n.len() + NAME_ENVELOPE_BYTES);
         let fits = bytes.sum::<usize>() as f64 <= value_kb * 1024.0 * DRAINED_NAMES_PART;
-        (!fits || !names_ok).then_some("drained")
+        if !fits || !names_ok {
+            return Err(FieldOutOfRange { field: "drained" });
+        }
+        Ok(())
     }
 
     /// What of it the fleet needs.
--- a/tests/layers.rs
+++ b/tests/layers.rs
@@ -10,7 +10,7 @@
     &["time"],
     &["model", "rate_limit", "metrics"],
     &["config", "features", "cli"],
-    &["wire", "timing", "policy"],
+    &["wire", "timing", "policy", "admin_client"],
     &["http", "state_summary", "demand"],
     &["store"],
     &["leader"],
