--- /dev/null
+++ b/src/wire/mod.rs
@@ -0,0 +1,18 @@
+//! The protocol's bodies: CBOR maps under the names of the protocol, and their checks.
+//!
+//! The names of the protocol appear only here, as serde renames; every other module uses the terms
+//! of [`crate::model`]. There is one module for each party: [`users`], [`workers`] and [`cloud`].
+
+pub mod cloud;
+pub mod codec;
+mod number;
+pub mod users;
+pub mod workers;
+
+pub use cloud::{ListedMachine, MachineNames, MachinePage, MachineTypeCatalog, RentalRequest};
+pub use codec::{decode, encode, WireError, BODY_LIMIT, CBOR};
+pub use users::{JobBody, JobState, Problem, JOB_TASKS_MAX};
+pub use workers::{
+    DirectCommand, ExitCause, Heartbeat, HeartbeatResponse, Redirect, TaskPhase, TaskStatus,
+    WorkerCommand,
+};
