--- a/tests/vocabulary.rs
+++ b/tests/vocabulary.rs
@@ -84,5 +84,8 @@
     assert!(holds_word("// gives up the lead.", "the lead"));
     assert!(!holds_word("the leader", "the lead"));
     assert!(!holds_word("in_vain_too", "in_vain"));
-    assert_eq!(without_strings(r#"rename = "the \" lead", x"#), "rename = , x");
+    assert_eq!(
+        without_strings(r#"rename = "the \" lead", x"#),
+        "rename = , x"
+    );
 }
