--- /dev/null
+++ b/src/actors/election/campaign.rs
@@ -0,0 +1,126 @@
+//! The campaign for leadership, when the replica shows no leader.
+
+use std::time::{Duration, Instant};
+
+use actix::MailboxError;
+use knotlanding_links::table::StoreOperation;
+use rand::Rng;
+use tracing::debug;
+
+use super::{Election, RETRY_DELAY};
+use crate::model::Term;
+use crate::store::actor::Commit;
+use crate::store::keys::{self, LeaderRecord, TermRecord};
+use crate::store::{to_value, Change, Condition, Transaction, TransactionOutcome, WritePriority};
+
+/// How long the replica may take to show the record of a won election.
+const REPLICA_DELAY_MAX: Duration = Duration::from_millis(1500);
+
+impl Election {
+    /// Campaigns once: a lease, then a transaction that succeeds only if there is no leader. Returns
+    /// when the next step is due.
+    pub(super) async fn campaign(&self) -> Duration {
+        self.relinquish_lease().await;
+        if let Some(delay) = self.campaign_delay() {
+            return delay;
+        }
+        let retry_delay = randomized_retry_delay();
+        let Some(lease) = self.acquire_lease().await else {
+            return retry_delay;
+        };
+        let outcome = self.commit_election(lease).await;
+        let Ok(TransactionOutcome::Committed(revision)) = outcome else {
+            // After a conflict the replica will show who was elected.
+            return retry_delay;
+        };
+        // Once the replica shows the record it also shows all that was written before.
+        let mut replica_revision = self.shared.replica.subscribe();
+        let shown = replica_revision.wait_for(|reached| *reached >= revision);
+        let _ = actix::clock::timeout(REPLICA_DELAY_MAX, shown).await;
+        Duration::ZERO
+    }
+
+    /// How long to wait before a campaign, if this process should not campaign now.
+    fn campaign_delay(&self) -> Option<Duration> {
+        if self.shared.catalog.lock().is_none() {
+            // A leader that does not know the machine types can not schedule; others go first.
+            return Some(self.renewal_interval);
+        }
+        if self.shared.election.lock().in_backoff(Instant::now()) {
+            return Some(self.renewal_interval);
+        }
+        self.yields_to_better_connected().then_some(RETRY_DELAY)
+    }
+
+    /// Whether the election is left to a better connected controller. That lasts for one renewal
+    /// interval at most, in case the other one does not campaign.
+    fn yields_to_better_connected(&self) -> bool {
+        let now = Instant::now();
+        let since = self.no_leader_since.get().unwrap_or(now);
+        self.no_leader_since.set(Some(since));
+        if now.saturating_duration_since(since) >= self.renewal_interval {
+            return false;
+        }
+        let links = self.shared.links.active();
+        links.is_some_and(|links| links.should_yield(now))
+    }
+
+    async fn acquire_lease(&self) -> Option<u64> {
+        let sent = Instant::now();
+        match self.client.grant(self.leader_lease).await {
+            Ok(id) => {
+                self.shared.election.lock().hold_lease(id, sent);
+                Some(id)
+            }
+            Err(error) => {
+                debug!(%error, "lease not granted");
+                if error.contact_lost() {
+                    self.shared.store_failed(StoreOperation::Lease, sent);
+                }
+                None
+            }
+        }
+    }
+
+    /// Writes the leader's record and the next term, on the conditions that there is no leader and that
+    /// nobody else has used that term.
+    async fn commit_election(&self, lease: u64) -> Result<TransactionOutcome, MailboxError> {
+        let (term, term_version) = {
+            let replica = self.shared.replica.lock();
+            (Term(replica.term.record.0 + 1), replica.term.version)
+        };
+        let conditions = vec![
+            Condition::new(keys::LEADER, 0),
+            Condition::new(keys::TERM, term_version),
+        ];
+        let changes = vec![
+            Change::Put {
+                key: keys::LEADER.to_owned(),
+                value: to_value(&self.own_record(term, lease)),
+                lease: Some(lease),
+            },
+            Change::put(keys::TERM, to_value(&TermRecord { term })),
+        ];
+        let transaction = Transaction::new(conditions, changes);
+        let commit = Commit(transaction, WritePriority::Election);
+        let outcome = self.store.send(commit).await;
+        debug!(term = term.0, ?outcome, "campaigning for leadership");
+        outcome
+    }
+
+    fn own_record(&self, term: Term, lease: u64) -> LeaderRecord {
+        let settings = &self.shared.settings;
+        LeaderRecord {
+            member: settings.member.clone(),
+            address: settings.public_addr.to_string(),
+            term,
+            lease,
+        }
+    }
+}
+
+/// Randomized, so that controllers that campaigned at the same time do not do so again.
+fn randomized_retry_delay() -> Duration {
+    let jitter = rand::rng().random_range(0.0..1.0);
+    RETRY_DELAY + RETRY_DELAY.mul_f64(jitter)
+}
--- /dev/null
+++ b/src/actors/election/recovery.rs
@@ -0,0 +1,57 @@
+//! The recovery of the cluster state by a new leader.
+
+use std::time::{Instant, SystemTime};
+
+use tracing::{debug, info};
+
+use super::Election;
+use crate::cluster::Cluster;
+use crate::leader::Leadership;
+use crate::store::actor::SetLeading;
+use crate::store::keys::LeaderRecord;
+
+impl Election {
+    /// Recovers the cluster state from the replica and becomes leader.
+    pub(super) fn recover(&self, record: &LeaderRecord, version: u64) {
+        let Some(catalog) = self.shared.catalog.lock().clone() else {
+            debug!("recovery waits for the machine types");
+            return;
+        };
+        let now = Instant::now();
+        let replica = self.shared.replica.lock();
+        // The watch, on another thread, may have replaced the record since it was read.
+        let recorded = replica.leader.as_ref();
+        if recorded.is_none_or(|leader| leader.version != version) {
+            return;
+        }
+        let mut cluster = Cluster::recover(
+            record.term,
+            &self.shared.settings,
+            &replica,
+            catalog,
+            now,
+            SystemTime::now(),
+        );
+        cluster.hint(&self.shared.summary_cache.lock());
+        info!(
+            term = record.term.0,
+            jobs = cluster.jobs.len(),
+            unreconciled = cluster.unreconciled.len(),
+            "became leader"
+        );
+        {
+            let mut election = self.shared.election.lock();
+            *self.shared.cluster.lock() = Some(cluster);
+            election.become_leader(Leadership {
+                term: record.term,
+                version,
+            });
+        }
+        drop(replica);
+        self.shared.metrics.lock().counts.terms += 1;
+        self.store.do_send(SetLeading(true));
+        // Starts need a read that is newer than the election.
+        self.shared.replica.request_read();
+        self.shared.wake_scheduler.notify_one();
+    }
+}
