--- a/src/actors/election.rs
+++ b/src/actors/election.rs
@@ -19,7 +19,7 @@
 use crate::store::client::StoreClient;
 use crate::store::keys::LeaderRecord;
 use crate::store::replica::Versioned;
-use crate::timing::{lease_time, renew_every};
+use crate::timing::{leader_lease, lease_renewal_interval};
 use renewal::LeaseRenewals;
 
 /// A timer that fires this late shows that the process lacks processor time.
@@ -50,13 +50,13 @@
     type Context = Context<Self>;
 
     fn started(&mut self, _: &mut Self::Context) {
-        let leader_lease = lease_time(&self.shared.settings);
+        let leader_lease = leader_lease(&self.shared.settings);
         let election = Election {
             shared: self.shared.clone(),
             client: self.client.clone(),
             store: self.store.clone(),
             leader_lease,
-            renewal_interval: renew_every(leader_lease),
+            renewal_interval: lease_renewal_interval(leader_lease),
             renewals: LeaseRenewals::default(),
             timer_late_at: Cell::new(None),
             no_leader_since: Cell::new(None),
--- a/src/leader/election_state.rs
+++ b/src/leader/election_state.rs
@@ -6,7 +6,9 @@
 use crate::config::Settings;
 use crate::model::Term;
 use crate::store::keys::LeaderRecord;
-use crate::timing::{answering, keep_alive_time, lease_time, slowness, start_freshness};
+use crate::timing::{
+    heartbeat_staleness_limit, keep_alive_limit, leader_lease, slowness, start_staleness_limit,
+};
 
 /// Subtracted from the own view of the lease: for drift of the clocks, and for the time between a
 /// look at the clock and the action that follows.
@@ -41,10 +43,10 @@
     pub fn new(settings: &Settings) -> Self {
         Self {
             member: settings.member.clone(),
-            leader_lease: lease_time(settings),
-            start_staleness_limit: start_freshness(slowness(settings)),
-            keep_alive_limit: keep_alive_time(settings),
-            heartbeat_staleness_limit: answering(settings),
+            leader_lease: leader_lease(settings),
+            start_staleness_limit: start_staleness_limit(slowness(settings)),
+            keep_alive_limit: keep_alive_limit(settings),
+            heartbeat_staleness_limit: heartbeat_staleness_limit(settings),
             freshness: ReplicaFreshness::default(),
             renewed_without_gap_since: None,
             lease: None,
--- a/src/leader/tests.rs
+++ b/src/leader/tests.rs
@@ -7,15 +7,15 @@
 use crate::config::Settings;
 use crate::model::Term;
 use crate::store::keys::LeaderRecord;
-use crate::timing::{start_freshness, LEASE_TIME_MIN};
+use crate::timing::{start_staleness_limit, LEADER_LEASE_MIN};
 
 fn election(now: Instant) -> ElectionState {
     let text = include_str!("../../deploy/example.toml");
     let settings = Settings::parse(text, "the example").unwrap();
     let mut election = ElectionState::new(&settings);
     election.member = "knot-0".to_owned();
-    election.leader_lease = LEASE_TIME_MIN;
-    election.start_staleness_limit = start_freshness(1.0);
+    election.leader_lease = LEADER_LEASE_MIN;
+    election.start_staleness_limit = start_staleness_limit(1.0);
     election.keep_alive_limit = Duration::from_secs(10);
     election.heartbeat_staleness_limit = Duration::from_secs(30);
     election.hold_lease(7, now);
@@ -92,9 +92,9 @@
     let now = Instant::now();
     let election = election(now);
     assert!(matches!(election.role(now), Role::Leader(_)));
-    let almost = now + LEASE_TIME_MIN - LEADER_LEASE_MARGIN;
+    let almost = now + LEADER_LEASE_MIN - LEADER_LEASE_MARGIN;
     assert_eq!(election.role(almost), Role::KeepAlive(Term(4)));
-    let late = now + LEASE_TIME_MIN + Duration::from_secs(10);
+    let late = now + LEADER_LEASE_MIN + Duration::from_secs(10);
     assert_eq!(election.role(late), Role::Follower(None));
 }
 
--- a/src/peer/contact.rs
+++ b/src/peer/contact.rs
@@ -3,7 +3,7 @@
 use actix_web::{web, HttpResponse};
 
 use crate::service::Shared;
-use crate::timing::{WATCH_GRACE, WATCH_HOLD};
+use crate::timing::{FOLLOWER_WATCH_TIMEOUT, WATCH_GRACE};
 
 /// Path of the question. Its name dates from 0.1.0 and stays for the sake of older nodes.
 pub const CONTACT: &str = "/peer/pulse";
@@ -14,7 +14,7 @@
     let contact = shared.links.contact();
     let recent = contact
         .answered
-        .is_some_and(|at| at.elapsed() < WATCH_HOLD * 2 + WATCH_GRACE);
+        .is_some_and(|at| at.elapsed() < FOLLOWER_WATCH_TIMEOUT * 2 + WATCH_GRACE);
     if contact.failing_since.is_none() && recent {
         HttpResponse::NoContent().finish()
     } else {
--- a/src/rate_limit.rs
+++ b/src/rate_limit.rs
@@ -1,64 +1,67 @@
-//! A token bucket: a rate, with what was not used saved up to a bound.
+//! A token bucket: tokens are added at a constant rate, up to the capacity, and taken by requests.
 
 use std::time::{Duration, Instant};
 
-/// A bucket that holds so many seconds' worth at most.
+/// A token bucket whose capacity is given in seconds of its rate.
 #[derive(Debug)]
 pub struct TokenBucket {
     rate: f64,
-    depth_s: f64,
+    capacity_s: f64,
     level: f64,
-    at: Instant,
+    refilled_at: Instant,
 }
 
 impl TokenBucket {
-    /// A full bucket that holds one second's worth.
+    /// A full bucket with a capacity of one second of its rate.
     pub fn new(rate: f64, now: Instant) -> Self {
         Self {
             rate,
-            depth_s: 1.0,
+            capacity_s: 1.0,
             level: rate.max(1.0),
-            at: now,
+            refilled_at: now,
         }
     }
 
-    /// The rate at which it fills, a second.
+    /// Tokens added per second.
     pub fn rate(&self) -> f64 {
         self.rate
     }
 
-    /// Changes the rate and the depth, keeping what is in the bucket as far as it still fits.
-    pub fn set_rate(&mut self, rate: f64, depth_s: f64, now: Instant) {
+    /// Changes the rate and the capacity. The bucket keeps its tokens up to the new capacity.
+    pub fn set_rate(&mut self, rate: f64, capacity_s: f64, now: Instant) {
         self.refill(now);
         self.rate = rate;
-        self.depth_s = depth_s;
-        self.level = self.level.min(self.most());
+        self.capacity_s = capacity_s;
+        self.level = self.level.min(self.capacity());
     }
 
-    /// What it holds at most.
-    fn most(&self) -> f64 {
-        (self.rate * self.depth_s).max(1.0)
+    /// The most tokens it holds.
+    fn capacity(&self) -> f64 {
+        (self.rate * self.capacity_s).max(1.0)
     }
 
     fn refill(&mut self, now: Instant) {
-        let passed = now.saturating_duration_since(self.at).as_secs_f64();
-        self.level = (self.level + passed * self.rate).min(self.most());
-        self.at = now;
+        let passed = now
+            .saturating_duration_since(self.refilled_at)
+            .as_secs_f64();
+        self.level = (self.level + passed * self.rate).min(self.capacity());
+        self.refilled_at = now;
     }
 
-    /// Takes `amount`, going below zero where it has to.
+    /// Takes `amount` tokens. The level may become negative, and later requests wait for longer then.
     pub fn take(&mut self, amount: f64, now: Instant) {
         self.refill(now);
         self.level -= amount;
     }
 
-    /// What is in it.
+    /// Tokens in the bucket.
     pub fn level(&mut self, now: Instant) -> f64 {
         self.refill(now);
         self.level
     }
 
-    /// Time until `amount` will have gone through, with nothing else in its way.
+    /// Time until the last of `amount` tokens can be taken, if all are taken one by one as they are added.
+    /// They may be more than the capacity.
     pub fn wait_beyond(&mut self, amount: f64, now: Instant) -> Duration {
         self.refill(now);
         if self.rate <= 0.0 {
@@ -67,10 +70,10 @@
         Duration::from_secs_f64(((amount - self.level) / self.rate).max(0.0))
     }
 
-    /// Time until `amount` can be had.
+    /// Time until `amount` tokens can be taken at once, or a full bucket if they are more than that.
     pub fn wait(&mut self, amount: f64, now: Instant) -> Duration {
         self.refill(now);
-        let missing = amount.min(self.most()) - self.level;
+        let missing = amount.min(self.capacity()) - self.level;
         if missing <= 0.0 || self.rate <= 0.0 {
             Duration::ZERO
         } else {
--- a/src/service/links.rs
+++ b/src/service/links.rs
@@ -29,7 +29,7 @@
 use crate::metrics::LinkMetrics;
 use crate::time::secs;
 use crate::time::unix_ms;
-use crate::timing::lease_time;
+use crate::timing::leader_lease;
 use crate::wire::Heartbeat;
 
 /// Time between two rows.
@@ -92,7 +92,7 @@
 
 /// The times by which links are judged.
 pub fn link_timing(settings: &Settings) -> LinkTiming {
-    let leader_lease = lease_time(settings);
+    let leader_lease = leader_lease(settings);
     let clock_ms = settings.params.clock_off_ms.max(0.0) * 2.0;
     LinkTiming {
         row_interval: ROW_INTERVAL,
--- a/src/store/actor.rs
+++ b/src/store/actor.rs
@@ -72,7 +72,7 @@
         let outcome = self.0.enqueue(transaction, priority);
         Box::pin(async move {
             let Some(outcome) = outcome else {
-                return TransactionOutcome::Failed(StoreError::Refused(429));
+                return TransactionOutcome::Failed(StoreError::RATE_LIMITED);
             };
             outcome
                 .await
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -9,6 +9,7 @@
 
 use super::{
     Change, Condition, KeyPage, StoreError, Transaction, TransactionOutcome, WatchResponse,
+    STATUS_RATE_LIMITED,
 };
 use crate::config::Settings;
 use crate::http::{OutgoingRequest, Remote, RequestFailure};
@@ -43,9 +44,10 @@
 
 #[derive(Serialize)]
 struct TransactionRequest<'a> {
-    when: &'a [Condition],
-    #[serde(skip_serializing_if = "<[Change]>::is_empty")]
-    apply: &'a [Change],
+    #[serde(rename = "when")]
+    conditions: &'a [Condition],
+    #[serde(rename = "apply", skip_serializing_if = "<[Change]>::is_empty")]
+    changes: &'a [Change],
 }
 
 #[derive(Deserialize)]
@@ -64,7 +66,8 @@
 
 #[derive(Deserialize)]
 struct LeaseResponse {
-    hold: u64,
+    #[serde(rename = "hold")]
+    lease: u64,
 }
 
 impl StoreClient {
@@ -102,9 +105,17 @@
         wire::decode(body).map_err(|error| StoreError::MalformedResponse(error.to_string()))
     }
 
+    /// Decodes the body of a successful response; any other status is an error.
+    fn decode_ok<T: DeserializeOwned>((status, body): (u16, Vec<u8>)) -> Result<T, StoreError> {
+        match status {
+            200 => Self::decode(&body),
+            _ => Err(Self::error_of(status, &body)),
+        }
+    }
+
     fn error_of(status: u16, body: &[u8]) -> StoreError {
         match status {
-            429 | 503 => StoreError::Refused(status),
+            STATUS_RATE_LIMITED | 503 => StoreError::Refused(status),
             404 => StoreError::LeaseExpired,
             410 => StoreError::HistoryCompacted,
             _ => StoreError::MalformedResponse(format!(
@@ -119,8 +130,8 @@
     /// Executes one compare-and-swap transaction.
     pub async fn transact(&self, transaction: &Transaction) -> TransactionOutcome {
         let body = wire::encode(&TransactionRequest {
-            when: &transaction.conditions,
-            apply: &transaction.changes,
+            conditions: &transaction.conditions,
+            changes: &transaction.changes,
         });
         let sent = self.call(Method::POST, "/multi", Some(body), self.response_timeout);
         match sent.await {
@@ -161,14 +172,8 @@
             path.push_str("&after=");
             path.push_str(after);
         }
-        let (status, body) = self
-            .call(Method::GET, &path, None, self.response_timeout)
-            .await?;
-        if status == 200 {
-            Self::decode(&body)
-        } else {
-            Err(Self::error_of(status, &body))
-        }
+        let response = self.call(Method::GET, &path, None, self.response_timeout);
+        Self::decode_ok(response.await?)
     }
 
     /// Watches the keys below a prefix: resolves once there are changes after a revision, or after
@@ -184,16 +189,12 @@
             "/follow?under={prefix}&after={after}&holdMs={}",
             timeout.as_millis()
         );
-        let (status, body) = match self.call(Method::GET, &path, None, limit).await {
+        let response = match self.call(Method::GET, &path, None, limit).await {
             // Reading all keys page by page stays within the limit on a response.
             Err(StoreError::ResponseTooLarge) => return Err(StoreError::HistoryCompacted),
             answered => answered?,
         };
-        if status == 200 {
-            Self::decode(&body)
-        } else {
-            Err(Self::error_of(status, &body))
-        }
+        Self::decode_ok(response)
     }
 
     /// Grants a new lease.
@@ -202,10 +203,8 @@
             ttl_ms: ttl.as_millis() as u64,
         });
         let sent = self.call(Method::POST, "/leases", Some(body), self.response_timeout);
-        match sent.await? {
-            (200, body) => Self::decode::<LeaseResponse>(&body).map(|lease| lease.hold),
-            (status, body) => Err(Self::error_of(status, &body)),
-        }
+        let response: LeaseResponse = Self::decode_ok(sent.await?)?;
+        Ok(response.lease)
     }
 
     /// Renews a lease.
--- a/src/store/commit_sender.rs
+++ b/src/store/commit_sender.rs
@@ -90,7 +90,7 @@
                 batch = complete_conflicts(batch, failed, revision);
             }
             // Nothing was executed: several controllers used saved-up rate at the same time.
-            TransactionOutcome::Failed(StoreError::Refused(429)) if refusals < REFUSALS_MAX => {
+            TransactionOutcome::Failed(StoreError::RATE_LIMITED) if refusals < REFUSALS_MAX => {
                 refusals += 1;
                 actix::clock::sleep(REFUSAL_RETRY_DELAY).await;
             }
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -24,6 +24,9 @@
 /// A value as the store keeps it.
 pub type Value = ciborium::Value;
 
+/// The status of requests beyond the rate limits.
+const STATUS_RATE_LIMITED: u16 = 429;
+
 /// Why a request to the key-value store failed.
 #[derive(Debug, Clone, Error, PartialEq)]
 pub enum StoreError {
@@ -48,11 +51,14 @@
 }
 
 impl StoreError {
+    /// Refused for the rate limits.
+    pub const RATE_LIMITED: Self = StoreError::Refused(STATUS_RATE_LIMITED);
+
     /// Whether the error shows that contact with the store is lost, so that writes of others may go
     /// unseen. A request refused by the rate limits was answered.
     pub fn contact_lost(&self) -> bool {
         match self {
-            StoreError::Refused(status) => *status != 429,
+            StoreError::Refused(status) => *status != STATUS_RATE_LIMITED,
             StoreError::OutcomeUnknown => true,
             StoreError::MalformedResponse(_)
             | StoreError::LeaseExpired
@@ -212,8 +218,8 @@
 #[derive(Debug, Deserialize)]
 pub struct KeyPage {
     /// The keys.
-    #[serde(default)]
-    pub rows: Vec<KeyValue>,
+    #[serde(rename = "rows", default)]
+    pub key_values: Vec<KeyValue>,
     /// Whether more follow.
     #[serde(default)]
     pub more: bool,
--- a/src/store/watch.rs
+++ b/src/store/watch.rs
@@ -16,7 +16,7 @@
 use super::pending_reads::{self, VerdictQueries};
 use super::replica::VerdictState;
 use super::{keys, verdict_lookup, KeyValue, StoreError, WatchResponse};
-use crate::timing::{LEADER_WATCH_HOLD, WATCH_GRACE, WATCH_HOLD};
+use crate::timing::{FOLLOWER_WATCH_TIMEOUT, LEADER_WATCH_TIMEOUT, WATCH_GRACE};
 
 /// Pause between two reads, so that queries gather instead of costing a request each.
 const READ_INTERVAL: Duration = Duration::from_millis(120);
@@ -64,7 +64,11 @@
 async fn wait_for_changes(context: &Rc<StoreContext>) -> Result<Duration, StoreError> {
     context.wait_for_limit(1.0, 0.0).await;
     let leads = context.observer.leads();
-    let timeout = if leads { LEADER_WATCH_HOLD } else { WATCH_HOLD };
+    let timeout = if leads {
+        LEADER_WATCH_TIMEOUT
+    } else {
+        FOLLOWER_WATCH_TIMEOUT
+    };
     let sent = Instant::now();
     let grace = WATCH_GRACE.mul_f64(context.slowness);
     let mut open_watch = Box::pin(watch(context, timeout, timeout + grace));
@@ -144,8 +148,8 @@
         let page = context.client.page(keys::ROOT, after.as_deref()).await?;
         // With the first page's revision the watch repeats all changes made during the read.
         let first_revision = *revision.get_or_insert(page.revision);
-        let last = page.rows.is_empty() || !page.more;
-        keys_read.extend(page.rows);
+        let last = page.key_values.is_empty() || !page.more;
+        keys_read.extend(page.key_values);
         if last {
             return Ok((keys_read, first_revision));
         }
--- a/src/timing.rs
+++ b/src/timing.rs
@@ -1,112 +1,113 @@
-//! Times that several parts count on, all derived from the settings: the leader's lease, the watch of
-//! the key-value store, and the workers' heartbeats and leases.
+//! The times on which several modules rely together, derived from the settings: the leader's lease, the
+//! watch of the key-value store, the staleness bounds of the replica, and the workers' heartbeats and
+//! leases.
 
 use std::time::Duration;
 
 use crate::config::Settings;
 use crate::time::{secs, CLOCK_DRIFT};
 
-/// Shortest time of the leader's lease: short enough that a crash is hardly noticed, long enough
-/// that a slow answer of the state service or a late timer costs no leadership.
-pub const LEASE_TIME_MIN: Duration = Duration::from_secs(3);
-/// Processor time that a lease must give: workers come to a new leader all at once, and nothing
-/// of a small machine goes on before it has paid for what they cost.
+/// Shortest leader lease: short enough for a quick failover after a crash, long enough that a slow
+/// response of the key-value store or a late timer does not end the leadership.
+pub const LEADER_LEASE_MIN: Duration = Duration::from_secs(3);
+/// Processor time that a leader lease must contain: all workers reconnect to a new leader at once, and
+/// a small machine does nothing else before that work is done.
 const RECONNECT_CPU_S: f64 = 0.12;
-/// A lead that takes longer to be noticed as lost is worse than one lost for slowness.
-const LEASE_TIME_MAX: Duration = Duration::from_secs(8);
-/// Parts of the lease between two renewals: three may fail before the lease does.
-const RENEWALS: f64 = 0.7 / 3.0;
+/// Longest leader lease: a slower failover would be worse than a leadership lost to a slow machine.
+const LEADER_LEASE_MAX: Duration = Duration::from_secs(8);
+/// Share of the lease between two renewals: three may fail before the lease expires.
+const RENEWAL_INTERVAL_SHARE: f64 = 0.7 / 3.0;
 
-/// Time of the leader's lease on a machine with such a share of a processor.
-pub fn lease_time(settings: &Settings) -> Duration {
+/// Time of the leader's lease, by the share of a processor that the process has.
+pub fn leader_lease(settings: &Settings) -> Duration {
     let cores = settings.params.resources.cores;
-    let reconnects = Duration::try_from_secs_f64(RECONNECT_CPU_S / cores).unwrap_or(LEASE_TIME_MAX);
-    reconnects.clamp(LEASE_TIME_MIN, LEASE_TIME_MAX)
+    let reconnects =
+        Duration::try_from_secs_f64(RECONNECT_CPU_S / cores).unwrap_or(LEADER_LEASE_MAX);
+    reconnects.clamp(LEADER_LEASE_MIN, LEADER_LEASE_MAX)
 }
 
-/// Time between two renewals of such a lease.
-pub fn renew_every(lease: Duration) -> Duration {
-    lease.mul_f64(RENEWALS)
+/// Time between two renewals of a leader lease.
+pub fn lease_renewal_interval(leader_lease: Duration) -> Duration {
+    leader_lease.mul_f64(RENEWAL_INTERVAL_SHARE)
 }
 
-/// How long a follower's watch stays open.
-pub const WATCH_HOLD: Duration = Duration::from_secs(4);
-/// How long a leader's does: its answer proves the replica complete up to its sending only, and
-/// starts want that proof to be recent.
-pub const LEADER_WATCH_HOLD: Duration = Duration::from_secs(1);
-/// Time for a watch's answer to arrive after it was due.
+/// How long the store keeps a follower's watch open without changes.
+pub const FOLLOWER_WATCH_TIMEOUT: Duration = Duration::from_secs(4);
+/// The same for a leader's watch. The response confirms the replica only as of the sending of the watch,
+/// and starts require a recent confirmation.
+pub const LEADER_WATCH_TIMEOUT: Duration = Duration::from_secs(1);
+/// How long after its timeout the response to a watch may arrive.
 pub const WATCH_GRACE: Duration = Duration::from_millis(1500);
-/// Kept free of a cancellation's time when we answer reports: timers that fire late, and the
-/// moment that a worker takes to kill its tasks.
-const CANCEL_MARGIN: Duration = Duration::from_secs(2);
-/// Oldest replica from which starts are decided and sent: a watch that is answered just before
-/// the next one ends, and one that is answered late.
-pub fn start_freshness(slowness: f64) -> Duration {
-    LEADER_WATCH_HOLD * 2 + WATCH_GRACE.mul_f64(slowness)
+/// Subtracted from the cancellation deadline for the staleness limit of heartbeats: timers may fire late,
+/// and a worker needs a moment to kill its tasks.
+const CANCELLATION_MARGIN: Duration = Duration::from_secs(2);
+/// Staleness bound of the replica for starts: one watch may be answered just before the next one times
+/// out, and that one may be answered late.
+pub fn start_staleness_limit(slowness: f64) -> Duration {
+    LEADER_WATCH_TIMEOUT * 2 + WATCH_GRACE.mul_f64(slowness)
 }
 
-/// How many times as long as on a machine of usual size an answer may take to be taken up.
+/// Factor by which this process may take longer to handle a response than on a machine of usual size.
 pub fn slowness(settings: &Settings) -> f64 {
-    lease_time(settings).as_secs_f64() / LEASE_TIME_MIN.as_secs_f64()
+    leader_lease(settings).as_secs_f64() / LEADER_LEASE_MIN.as_secs_f64()
 }
 
-/// How old our replica may be when a report is answered with 200. A job may have been cancelled,
-/// unseen by us, from the moment on up to which the replica is complete; its tasks must be gone
-/// `cancel_s` later, and an answer lets them live for a lease.
-pub fn answering(settings: &Settings) -> Duration {
-    let w = &settings.params.workers;
-    let drift = w.cancel_s * 2.0 * CLOCK_DRIFT;
-    secs(w.cancel_s - w.lease_s - drift).saturating_sub(CANCEL_MARGIN)
+/// Staleness bound of the replica for answers to heartbeats. A job may have been cancelled unnoticed since
+/// the replica was last confirmed; its tasks must have ended by the cancellation deadline, and an answer
+/// extends the worker's lease, and with it the time they may run.
+pub fn heartbeat_staleness_limit(settings: &Settings) -> Duration {
+    let workers = &settings.params.workers;
+    let drift = workers.cancel_s * 2.0 * CLOCK_DRIFT;
+    secs(workers.cancel_s - workers.lease_s - drift).saturating_sub(CANCELLATION_MARGIN)
 }
 
-/// How long after its lease a leader goes on answering reports at most, however fresh its replica
-/// is. A new leader counts on that for machines that it can't hear.
-pub fn keep_alive_time(settings: &Settings) -> Duration {
-    answering(settings).saturating_sub(WATCH_HOLD + WATCH_GRACE)
+/// How long after the end of its lease a keep-alive leader may answer heartbeats, however fresh its replica
+/// is. A new leader relies on that limit for machines without heartbeats.
+pub fn keep_alive_limit(settings: &Settings) -> Duration {
+    heartbeat_staleness_limit(settings).saturating_sub(FOLLOWER_WATCH_TIMEOUT + WATCH_GRACE)
 }
 
-/// Added to a worker's lease before we count on its end: timers fire late, and the worker
-/// needs a moment to kill its tasks.
-const LEASE_MARGIN: Duration = Duration::from_secs(1);
-/// Reports missed before a machine counts as silent for placement.
-const QUIET_REPORTS: f64 = 2.5;
-/// Reports missed before a machine is given up and returned.
-const LOST_REPORTS: f64 = 3.0;
-/// The workers' timing as durations.
+/// Added to a worker's lease before it counts as expired: timers may fire late, and the worker needs a
+/// moment to kill its tasks.
+const WORKER_LEASE_MARGIN: Duration = Duration::from_secs(1);
+/// Heartbeat intervals without a heartbeat before a machine is suspected, so that no task is placed on it.
+const SUSPECT_INTERVALS: f64 = 2.5;
+/// Heartbeat intervals without a heartbeat before a machine is declared failed and released.
+const FAILED_INTERVALS: f64 = 3.0;
+/// Times of heartbeats, worker leases and gangs.
 #[derive(Clone, Debug)]
 pub struct WorkerTiming {
-    /// Time between reports.
+    /// Time between two heartbeats of a worker.
     pub heartbeat_interval: Duration,
-    /// A worker's lease, as long as it may last on a slow clock, and a margin.
+    /// A worker's lease as it may last on a slow clock, and a margin.
     pub lease: Duration,
-    /// No placement on a machine silent for that long.
+    /// A machine without a heartbeat for that long is suspected: no task is placed on it.
     pub suspect_after: Duration,
-    /// A machine silent for that long is given up.
+    /// A machine without a heartbeat for that long is declared failed.
     pub failed_after: Duration,
-    /// When a worker that nobody of this term has answered has lost what an earlier leader let
-    /// start on it, counted from the take-over: the lead before ended then, whoever had it may
-    /// have kept leases alive for its time, and a lease counts from the report answered.
+    /// Time from the failover until tasks that an earlier leader started on a worker have ended with the
+    /// worker's lease, if nobody of this term has answered the worker. The earlier leader may have
+    /// extended leases up to its keep-alive limit, and a lease counts from the answered heartbeat.
     pub inherited_lease: Duration,
-    /// How soon members of a gang notice a missing one.
+    /// How soon the members of a gang notice that one is lost.
     pub gang_loss_notice: Duration,
-    /// How long a member waits for the others.
+    /// How long a member of a gang waits for the others at the barrier.
     pub gang_barrier_timeout: Duration,
 }
 
 impl WorkerTiming {
     /// From the settings.
     pub fn new(settings: &Settings) -> Self {
-        let w = &settings.params.workers;
+        let workers = &settings.params.workers;
+        let lease = secs(workers.lease_s * (1.0 + CLOCK_DRIFT)) + WORKER_LEASE_MARGIN;
         Self {
-            heartbeat_interval: secs(w.report_s),
-            lease: secs(w.lease_s * (1.0 + CLOCK_DRIFT)) + LEASE_MARGIN,
-            suspect_after: secs(w.report_s * QUIET_REPORTS),
-            failed_after: secs(w.report_s * LOST_REPORTS),
-            inherited_lease: secs(w.lease_s * (1.0 + CLOCK_DRIFT))
-                + LEASE_MARGIN
-                + keep_alive_time(settings),
-            gang_loss_notice: secs(w.gang_peer_s),
-            gang_barrier_timeout: secs(w.gang_wait_s),
+            heartbeat_interval: secs(workers.report_s),
+            lease,
+            suspect_after: secs(workers.report_s * SUSPECT_INTERVALS),
+            failed_after: secs(workers.report_s * FAILED_INTERVALS),
+            inherited_lease: lease + keep_alive_limit(settings),
+            gang_loss_notice: secs(workers.gang_peer_s),
+            gang_barrier_timeout: secs(workers.gang_wait_s),
         }
     }
 }
--- a/src/timing/tests.rs
+++ b/src/timing/tests.rs
@@ -10,12 +10,12 @@
     let mut settings = Settings::parse(text, "the example").unwrap();
     let mut lease_of = |cores: f64| {
         settings.params.resources.cores = cores;
-        lease_time(&settings)
+        leader_lease(&settings)
     };
-    assert_eq!(lease_of(1.0), LEASE_TIME_MIN);
-    assert_eq!(lease_of(0.16), LEASE_TIME_MIN);
-    assert!(lease_of(0.029) > LEASE_TIME_MIN);
+    assert_eq!(lease_of(1.0), LEADER_LEASE_MIN);
+    assert_eq!(lease_of(0.16), LEADER_LEASE_MIN);
+    assert!(lease_of(0.029) > LEADER_LEASE_MIN);
     assert!(lease_of(0.02) > lease_of(0.029));
-    assert_eq!(lease_of(0.0001), LEASE_TIME_MAX);
-    assert_eq!(lease_of(0.0), LEASE_TIME_MAX);
+    assert_eq!(lease_of(0.0001), LEADER_LEASE_MAX);
+    assert_eq!(lease_of(0.0), LEADER_LEASE_MAX);
 }
--- a/tests/common/world.rs
+++ b/tests/common/world.rs
@@ -55,7 +55,7 @@
     to_value, Change, Condition, KeyValue, StoreError, Transaction, TransactionOutcome, Value,
     WatchEvent,
 };
-use knotlanding::timing::{renew_every, LEASE_TIME_MIN};
+use knotlanding::timing::{lease_renewal_interval, LEADER_LEASE_MIN};
 use knotlanding::wire::{
     self, ExitCause, Heartbeat, HeartbeatResponse, ListedMachine, Redirect, TaskPhase, TaskStatus,
     WorkerCommand,
--- a/tests/common/world/controllers.rs
+++ b/tests/common/world/controllers.rs
@@ -274,7 +274,9 @@
                 return;
             }
             let lease = shared.election.lock().lease().unwrap();
-            if !self.nodes[n].renewing && now >= lease.renewed_at() + renew_every(LEASE_TIME_MIN) {
+            if !self.nodes[n].renewing
+                && now >= lease.renewed_at() + lease_renewal_interval(LEADER_LEASE_MIN)
+            {
                 self.nodes[n].renewing = true;
                 self.ask(
                     n,
--- a/tests/common/world/faults.rs
+++ b/tests/common/world/faults.rs
@@ -73,7 +73,7 @@
             Fault::StoreOut => {
                 self.out_until = until;
                 // Every lease has its full time again afterwards.
-                let full = until + LEASE_TIME_MIN.as_secs_f64();
+                let full = until + LEADER_LEASE_MIN.as_secs_f64();
                 self.store.leases.values_mut().for_each(|at| *at = full);
             }
             Fault::RefuseLeader => self.refused = self.leader().map(|n| (n, until)),
--- a/tests/common/world/state_service.rs
+++ b/tests/common/world/state_service.rs
@@ -230,12 +230,12 @@
                 let id = self.store.next_lease;
                 self.store
                     .leases
-                    .insert(id, self.t + LEASE_TIME_MIN.as_secs_f64());
+                    .insert(id, self.t + LEADER_LEASE_MIN.as_secs_f64());
                 StoreResponse::Lease(id)
             }
             StoreRequest::Renew(id) => match self.store.leases.get_mut(&id) {
                 Some(until) => {
-                    *until = self.t + LEASE_TIME_MIN.as_secs_f64();
+                    *until = self.t + LEADER_LEASE_MIN.as_secs_f64();
                     StoreResponse::Fine
                 }
                 None => StoreResponse::LeaseOver,
--- a/tests/formats/requests.rs
+++ b/tests/formats/requests.rs
@@ -126,7 +126,10 @@
     let page = cbor!({"rows" => [row], "more" => true, "epoch" => 431});
     recorder.answer(200, page.unwrap());
     let read = client.page("kl/", None).await.unwrap();
-    assert_eq!((read.rows.len(), read.more, read.revision), (1, true, 431));
+    assert_eq!(
+        (read.key_values.len(), read.more, read.revision),
+        (1, true, 431)
+    );
     client.page("kl/", Some("kl/term")).await.unwrap();
 
     let followed = cbor!({"epoch" => 433, "events" => [
--- a/tests/meetings.rs
+++ b/tests/meetings.rs
@@ -21,7 +21,7 @@
 use knotlanding::store::keys::{self, JobRecord};
 use knotlanding::store::replica::ReplicaChange;
 use knotlanding::store::{to_value, KeyValue, TransactionOutcome};
-use knotlanding::timing::LEASE_TIME_MIN;
+use knotlanding::timing::LEADER_LEASE_MIN;
 use scene::{accepted, array, machine_types};
 
 /// The answer of a node that has nobody to forward the report to.
@@ -283,7 +283,7 @@
         let gone = f64::from(last) + workers.lease_s;
         assert!(gone < 0.5 + workers.cancel_s, "{last} s");
         assert!(
-            f64::from(last) > LEASE_TIME_MIN.as_secs_f64(),
+            f64::from(last) > LEADER_LEASE_MIN.as_secs_f64(),
             "work goes on for a while"
         );
     }
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -560,7 +560,7 @@
     use knotlanding::api::workers::{receive, Reception};
     use knotlanding::leader::Leadership;
     use knotlanding::model::Term;
-    use knotlanding::timing::LEASE_TIME_MIN;
+    use knotlanding::timing::LEADER_LEASE_MIN;
     let text = common::settings_of_nobody();
     let settings = Settings::parse(&text, "a test").unwrap();
     let shared = knotlanding::service::Shared::new(settings);
@@ -605,7 +605,7 @@
         answer.status().as_u16()
     };
     assert_eq!(answered(Duration::ZERO), 200);
-    assert_eq!(answered(LEASE_TIME_MIN), 200, "leases are kept alive");
+    assert_eq!(answered(LEADER_LEASE_MIN), 200, "leases are kept alive");
     let long = Duration::from_secs(60);
     assert_eq!(answered(long), 503, "its time is over");
     let cluster = shared.cluster.lock();
@@ -613,7 +613,7 @@
     let last = machine.answered.unwrap();
     assert_eq!(
         last,
-        start + LEASE_TIME_MIN,
+        start + LEADER_LEASE_MIN,
         "no lease was renewed by the last one"
     );
 }
