--- a/src/cluster/commands.rs
+++ b/src/cluster/commands.rs
@@ -241,7 +241,7 @@
     let waits = machine.instances.iter().any(|(instance, state)| {
         let job = jobs.get(&instance.task.job);
         state.phase == InstancePhase::Planned
-            && job.is_some_and(|job| job.open() && job.may_send(&machine.id))
+            && job.is_some_and(|job| job.open() && job.may_dispatch_to(&machine.id))
     });
     let Some(raised) = machine.token.raised().filter(|_| waits) else {
         return false;
--- a/src/cluster/job.rs
+++ b/src/cluster/job.rs
@@ -19,43 +19,43 @@
     pub attempt: Attempt,
 }
 
-/// Where starts of a job may ever have been sent. On record before the start is, so that a new
-/// leader need not wait for machines on which the job can't be.
+/// Where starts of a job may ever have been sent. Recorded before a start is dispatched, so that a
+/// new leader need not wait for machines on which the job can't be.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Sent {
+pub enum DispatchTargets {
     /// To these machines at most.
-    Hosts(BTreeSet<MachineId>),
+    Machines(BTreeSet<MachineId>),
     /// To any that the job may use.
     Anywhere,
 }
 
-impl Sent {
+impl DispatchTargets {
     /// To no machine so far.
-    pub fn nowhere() -> Self {
-        Self::Hosts(BTreeSet::new())
+    pub fn none() -> Self {
+        Self::Machines(BTreeSet::new())
     }
 
     /// The machines, where they are named.
-    pub fn hosts(&self) -> Option<&BTreeSet<MachineId>> {
+    pub fn machines(&self) -> Option<&BTreeSet<MachineId>> {
         match self {
-            Self::Hosts(hosts) => Some(hosts),
+            Self::Machines(machines) => Some(machines),
             Self::Anywhere => None,
         }
     }
 
     /// Takes more of them.
-    pub fn add(&mut self, more: Sent) {
+    pub fn add(&mut self, more: DispatchTargets) {
         match (&mut *self, more) {
-            (Self::Hosts(hosts), Self::Hosts(more)) => hosts.extend(more),
+            (Self::Machines(machines), Self::Machines(more)) => machines.extend(more),
             (_, Self::Anywhere) => *self = Self::Anywhere,
-            (Self::Anywhere, Self::Hosts(_)) => {}
+            (Self::Anywhere, Self::Machines(_)) => {}
         }
     }
 
     /// Whether starts may be sent there.
     pub fn covers(&self, machine: &MachineId) -> bool {
         match self {
-            Self::Hosts(hosts) => hosts.contains(machine),
+            Self::Machines(machines) => machines.contains(machine),
             Self::Anywhere => true,
         }
     }
@@ -64,7 +64,7 @@
 /// Machines named in a job's record at most, and times the record is written for new ones.
 /// Beyond either it says "anywhere": a large array is everywhere soon.
 const NAMED_MACHINES_MAX: usize = 64;
-const SENT_WRITES_MAX: u32 = 3;
+const DISPATCH_WRITES_MAX: u32 = 3;
 
 /// A job with all places where tasks of it may be.
 #[derive(Clone, Debug)]
@@ -83,15 +83,15 @@
     pub verdict: Verdict,
     /// Cancelled for good, though our replica does not show it yet.
     pub cancellation_requested: bool,
-    /// Whether the record says that starts may have been sent.
-    pub started: Persistence,
+    /// Whether the records say that starts may have been sent.
+    pub dispatch_record: Persistence,
     /// Started in an earlier term: until all machines of that time are settled, tasks of it
     /// may be anywhere.
     pub inherited: bool,
-    /// Where starts of it may ever have been sent, as the record has it.
-    pub sent: Sent,
+    /// Where starts of it may ever have been sent, as the records have it.
+    pub dispatch_targets: DispatchTargets,
     /// Times that this was written.
-    pub sent_writes: u32,
+    pub dispatch_writes: u32,
     /// Completed tasks.
     pub done: DoneSet,
     /// Where each task may be. Normally one place a task.
@@ -116,7 +116,7 @@
     /// Whether versions up to 0.3.0 wrote it down, with a key for its description.
     pub has_own_key: bool,
     /// When its completed tasks were last written down.
-    pub progress_at: Option<Instant>,
+    pub progress_written_at: Option<Instant>,
     /// When a task of it was first seen running, for the metrics.
     pub first_run: Option<Instant>,
     /// Why it waits, for the status page.
@@ -124,36 +124,35 @@
 }
 
 impl Job {
-    /// What the records should say besides of where starts were sent, if they do not cover the
-    /// places planned.
-    pub fn sent_due(&self) -> Option<Sent> {
+    /// The targets that the dispatch records lack, if they do not cover the planned placements.
+    pub fn unrecorded_targets(&self) -> Option<DispatchTargets> {
         let planned = || {
             self.placements
                 .values()
                 .flatten()
                 .map(|placement| &placement.machine)
         };
-        if planned().all(|machine| self.sent.covers(machine)) {
+        if planned().all(|machine| self.dispatch_targets.covers(machine)) {
             return None;
         }
-        let Sent::Hosts(hosts) = &self.sent else {
+        let DispatchTargets::Machines(hosts) = &self.dispatch_targets else {
             return None;
         };
         let more: BTreeSet<MachineId> =
             planned().filter(|m| !hosts.contains(*m)).cloned().collect();
         let all = hosts.len() + more.len();
-        let few = all <= NAMED_MACHINES_MAX && self.sent_writes < SENT_WRITES_MAX;
+        let few = all <= NAMED_MACHINES_MAX && self.dispatch_writes < DISPATCH_WRITES_MAX;
         let gang = self.gang() && all <= NAMED_MACHINES_MAX;
         Some(if few || gang {
-            Sent::Hosts(more)
+            DispatchTargets::Machines(more)
         } else {
-            Sent::Anywhere
+            DispatchTargets::Anywhere
         })
     }
 
-    /// Whether a start may be sent to a machine, by the records.
-    pub fn may_send(&self, machine: &MachineId) -> bool {
-        self.started == Persistence::Written && self.sent.covers(machine)
+    /// Whether a start may be dispatched to a machine, by the records.
+    pub fn may_dispatch_to(&self, machine: &MachineId) -> bool {
+        self.dispatch_record == Persistence::Written && self.dispatch_targets.covers(machine)
     }
 
     /// Whether anybody wants it to run.
--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -5,6 +5,7 @@
 
 mod commands;
 mod detection;
+mod dispatch_log;
 mod display;
 pub mod done;
 mod expiry;
@@ -17,7 +18,6 @@
 mod reconcile;
 mod records;
 mod recovery;
-mod sent;
 mod slow_machines;
 mod sync;
 mod termination;
@@ -30,7 +30,7 @@
 pub use expiry::ARRIVALS_KEPT;
 pub use faults::{FaultAttribution, SuspectedJob};
 pub use intern::{ImageId, Images, MachinePools, PoolId};
-pub use job::{Job, Placement, Sent};
+pub use job::{DispatchTargets, Job, Placement};
 pub use machine::{
     DrainReason, InstanceId, InstancePhase, Listed, Machine, Persistence, TaskInstance, Termination,
 };
@@ -38,7 +38,7 @@
 pub use records::{RecordKind, RecordWrite};
 pub use termination::TerminationEvidence;
 
-use self::sent::SentLists;
+use self::dispatch_log::DispatchLog;
 use crate::model::{JobId, MachineId, MachineType, Term};
 use crate::state_summary::MachineHint;
 use crate::timing::WorkerTiming;
@@ -100,11 +100,11 @@
     /// Versions of the chunks and shards we wrote, which the replica may not show yet.
     versions: HashMap<String, u64>,
     inventory: records::MachineInventory,
-    sent: SentLists,
-    /// When a list was last written.
-    listed_at: Option<Instant>,
-    /// What the lists say of jobs that are not in the cluster state yet.
-    said: HashMap<JobId, Sent>,
+    dispatch_log: DispatchLog,
+    /// When a dispatch record was last written.
+    dispatch_recorded_at: Option<Instant>,
+    /// What the dispatch records say of jobs that are not in the cluster state yet.
+    recovered_targets: HashMap<JobId, DispatchTargets>,
     catalog: Catalog,
 }
 
--- a/src/cluster/quota.rs
+++ b/src/cluster/quota.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use super::{Cluster, Job, Machine, Sent};
+use super::{Cluster, DispatchTargets, Job, Machine};
 use crate::model::{MachineId, Resources};
 
 impl Cluster {
@@ -39,9 +39,9 @@
     if !job.inherited || unreconciled.is_empty() {
         return false;
     }
-    match &job.sent {
-        Sent::Hosts(hosts) => hosts.iter().any(|host| unreconciled.contains(host)),
-        Sent::Anywhere => unreconciled.iter().any(|id| {
+    match &job.dispatch_targets {
+        DispatchTargets::Machines(machines) => machines.iter().any(|id| unreconciled.contains(id)),
+        DispatchTargets::Anywhere => unreconciled.iter().any(|id| {
             let machine = machines.get(id).filter(|machine| machine.pool.is_some());
             // A machine of unknown type may be any.
             machine.is_none_or(|m| job.spec.allows(&m.machine_type, &m.zone, m.spot))
--- a/src/cluster/reconcile/response.rs
+++ b/src/cluster/reconcile/response.rs
@@ -82,7 +82,7 @@
             if let Some(command) = stop_command(instance, state, now) {
                 commands.push(command);
             }
-            let recorded = job.is_some_and(|job| job.may_send(id));
+            let recorded = job.is_some_and(|job| job.may_dispatch_to(id));
             if state.phase == InstancePhase::Planned && wanted && recorded && can_start {
                 state.phase = InstancePhase::Dispatched { in_reply_to };
                 commands.push(run_command(instance));
--- a/src/cluster/records.rs
+++ b/src/cluster/records.rs
@@ -1,14 +1,14 @@
-//! What of the cluster state has to be written down before something else may happen.
+//! The records that have to be in the store before something else may happen.
 //!
-//! Written per job and per batch, never per task: where starts go before they do, the completed
-//! tasks before their `clear`, the verdict, and the roster of machines.
+//! Written per job and per batch, never per task: where starts may go before they are dispatched,
+//! the completed tasks before their `clear`, the verdict, and the machine inventory.
 
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::{Duration, Instant};
 
+use super::dispatch_log::{DispatchEntry, DispatchPage};
 use super::machine::Persistence;
 use super::quota::blocked_by;
-use super::sent::{Entry, Page};
 use super::{Cluster, Job};
 use crate::model::{JobId, MachineId, Priority, Verdict};
 use crate::store::keys::{self, DoneRecord, InventoryRecord, JobRecord};
@@ -16,10 +16,11 @@
 use crate::store::{to_value, Change, Condition, Transaction, TransactionOutcome, WritePriority};
 
 /// Time between two writes of a job's completed tasks while it has others: the machines keep the
-/// results until then, and a large array would otherwise write all of them with every round.
-const PROGRESS_EVERY: Duration = Duration::from_secs(2);
-/// Time between two lists that name only jobs of the lowest rank: the starts of many jobs gather.
-const LOW_LISTS_EVERY: Duration = Duration::from_millis(800);
+/// results until then, and a large array would otherwise write all of them with every scheduling cycle.
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(2);
+/// Time between two dispatch records that name only jobs of the lowest priority: the starts of
+/// many jobs gather.
+const LOW_DISPATCH_INTERVAL: Duration = Duration::from_millis(800);
 
 /// Bytes a machine's name takes in a shard, envelope included.
 const NAME_BYTES: f64 = 32.0;
@@ -31,8 +32,8 @@
 pub struct MachineInventory {
     shards: BTreeMap<usize, BTreeSet<MachineId>>,
     capacity: usize,
-    /// Shards that the records don't show as they are. Machines that are gone are struck off as
-    /// promptly as others are entered: a new leader waits for every machine named.
+    /// Shards that the records don't show as they are. Terminated machines are removed as
+    /// promptly as others are added: a new leader waits for every machine named.
     dirty: BTreeSet<usize>,
     writing: BTreeSet<usize>,
 }
@@ -65,14 +66,14 @@
         if self.shards.values().any(|shard| shard.contains(id)) {
             return;
         }
-        let room = self.shards.iter().find(|(_, s)| s.len() < self.capacity);
+        let free = self.shards.iter().find(|(_, s)| s.len() < self.capacity);
         let next = self.shards.keys().next_back().map_or(0, |last| last + 1);
-        let shard = room.map_or(next, |(shard, _)| *shard);
+        let shard = free.map_or(next, |(shard, _)| *shard);
         self.shards.entry(shard).or_default().insert(id.clone());
         self.dirty.insert(shard);
     }
 
-    /// The machine is gone. The record follows with the next write.
+    /// The machine is confirmed terminated. The record follows with the next write.
     pub fn remove(&mut self, id: &MachineId) {
         for (shard, names) in &mut self.shards {
             if names.remove(id) {
@@ -97,16 +98,39 @@
 /// What a write is for, so that its outcome can be taken in.
 #[derive(Debug, Clone)]
 pub enum RecordKind {
-    /// A list of jobs with where starts of them may be sent; without jobs, the list goes.
-    Sent(String, Vec<Entry>),
+    /// A dispatch record: jobs with where starts of them may be sent. Without jobs, it is deleted.
+    Dispatch {
+        /// Its key.
+        key: String,
+        /// The jobs.
+        entries: Vec<DispatchEntry>,
+    },
     /// A chunk of the job's completed tasks.
-    Done(JobId, usize, String),
-    /// The verdict `done`; the job's other records go with it.
-    Finished(JobId),
-    /// A cancelled job's records go.
-    Retired(JobId),
-    /// A shard of the roster.
-    Inventory(usize, Vec<MachineId>),
+    Progress {
+        /// The job.
+        job: JobId,
+        /// The number of the chunk.
+        chunk: usize,
+        /// The completed tasks in it, see [`super::done::DoneSet::encode`].
+        digits: String,
+    },
+    /// The verdict `done`; the job's other records are deleted with it.
+    Finished {
+        /// The job.
+        job: JobId,
+    },
+    /// A cancelled job's records are deleted.
+    Retired {
+        /// The job.
+        job: JobId,
+    },
+    /// A shard of the machine inventory.
+    Inventory {
+        /// The number of the shard.
+        shard: usize,
+        /// The machines in it.
+        machines: Vec<MachineId>,
+    },
 }
 
 /// A write the cluster state waits for.
@@ -120,8 +144,8 @@
     pub urgency: WritePriority,
 }
 
-/// The change by which a job's records go, but for its verdict.
-fn records_go(id: &JobId, job: &Job, verdict: Verdict) -> Vec<Change> {
+/// The changes that delete a job's records, but for its verdict.
+fn delete_records(id: &JobId, job: &Job, verdict: Verdict) -> Vec<Change> {
     let record = JobRecord::bare(verdict, job.spec.tasks);
     let mut apply = vec![Change::put(keys::job(id), to_value(&record))];
     if job.has_own_key {
@@ -132,7 +156,10 @@
     apply
 }
 
-/// How soon starts of such jobs have to be sent.
+/// Dispatches that are to be recorded, by the urgency of their jobs.
+type DueDispatches = BTreeMap<WritePriority, Vec<DispatchEntry>>;
+
+/// How soon starts of such jobs have to be dispatched.
 fn urgency_of(priority: Priority) -> WritePriority {
     if priority == Priority::BestEffort {
         WritePriority::Low
@@ -141,6 +168,83 @@
     }
 }
 
+/// The write by which a job ends in the records, if it is due.
+fn verdict_write(id: &JobId, job: &Job, blocked: bool) -> Option<RecordWrite> {
+    let all_done = job.done.len() == job.spec.tasks;
+    let (kind, verdict, urgency) = match job.verdict {
+        Verdict::Accepted if all_done && !job.has_placements() => (
+            RecordKind::Finished { job: id.clone() },
+            Verdict::Done,
+            WritePriority::High,
+        ),
+        Verdict::Cancelled if !(job.has_placements() || blocked) => (
+            RecordKind::Retired { job: id.clone() },
+            Verdict::Cancelled,
+            WritePriority::Progress,
+        ),
+        Verdict::Accepted | Verdict::Cancelled | Verdict::Done => return None,
+    };
+    let conditions = vec![Condition::new(keys::job(id), job.version)];
+    Some(RecordWrite {
+        kind,
+        group: Transaction::new(conditions, delete_records(id, job, verdict)),
+        urgency,
+    })
+}
+
+/// The versions of records by which a write is conditional: the later of our own and the replica's.
+struct KnownVersions<'a> {
+    own: &'a HashMap<String, u64>,
+    replica: &'a Replica,
+}
+
+impl KnownVersions<'_> {
+    fn own(&self, key: &str) -> u64 {
+        self.own.get(key).copied().unwrap_or(0)
+    }
+
+    fn of_chunk(&self, key: &str, id: &JobId, chunk: usize) -> u64 {
+        self.own(key).max(self.replica.done_version(id, chunk))
+    }
+
+    fn of_shard(&self, key: &str, shard: usize) -> u64 {
+        self.own(key).max(self.replica.inventory_version(shard))
+    }
+}
+
+/// The write of a chunk of completed tasks, if one is due.
+fn progress_write(
+    id: &JobId,
+    job: &mut Job,
+    versions: &KnownVersions,
+    now: Instant,
+) -> Option<RecordWrite> {
+    let rested = job
+        .progress_written_at
+        .is_none_or(|at| now.saturating_duration_since(at) >= PROGRESS_INTERVAL);
+    let chunk = job.done.dirty_chunk().filter(|_| rested)?;
+    job.progress_written_at = Some(now);
+    let digits = job.done.encode(chunk);
+    let record = DoneRecord {
+        bits: digits.clone(),
+    };
+    let key = keys::done(id, chunk);
+    let version = versions.of_chunk(&key, id, chunk);
+    let conditions = vec![
+        Condition::new(keys::job(id), job.version),
+        Condition::new(key.clone(), version),
+    ];
+    Some(RecordWrite {
+        kind: RecordKind::Progress {
+            job: id.clone(),
+            chunk,
+            digits,
+        },
+        group: Transaction::new(conditions, vec![Change::put(key, to_value(&record))]),
+        urgency: WritePriority::Progress,
+    })
+}
+
 impl Cluster {
     /// The writes that are due. Each is marked as under way until
     /// [`Cluster::written`] takes its outcome.
@@ -150,62 +254,89 @@
     /// then undo a newer one.
     pub fn due_writes(&mut self, replica: &Replica, now: Instant) -> Vec<RecordWrite> {
         let mut writes = Vec::new();
-        let mut starts: BTreeMap<WritePriority, Vec<Entry>> = BTreeMap::new();
+        let dispatches = self.due_job_writes(replica, &mut writes, now);
+        self.due_dispatch_writes(dispatches, &mut writes, now);
+        self.due_inventory_writes(replica, &mut writes);
+        writes
+    }
+
+    /// Adds the writes of verdicts and of progress; the dispatches that are to be recorded.
+    fn due_job_writes(
+        &mut self,
+        replica: &Replica,
+        writes: &mut Vec<RecordWrite>,
+        now: Instant,
+    ) -> DueDispatches {
+        let mut dispatches = DueDispatches::new();
+        let versions = KnownVersions {
+            own: &self.versions,
+            replica,
+        };
         for (id, job) in &mut self.jobs {
-            if job.writing {
+            // What is cancelled without the replica showing it will be seen to in a moment.
+            let cancelling = job.cancellation_requested && job.verdict == Verdict::Accepted;
+            if job.writing || cancelling {
                 continue;
             }
             let blocked = blocked_by(&self.unreconciled, &self.machines, job);
-            let mut conditions = vec![Condition::new(keys::job(id), job.version)];
-            let all_done = job.done.len() == job.spec.tasks;
-            let rested = job
-                .progress_at
-                .is_none_or(|at| now.saturating_duration_since(at) >= PROGRESS_EVERY);
-            if job.cancellation_requested && job.verdict == Verdict::Accepted {
-                // The records say otherwise, and will be seen to in a moment.
-                continue;
-            }
-            let (kind, apply, urgency) = match job.verdict {
-                Verdict::Accepted if all_done && !job.has_placements() => (
-                    RecordKind::Finished(id.clone()),
-                    records_go(id, job, Verdict::Done),
-                    WritePriority::High,
-                ),
-                Verdict::Cancelled if !(job.has_placements() || blocked) => (
-                    RecordKind::Retired(id.clone()),
-                    records_go(id, job, Verdict::Cancelled),
-                    WritePriority::Progress,
-                ),
-                Verdict::Accepted => {
-                    if let Some(sent) = job.sent_due() {
-                        let due = starts.entry(urgency_of(job.spec.priority)).or_default();
-                        due.push((id.clone(), sent));
-                        continue;
-                    }
-                    let Some(chunk) = job.done.dirty_chunk().filter(|_| rested) else {
-                        continue;
-                    };
-                    job.progress_at = Some(now);
-                    let bits = job.done.encode(chunk);
-                    let record = DoneRecord { bits: bits.clone() };
-                    let key = keys::done(id, chunk);
-                    let own = self.versions.get(&key).copied().unwrap_or(0);
-                    let version = own.max(replica.done_version(id, chunk));
-                    conditions.push(Condition::new(key.clone(), version));
-                    let kind = RecordKind::Done(id.clone(), chunk, bits);
-                    let apply = vec![Change::put(key, to_value(&record))];
-                    (kind, apply, WritePriority::Progress)
+            let mut write = verdict_write(id, job, blocked);
+            if write.is_none() && job.verdict == Verdict::Accepted {
+                if let Some(targets) = job.unrecorded_targets() {
+                    let due = dispatches.entry(urgency_of(job.spec.priority)).or_default();
+                    let job = id.clone();
+                    due.push(DispatchEntry { job, targets });
+                    continue;
                 }
-                Verdict::Cancelled | Verdict::Done => continue,
+                write = progress_write(id, job, &versions, now);
+            }
+            if let Some(write) = write {
+                job.writing = true;
+                writes.push(write);
+            }
+        }
+        dispatches
+    }
+
+    /// Adds dispatch records for the starts that are due, the urgent ones first, and the deletion
+    /// of one that nobody needs.
+    fn due_dispatch_writes(
+        &mut self,
+        dispatches: DueDispatches,
+        writes: &mut Vec<RecordWrite>,
+        now: Instant,
+    ) {
+        let highest = dispatches.keys().next().copied();
+        let rested = self
+            .dispatch_recorded_at
+            .is_none_or(|at| now.saturating_duration_since(at) >= LOW_DISPATCH_INTERVAL);
+        let highest = highest.filter(|urgency| *urgency != WritePriority::Low || rested);
+        if highest.is_some() {
+            self.dispatch_recorded_at = Some(now);
+        }
+        // Entries that could wait go along with those that can't.
+        let mut due: Vec<DispatchEntry> = dispatches.into_values().flatten().collect();
+        while let Some(urgency) =
+            highest.filter(|_| !due.is_empty() && self.dispatch_log.may_write())
+        {
+            let Some(page) = self.dispatch_log.next_page(&mut due) else {
+                break;
             };
-            job.writing = true;
-            writes.push(RecordWrite {
-                kind,
-                group: Transaction::new(conditions, apply),
-                urgency,
-            });
+            for entry in &page.entries {
+                if let Some(job) = self.jobs.get_mut(&entry.job) {
+                    job.writing = true;
+                }
+            }
+            writes.push(dispatch_write(page, urgency));
         }
-        self.due_lists(starts, &mut writes, now);
+        // A deletion that waits for its turn must not keep a record from being written.
+        if due.is_empty() && self.dispatch_log.is_idle() {
+            let surplus = self.dispatch_log.surplus();
+            writes.extend(surplus.map(|page| dispatch_write(page, WritePriority::Progress)));
+        }
+    }
+
+    /// Adds the shards of the machine inventory that the records don't show as they are.
+    fn due_inventory_writes(&mut self, replica: &Replica, writes: &mut Vec<RecordWrite>) {
         for machine in self.machines.values_mut() {
             if machine.last_heartbeat.is_some()
                 && machine.inventory_record == Persistence::NotWritten
@@ -214,131 +345,123 @@
                 self.inventory.add(&machine.id);
             }
         }
-        for (shard, names) in self.inventory.due() {
+        let versions = KnownVersions {
+            own: &self.versions,
+            replica,
+        };
+        for (shard, machines) in self.inventory.due() {
             let record = InventoryRecord {
-                machines: names.iter().map(|id| id.0.to_string()).collect(),
+                machines: machines.iter().map(|id| id.0.to_string()).collect(),
             };
             let key = keys::inventory(shard);
-            let own = self.versions.get(&key).copied().unwrap_or(0);
-            let version = own.max(replica.inventory_version(shard));
+            let version = versions.of_shard(&key, shard);
             let conditions = vec![Condition::new(key.clone(), version)];
             let changes = vec![Change::put(key, to_value(&record))];
             writes.push(RecordWrite {
-                kind: RecordKind::Inventory(shard, names),
+                kind: RecordKind::Inventory { shard, machines },
                 group: Transaction::new(conditions, changes),
                 urgency: WritePriority::High,
             });
         }
-        writes
     }
 
-    /// Lists of the starts that are due, the urgent ones first, and one that nobody needs.
-    fn due_lists(
-        &mut self,
-        starts: BTreeMap<WritePriority, Vec<Entry>>,
-        writes: &mut Vec<RecordWrite>,
-        now: Instant,
-    ) {
-        let mut add = |page: Page, urgency| {
-            writes.push(RecordWrite {
-                kind: RecordKind::Sent(page.key, page.entries),
-                group: Transaction::new(vec![page.conditions], vec![page.change]),
-                urgency,
-            });
+    /// Takes a write's outcome. Whatever is not known to be written is written again.
+    pub fn written(&mut self, kind: &RecordKind, outcome: &TransactionOutcome) {
+        self.dirty = true;
+        let committed = outcome.committed();
+        let version = match outcome {
+            TransactionOutcome::Committed(revision) => Some(*revision),
+            _ => None,
         };
-        let most = starts.keys().next().copied();
-        let rested = self
-            .listed_at
-            .is_none_or(|at| now.saturating_duration_since(at) >= LOW_LISTS_EVERY);
-        let most = most.filter(|urgency| *urgency != WritePriority::Low || rested);
-        if most.is_some() {
-            self.listed_at = Some(now);
-        }
-        // Who can wait goes along with who can't.
-        let mut due: Vec<Entry> = starts.into_values().flatten().collect();
-        while let Some(urgency) = most.filter(|_| !due.is_empty() && self.sent.may_write()) {
-            let Some(page) = self.sent.page(&mut due) else {
-                break;
-            };
-            for (id, _) in &page.entries {
-                if let Some(job) = self.jobs.get_mut(id) {
-                    job.writing = true;
-                }
+        match kind {
+            RecordKind::Dispatch { key, entries } => {
+                self.dispatch_written(key, entries, committed, version);
             }
-            add(page, urgency);
-        }
-        // A delete that waits for its turn must not keep a list from being written.
-        if due.is_empty() && self.sent.at_rest() {
-            if let Some(page) = self.sent.surplus() {
-                add(page, WritePriority::Progress);
+            RecordKind::Progress { job, chunk, digits } => {
+                self.note_version(keys::done(job, *chunk), version);
+                self.progress_written(job, *chunk, digits, committed);
+            }
+            RecordKind::Finished { job } | RecordKind::Retired { job } => {
+                self.verdict_written(job, committed);
+            }
+            RecordKind::Inventory { shard, machines } => {
+                self.note_version(keys::inventory(*shard), version);
+                self.inventory_written(*shard, machines, committed);
             }
         }
     }
 
-    /// Takes a write's outcome. Whatever is not known to be written is written again.
-    pub fn written(&mut self, kind: &RecordKind, outcome: &TransactionOutcome) {
-        let ok = outcome.committed();
-        self.dirty = true;
-        if let TransactionOutcome::Committed(revision) = outcome {
-            let key = match kind {
-                RecordKind::Done(id, chunk, _) => Some(keys::done(id, *chunk)),
-                RecordKind::Inventory(shard, _) => Some(keys::inventory(*shard)),
-                _ => None,
+    fn note_version(&mut self, key: String, version: Option<u64>) {
+        if let Some(version) = version {
+            self.versions.insert(key, version);
+        }
+    }
+
+    fn dispatch_written(
+        &mut self,
+        key: &str,
+        entries: &[DispatchEntry],
+        committed: bool,
+        version: Option<u64>,
+    ) {
+        let jobs = entries.iter().map(|entry| entry.job.clone());
+        let known = jobs.filter(|id| self.jobs.contains_key(id)).collect();
+        self.dispatch_log.written(key, known, version);
+        for entry in entries {
+            let Some(job) = self.jobs.get_mut(&entry.job) else {
+                continue;
             };
-            if let Some(key) = key {
-                self.versions.insert(key, *revision);
+            job.writing = false;
+            if committed {
+                job.dispatch_record = Persistence::Written;
+                job.dispatch_targets.add(entry.targets.clone());
+                job.dispatch_writes += 1;
             }
         }
-        match kind {
-            RecordKind::Sent(key, entries) => {
-                let version = match outcome {
-                    TransactionOutcome::Committed(revision) => Some(*revision),
-                    _ => None,
-                };
-                let jobs = entries.iter().map(|(id, _)| id.clone());
-                let known = jobs.filter(|id| self.jobs.contains_key(id)).collect();
-                self.sent.written(key, known, version);
-                for (id, sent) in entries {
-                    if let Some(job) = self.jobs.get_mut(id) {
-                        job.writing = false;
-                        if ok {
-                            job.started = Persistence::Written;
-                            job.sent.add(sent.clone());
-                            job.sent_writes += 1;
-                        }
-                    }
-                }
-            }
-            RecordKind::Done(id, chunk, bits) => {
-                if let Some(job) = self.jobs.get_mut(id) {
-                    job.writing = false;
-                    if ok {
-                        job.done.mark_durable(*chunk, bits);
-                    } else {
-                        job.progress_at = None;
-                    }
-                }
-            }
-            RecordKind::Finished(id) | RecordKind::Retired(id) => {
-                if ok {
-                    self.forget_job(id);
-                } else if let Some(job) = self.jobs.get_mut(id) {
-                    job.writing = false;
-                }
-            }
-            RecordKind::Inventory(shard, names) => {
-                self.inventory.writing.remove(shard);
-                if !ok {
-                    self.inventory.dirty.insert(*shard);
-                }
-                for id in names {
-                    if let Some(machine) = self.machines.get_mut(id) {
-                        if ok {
-                            machine.inventory_record = Persistence::Written;
-                        }
-                    }
-                }
+    }
+
+    fn progress_written(&mut self, id: &JobId, chunk: usize, digits: &str, committed: bool) {
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        job.writing = false;
+        if committed {
+            job.done.mark_durable(chunk, digits);
+        } else {
+            job.progress_written_at = None;
+        }
+    }
+
+    fn verdict_written(&mut self, id: &JobId, committed: bool) {
+        if committed {
+            self.forget_job(id);
+        } else if let Some(job) = self.jobs.get_mut(id) {
+            job.writing = false;
+        }
+    }
+
+    fn inventory_written(&mut self, shard: usize, machines: &[MachineId], committed: bool) {
+        self.inventory.writing.remove(&shard);
+        if !committed {
+            self.inventory.dirty.insert(shard);
+            return;
+        }
+        for id in machines {
+            if let Some(machine) = self.machines.get_mut(id) {
+                machine.inventory_record = Persistence::Written;
             }
         }
     }
 }
+
+/// The write of a dispatch record.
+fn dispatch_write(page: DispatchPage, urgency: WritePriority) -> RecordWrite {
+    RecordWrite {
+        kind: RecordKind::Dispatch {
+            key: page.key,
+            entries: page.entries,
+        },
+        group: Transaction::new(vec![page.condition], vec![page.change]),
+        urgency,
+    }
+}
--- a/src/cluster/recovery.rs
+++ b/src/cluster/recovery.rs
@@ -6,7 +6,7 @@
 
 use tracing::info;
 
-use super::sent::SentLists;
+use super::dispatch_log::DispatchLog;
 use super::{
     commands, done, records, Catalog, Changed, Cluster, Images, Machine, MachinePools, Persistence,
 };
@@ -29,7 +29,8 @@
         let inventory =
             records::MachineInventory::load(&replica.inventory, settings.params.state.value_kb);
         let unreconciled: BTreeSet<MachineId> = inventory.machines().cloned().collect();
-        let (sent, said) = SentLists::load(term, &replica.sent, settings.params.state.value_kb);
+        let (dispatch_log, recovered_targets) =
+            DispatchLog::load(term, &replica.sent, settings.params.state.value_kb);
         let mut cluster = Self {
             term,
             since: now,
@@ -54,9 +55,9 @@
             versions: HashMap::new(),
             chunk: done::chunk_size(settings.params.state.value_kb),
             inventory,
-            sent,
-            listed_at: None,
-            said,
+            dispatch_log,
+            dispatch_recorded_at: None,
+            recovered_targets,
             catalog,
         };
         cluster.recover_machines(now);
@@ -80,9 +81,9 @@
             self.sync_job(&id, replica, now, wall, true);
         }
         // Of whatever else is listed no task can be anywhere.
-        self.said.clear();
+        self.recovered_targets.clear();
         let jobs = &self.jobs;
-        self.sent.keep(|id| jobs.contains_key(id));
+        self.dispatch_log.keep(|id| jobs.contains_key(id));
     }
 
     /// Takes an earlier leader's summary of the machines. Those that are gone must not come back
--- a/src/cluster/sync.rs
+++ b/src/cluster/sync.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant, SystemTime};
 
 use super::done::DoneSet;
-use super::{Cluster, Job, Listed, Machine, Persistence, Sent, TerminationEvidence};
+use super::{Cluster, DispatchTargets, Job, Listed, Machine, Persistence, TerminationEvidence};
 use crate::model::{JobId, MachineId, MachinePool, Verdict};
 use crate::state_summary::GONE_MACHINES_KEPT;
 use crate::store::keys;
@@ -48,17 +48,17 @@
         };
         let record = &live.record;
         // What starts there were, by all that the records say.
-        let listed = self.said.remove(id);
+        let listed = self.recovered_targets.remove(id);
         let started = record.started || listed.is_some();
-        let mut sent = match &record.hosts {
-            Some(hosts) => {
-                Sent::Hosts(hosts.iter().map(|h| MachineId(h.as_str().into())).collect())
-            }
-            None if record.started => Sent::Anywhere,
-            None => Sent::nowhere(),
+        let mut dispatch_targets = match &record.hosts {
+            Some(hosts) => DispatchTargets::Machines(
+                hosts.iter().map(|h| MachineId(h.as_str().into())).collect(),
+            ),
+            None if record.started => DispatchTargets::Anywhere,
+            None => DispatchTargets::none(),
         };
         if let Some(listed) = listed {
-            sent.add(listed);
+            dispatch_targets.add(listed);
         }
         let age_ms = unix_ms(wall).saturating_sub(record.submitted_ms);
         let age = Duration::from_millis(age_ms);
@@ -80,14 +80,14 @@
             version: verdict.version,
             verdict: verdict.record.0,
             cancellation_requested: false,
-            started: if started {
+            dispatch_record: if started {
                 Persistence::Written
             } else {
                 Persistence::NotWritten
             },
             inherited: started,
-            sent,
-            sent_writes: 0,
+            dispatch_targets,
+            dispatch_writes: 0,
             done,
             placements: BTreeMap::new(),
             attempt: None,
@@ -99,7 +99,7 @@
             suspicion: None,
             writing: false,
             has_own_key: live.has_own_key,
-            progress_at: None,
+            progress_written_at: None,
             first_run: None,
             pending_reason: "its first round",
         };
@@ -112,10 +112,10 @@
             for chunk in 0..job.done.chunks() {
                 self.versions.remove(&keys::done(id, chunk));
             }
-            self.sent.over(id);
+            self.dispatch_log.over(id);
             for machine in self.machines.values_mut().filter(|m| m.commands_pending()) {
                 machine.instances.retain(|instance, state| {
-                    // What was never sent needs no memory; the rest stays until it is gone.
+                    // What was never dispatched needs no memory; the rest stays until it is terminated.
                     instance.task.job != *id || state.sent()
                 });
                 machine.recount();
--- a/tests/common/scene.rs
+++ b/tests/common/scene.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant, SystemTime};
 
 use knotlanding::cluster::{
-    AddressedCommand, Cluster, HeartbeatOrdering, HeartbeatSource, RecordKind, Sent,
+    AddressedCommand, Cluster, DispatchTargets, HeartbeatOrdering, HeartbeatSource, RecordKind,
 };
 use knotlanding::config::Settings;
 use knotlanding::fleet::{self, FleetView, IdlePolicy, Market};
@@ -273,17 +273,23 @@
                 TransactionOutcome::Failed(StoreError::Refused(503))
             };
             let what = match &write.kind {
-                RecordKind::Sent(_, jobs) => {
-                    let each = jobs.iter().map(|(id, sent)| match sent {
-                        Sent::Anywhere => format!("{id} anywhere"),
-                        Sent::Hosts(hosts) => format!("{id} to {hosts:?} at most"),
+                RecordKind::Dispatch { entries, .. } => {
+                    let each = entries.iter().map(|entry| match &entry.targets {
+                        DispatchTargets::Anywhere => format!("{} anywhere", entry.job),
+                        DispatchTargets::Machines(machines) => {
+                            format!("{} to {machines:?} at most", entry.job)
+                        }
                     });
                     format!("starts: {}", each.collect::<Vec<_>>().join("; "))
                 }
-                RecordKind::Done(id, chunk, bits) => format!("{id} done chunk {chunk} = {bits}"),
-                RecordKind::Finished(id) => format!("{id} is done"),
-                RecordKind::Retired(id) => format!("{id} retired"),
-                RecordKind::Inventory(shard, names) => format!("roster {shard} = {names:?}"),
+                RecordKind::Progress { job, chunk, digits } => {
+                    format!("{job} done chunk {chunk} = {digits}")
+                }
+                RecordKind::Finished { job } => format!("{job} is done"),
+                RecordKind::Retired { job } => format!("{job} retired"),
+                RecordKind::Inventory { shard, machines } => {
+                    format!("roster {shard} = {machines:?}")
+                }
             };
             self.note(&format!(
                 "write {}: {what}",
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -49,7 +49,7 @@
     let mut written = BTreeSet::new();
     for write in &writes {
         assert!(write.group.changes.len() <= limits.txn_ops);
-        let RecordKind::Inventory(_, machines) = &write.kind else {
+        let RecordKind::Inventory { machines, .. } = &write.kind else {
             panic!("{:?}", write.kind);
         };
         written.extend(machines.iter().cloned());
