--- a/src/cluster/instances.rs
+++ b/src/cluster/instances.rs
@@ -5,8 +5,6 @@
 
 use std::time::Instant;
 
-use tracing::debug;
-
 use super::{
     Cluster, InstanceId, InstancePhase, Placement, TaskInstance, Termination, TerminationEvidence,
 };
@@ -156,7 +154,7 @@
         instance: &InstanceId,
         evidence: TerminationEvidence,
     ) {
-        debug!(%machine, task = %instance.task, ?evidence, "task terminated");
+        evidence.log(machine, &instance.task);
         let Some(job) = self.jobs.get_mut(&instance.task.job) else {
             return;
         };
--- a/src/cluster/machine.rs
+++ b/src/cluster/machine.rs
@@ -9,6 +9,7 @@
 
 use super::faults::FaultAttribution;
 use super::placement_refusal::PlacementRefusal;
+use super::termination::TerminationEvidence;
 use super::{ImageId, MessageOrder, PoolId};
 use crate::model::{Attempt, FencingToken, JobId, JobSpec, MachineId, Resources, TaskId};
 use crate::wire::{ExitCause, BODY_LIMIT};
@@ -389,9 +390,23 @@
         self.placement_refusal(now, suspect_after).is_none()
     }
 
+    /// Drops the planned starts of a job that is over. What was dispatched stays until there is
+    /// evidence of its termination.
+    pub(super) fn drop_plans_of(&mut self, job: &JobId) {
+        let id = &self.id;
+        self.instances.retain(|instance, state| {
+            let keep = instance.task.job != *job || state.is_dispatched();
+            if !keep {
+                TerminationEvidence::NeverDispatched.log(id, &instance.task);
+            }
+            keep
+        });
+        self.recount();
+    }
+
     /// Something we sent had no effect: it gets no starts until it shows a token that it can have
     /// only from an answer of ours from now on.
-    pub fn doubt(&mut self, now: Instant) {
+    pub(super) fn require_confirmation(&mut self, now: Instant) {
         if let Some(raised) = self.token.raised().filter(|_| self.reachability.fine()) {
             self.token = raised;
             self.reachability.doubt(raised.0, now);
--- a/src/cluster/reconcile/absence.rs
+++ b/src/cluster/reconcile/absence.rs
@@ -8,7 +8,7 @@
 
 /// What a heartbeat of that order, from which an instance is absent, shows of it: nothing as
 /// long as a start may still be on its way.
-fn evidence_of_absence(
+pub(super) fn evidence_of_absence(
     state: &TaskInstance,
     order: MessageOrder,
     source: HeartbeatSource,
@@ -59,7 +59,7 @@
         }
         if let Some(machine) = self.machines.get_mut(id).filter(|_| start_lost) {
             // An answer of ours did not arrive: the next one may not either.
-            machine.doubt(now);
+            machine.require_confirmation(now);
         }
     }
 }
--- a/src/cluster/reconcile/machine_status.rs
+++ b/src/cluster/reconcile/machine_status.rs
@@ -1,16 +1,45 @@
 //! What a heartbeat says of the machine itself: its order, description, notice and token.
 
-use std::time::Instant;
+use std::time::{Duration, Instant};
 
 use tracing::{info, warn};
 
 use super::MessageOrder;
-use crate::cluster::InstanceId;
-use crate::cluster::{Cluster, TerminationEvidence};
+use crate::cluster::{Cluster, InstanceId, Machine, TerminationEvidence};
 use crate::model::{FencingToken, MachineId};
 use crate::time::secs;
 use crate::wire::Heartbeat;
 
+impl Machine {
+    /// A later epoch although our last answer should still hold the lease: the answer did not
+    /// arrive.
+    fn note_lost_lease(&mut self, order: MessageOrder, lease: Duration, now: Instant) {
+        let later_epoch = self.last_heartbeat.is_some() && order.epoch > self.last_message.epoch;
+        let lease_held = self
+            .last_answered
+            .is_some_and(|at| now.saturating_duration_since(at) < lease);
+        if later_epoch && lease_held {
+            warn!(machine = %self.id, epoch = order.epoch, "worker lease ended although answered");
+            self.require_confirmation(now);
+        }
+    }
+
+    /// Takes the notice that the cloud will take the machine away, or that it will not; whether
+    /// that is new.
+    fn apply_spot_notice(&mut self, notice_s: Option<f64>, now: Instant) -> bool {
+        let before = self.spot_deadline;
+        self.spot_deadline = notice_s.map(|s| now + secs(s));
+        let changed = before.is_some() != self.spot_deadline.is_some();
+        if changed {
+            match notice_s {
+                Some(notice_s) => info!(machine = %self.id, notice_s, "spot notice received"),
+                None => info!(machine = %self.id, "spot notice withdrawn"),
+            }
+        }
+        changed
+    }
+}
+
 impl Cluster {
     /// Applies all of a newer heartbeat but its tasks; whether the machine was busy before it.
     pub(super) fn apply_machine_status(
@@ -19,40 +48,21 @@
         heartbeat: &Heartbeat,
         now: Instant,
     ) -> Option<bool> {
-        self.note_lost_lease(id, heartbeat, now);
+        let order = MessageOrder::of(heartbeat);
         let machine = self.machines.get_mut(id)?;
-        machine.last_message = MessageOrder::of(heartbeat);
+        machine.note_lost_lease(order, self.timing.lease, now);
+        machine.last_message = order;
         machine.pending_probe = None;
         machine.unanswered_commands = 0;
         machine.first_heartbeat.get_or_insert(now);
-        if machine.last_heartbeat.is_none() {
+        self.scheduling_needed |= machine.apply_spot_notice(heartbeat.notice_s, now);
+        if machine.last_heartbeat.replace(now).is_none() {
             self.note_first_heartbeat(id, now);
         }
-        let machine = self.machines.get_mut(id)?;
-        machine.last_heartbeat = Some(now);
         self.apply_description(id, heartbeat);
-        self.apply_spot_notice(id, heartbeat, now);
         self.apply_token(id, heartbeat)
     }
 
-    /// A later epoch although our last answer should still hold the lease: the answer did not
-    /// arrive.
-    fn note_lost_lease(&mut self, id: &MachineId, heartbeat: &Heartbeat, now: Instant) {
-        let lease = self.timing.lease;
-        let Some(machine) = self.machines.get_mut(id) else {
-            return;
-        };
-        let later_epoch =
-            machine.last_heartbeat.is_some() && heartbeat.epoch > machine.last_message.epoch;
-        let lease_held = machine
-            .last_answered
-            .is_some_and(|at| now.saturating_duration_since(at) < lease);
-        if later_epoch && lease_held {
-            warn!(machine = %id, epoch = heartbeat.epoch, "worker lease ended although answered");
-            machine.doubt(now);
-        }
-    }
-
     /// The first heartbeat of this term: the images of the machine are known from an earlier
     /// leader's summary.
     fn note_first_heartbeat(&mut self, id: &MachineId, now: Instant) {
@@ -92,22 +102,6 @@
         }
     }
 
-    /// Applies the notice that the cloud will take the machine away, or that it will not.
-    fn apply_spot_notice(&mut self, id: &MachineId, heartbeat: &Heartbeat, now: Instant) {
-        let Some(machine) = self.machines.get_mut(id) else {
-            return;
-        };
-        let spot_deadline = heartbeat.notice_s.map(|s| now + secs(s));
-        if machine.spot_deadline.is_some() != spot_deadline.is_some() {
-            match heartbeat.notice_s {
-                Some(notice_s) => info!(machine = %id, notice_s, "spot notice received"),
-                None => info!(machine = %id, "spot notice withdrawn"),
-            }
-            self.scheduling_needed = true;
-        }
-        machine.spot_deadline = spot_deadline;
-    }
-
     /// Applies the token that the machine has seen, and whether it may hold anything; whether it
     /// was busy before.
     fn apply_token(&mut self, id: &MachineId, heartbeat: &Heartbeat) -> Option<bool> {
--- a/src/cluster/sync.rs
+++ b/src/cluster/sync.rs
@@ -129,18 +129,15 @@
 
     /// Removes a job that is over.
     pub(super) fn forget_job(&mut self, id: &JobId) {
-        if let Some(job) = self.jobs.remove(id) {
-            for chunk in 0..job.done.chunks() {
-                self.written_versions.remove(&keys::done(id, chunk));
-            }
-            self.dispatch_log.over(id);
-            for machine in self.machines.values_mut().filter(|m| m.commands_pending()) {
-                machine.instances.retain(|instance, state| {
-                    // What was never dispatched needs no memory; the rest stays until it is terminated.
-                    instance.task.job != *id || state.is_dispatched()
-                });
-                machine.recount();
-            }
+        let Some(job) = self.jobs.remove(id) else {
+            return;
+        };
+        for chunk in 0..job.done.chunks() {
+            self.written_versions.remove(&keys::done(id, chunk));
+        }
+        self.dispatch_log.over(id);
+        for machine in self.machines.values_mut().filter(|m| m.commands_pending()) {
+            machine.drop_plans_of(id);
         }
     }
 
--- a/src/cluster/termination.rs
+++ b/src/cluster/termination.rs
@@ -1,5 +1,9 @@
 //! Why a task may be taken for terminated.
 
+use tracing::debug;
+
+use crate::model::{MachineId, TaskId};
+
 /// The evidence by which a task is not on a machine any more, or never was. Nothing else ends a
 /// placement: a machine that is merely silent may still run its tasks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -19,3 +23,10 @@
     /// The worker says that it has exited.
     Exited,
 }
+
+impl TerminationEvidence {
+    /// Logs that the task is taken for terminated by this evidence.
+    pub(super) fn log(self, machine: &MachineId, task: &TaskId) {
+        debug!(%machine, %task, evidence = ?self, "task terminated");
+    }
+}
--- a/tests/formats/admin.rs
+++ b/tests/formats/admin.rs
@@ -189,7 +189,25 @@
     let lines = PlacementRefusal::ALL.map(|refusal| format!("{refusal}\n"));
     fixture::assert_text("passed-over.txt", &lines.concat());
     for (position, refusal) in PlacementRefusal::ALL.into_iter().enumerate() {
-        assert_eq!(refusal as usize, position, "all variants are listed");
+        assert_eq!(position_of(refusal), position);
+    }
+}
+
+/// Does not compile with a variant that is not listed.
+fn position_of(refusal: PlacementRefusal) -> usize {
+    match refusal {
+        PlacementRefusal::NoHeartbeat => 0,
+        PlacementRefusal::NotFenced => 1,
+        PlacementRefusal::Unreachable => 2,
+        PlacementRefusal::Releasing => 3,
+        PlacementRefusal::Faulty => 4,
+        PlacementRefusal::Slow => 5,
+        PlacementRefusal::Drained => 6,
+        PlacementRefusal::SpotNotice => 7,
+        PlacementRefusal::Suspected => 8,
+        PlacementRefusal::Backoff => 9,
+        PlacementRefusal::UnknownTask => 10,
+        PlacementRefusal::TooManyTasks => 11,
     }
 }
 
