--- a/src/cluster/instances.rs
+++ b/src/cluster/instances.rs
@@ -5,8 +5,6 @@
 
 use std::time::Instant;
 
-use tracing::debug;
-
 use super::{
     Cluster, InstanceId, InstancePhase, Placement, TaskInstance, Termination, TerminationEvidence,
 };
@@ -15,8 +13,8 @@
 impl Cluster {
     /// A new attempt number; never given out before in any term.
     pub fn next_attempt(&mut self) -> Attempt {
-        self.attempts += 1;
-        Attempt::of(self.term, self.attempts)
+        self.attempts_issued += 1;
+        Attempt::of(self.term, self.attempts_issued)
     }
 
     /// Plans a start. Nothing is dispatched before [`Cluster::respond`] finds it safe.
@@ -40,9 +38,9 @@
         let instance = TaskInstance {
             spec: Some(job.spec.clone()),
             phase: InstancePhase::Planned,
-            since: now,
+            known_since: now,
             running_since: None,
-            stop: None,
+            termination: None,
             image: Some(job.image),
         };
         let id = InstanceId {
@@ -61,7 +59,7 @@
         let Some(state) = host.instances.get_mut(instance) else {
             return;
         };
-        if !state.sent() {
+        if !state.is_dispatched() {
             self.remove_instance(machine, instance, TerminationEvidence::NeverDispatched);
             return;
         }
@@ -69,14 +67,14 @@
             return;
         }
         // A cancellation overrides a checkpoint that is under way.
-        if state.stop.is_none_or(|stop| grace_s < stop.grace_s) {
-            state.stop = Some(Termination {
+        if state.termination.is_none_or(|stop| grace_s < stop.grace_s) {
+            state.termination = Some(Termination {
                 grace_s,
-                told: None,
+                last_sent: None,
             });
         }
         host.recount();
-        self.dirty = true;
+        self.scheduling_needed = true;
     }
 
     /// Requests the termination of all tasks of a job.
@@ -95,7 +93,7 @@
             return;
         }
         job.cancellation_requested = true;
-        self.dirty = true;
+        self.scheduling_needed = true;
         self.stop_job(id, 0.0);
     }
 
@@ -156,11 +154,11 @@
         instance: &InstanceId,
         evidence: TerminationEvidence,
     ) {
-        debug!(%machine, task = %instance.task, ?evidence, "task terminated");
+        evidence.log(machine, &instance.task);
         let Some(job) = self.jobs.get_mut(&instance.task.job) else {
             return;
         };
-        self.changed.jobs.insert(instance.task.job.clone());
+        self.unpublished.jobs.insert(instance.task.job.clone());
         if let Some(placements) = job.placements.get_mut(&instance.task.index) {
             placements.retain(|p| p.machine != *machine || p.attempt != instance.attempt);
             if placements.is_empty() {
@@ -173,6 +171,6 @@
             job.seen_running = false;
             job.stopping = false;
         }
-        self.dirty = true;
+        self.scheduling_needed = true;
     }
 }
--- a/src/cluster/quota.rs
+++ b/src/cluster/quota.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use super::{Cluster, Job, Machine, Sent};
+use super::{Cluster, DispatchTargets, Job, Machine};
 use crate::model::{MachineId, Resources};
 
 impl Cluster {
@@ -18,7 +18,7 @@
         for job in self.jobs.values() {
             let mut count: usize = job.placements.values().map(Vec::len).sum();
             if self.blocked(job) {
-                // Tasks of an inherited job that nobody reported may be running unseen.
+                // Tasks of earlier terms that no heartbeat has shown yet may be running.
                 count += job.pending_count() as usize;
             }
             if count > 0 {
@@ -36,12 +36,12 @@
     machines: &BTreeMap<MachineId, Machine>,
     job: &Job,
 ) -> bool {
-    if !job.inherited || unreconciled.is_empty() {
+    if !job.started_in_earlier_term || unreconciled.is_empty() {
         return false;
     }
-    match &job.sent {
-        Sent::Hosts(hosts) => hosts.iter().any(|host| unreconciled.contains(host)),
-        Sent::Anywhere => unreconciled.iter().any(|id| {
+    match &job.dispatch_targets {
+        DispatchTargets::Machines(machines) => machines.iter().any(|id| unreconciled.contains(id)),
+        DispatchTargets::Anywhere => unreconciled.iter().any(|id| {
             let machine = machines.get(id).filter(|machine| machine.pool.is_some());
             // A machine of unknown type may be any.
             machine.is_none_or(|m| job.spec.allows(&m.machine_type, &m.zone, m.spot))
--- a/src/sched/allocate.rs
+++ b/src/sched/allocate.rs
@@ -113,7 +113,10 @@
             else {
                 continue;
             };
-            let elapsed = self.view.now.saturating_duration_since(instance.since);
+            let elapsed = self
+                .view
+                .now
+                .saturating_duration_since(instance.known_since);
             let left = (other.image_gb / rate - elapsed.as_secs_f64()).max(0.0);
             if image == self.image {
                 own = own.min(left);
--- a/src/sched/cycle.rs
+++ b/src/sched/cycle.rs
@@ -134,11 +134,10 @@
     fn reserve_for_pending_gang(&mut self, job: &Job, missing: &[u32], allocation: &Allocation) {
         let View { cluster, now, .. } = self.view;
         let age = now.saturating_duration_since(job.submitted);
-        let reservation = job.claim.as_ref().filter(|(_, until)| now < *until);
-        if let Some((zone, _)) = reservation {
+        if let Some(reservation) = job.capacity_reserved(now) {
             // Else the preempted work would start again on the capacity that it has freed.
             let classes = &self.latency_sensitive;
-            let within = (&self.capacity, zone.as_deref());
+            let within = (&self.capacity, reservation.zone.as_deref());
             let allocation = allocate::reserved(self.view, classes, job, missing, within);
             self.reserve(job, &allocation);
         } else if age >= cluster.timing.gang_barrier_timeout * RESERVE_AFTER_BARRIER_TIMEOUTS {
--- a/src/sched/decisions.rs
+++ b/src/sched/decisions.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::time::{Duration, Instant};
 
-use crate::cluster::{Cluster, InstanceId, Job};
+use crate::cluster::{CapacityReservation, Cluster, InstanceId, Job};
 use crate::demand::UnmetDemand;
 use crate::model::{Attempt, JobId, MachineId, TaskId};
 use crate::pending_reason::PendingReason;
@@ -174,7 +174,10 @@
     }
     for reservation in &decisions.reservations {
         if let Some(job) = cluster.jobs.get_mut(&reservation.job) {
-            job.claim = Some((reservation.zone.clone(), now + RESERVATION_LIFETIME));
+            job.capacity_reservation = Some(CapacityReservation {
+                zone: reservation.zone.clone(),
+                until: now + RESERVATION_LIFETIME,
+            });
         }
     }
     for PendingJob { job: id, reason } in &decisions.pending {
--- a/src/sched/drain.rs
+++ b/src/sched/drain.rs
@@ -21,7 +21,7 @@
             continue;
         }
         for (id, instance) in &machine.instances {
-            let idle = instance.stop.is_some() || !instance.occupies();
+            let idle = instance.termination.is_some() || !instance.occupies();
             let Some(job) = cluster.jobs.get(&id.task.job).filter(|_| !idle) else {
                 continue;
             };
--- a/src/sched/order.rs
+++ b/src/sched/order.rs
@@ -79,7 +79,11 @@
 
 /// Schedulable jobs with unplaced tasks, the first to be considered first.
 pub fn order<'a>(cluster: &'a Cluster, policy: &SchedulingPolicy, now: Instant) -> JobQueue<'a> {
-    let mut jobs: Vec<&Job> = cluster.jobs.values().filter(|job| job.open()).collect();
+    let mut jobs: Vec<&Job> = cluster
+        .jobs
+        .values()
+        .filter(|job| job.is_schedulable())
+        .collect();
     jobs.sort_by_key(|job| job.submitted);
     let mut sums: HashMap<&str, Resources> = HashMap::new();
     let mut guaranteed = HashSet::new();
@@ -170,5 +174,5 @@
     age >= START_DEADLINE / START_DEADLINE_DIVISOR
         && !job.has_placements()
         && job.done.is_empty()
-        && job.first_run.is_none()
+        && job.first_running_at.is_none()
 }
--- a/src/sched/preempt/mod.rs
+++ b/src/sched/preempt/mod.rs
@@ -92,9 +92,8 @@
             return;
         }
         // Where capacity is being freed for the job already, it goes on being freed.
-        let reservation = job.claim.as_ref();
-        let reservation = reservation.filter(|(_, until)| self.view.now < *until);
-        let zones = reservation.map_or(zones, |(zone, _)| vec![zone.clone()]);
+        let reservation = job.capacity_reserved(self.view.now);
+        let zones = reservation.map_or(zones, |reservation| vec![reservation.zone.clone()]);
         let Some((plan, zone)) = self.cheapest_plan(preemptor.entry, zones, tasks) else {
             return;
         };
@@ -165,7 +164,7 @@
     let mut team_use = cluster.team_use();
     for machine in cluster.machines.values().filter(|m| m.commands_pending()) {
         for instance in machine.instances.values() {
-            let terminating = instance.occupies() && instance.stop.is_some();
+            let terminating = instance.occupies() && instance.termination.is_some();
             let Some(spec) = instance.spec.as_ref().filter(|_| terminating) else {
                 continue;
             };
--- a/src/sched/preempt/victims.rs
+++ b/src/sched/preempt/victims.rs
@@ -188,7 +188,7 @@
                 let key = (machine.id.clone(), id.clone());
                 victims.contains(&key) || self.victims.contains(&key)
             };
-            if instance.stop.is_some() || is_victim() {
+            if instance.termination.is_some() || is_victim() {
                 continue;
             }
             free.sub(&spec.task_resources);
