--- a/crates/links/src/contact.rs
+++ b/crates/links/src/contact.rs
@@ -1,67 +1,67 @@
-//! Contact with the state service, ours and what the other nodes say of theirs.
+//! Contact of this controller and of its peers with the state service: which of them is isolated.
 
 use std::time::{Duration, Instant};
 
-/// A node whose contact is older than this while another node's is not can take no requests.
+/// A controller whose last contact is older than this, while a peer's is not, refuses client requests.
 pub const CONTACT_LOST: Duration = Duration::from_secs(4);
 
-/// When the state service last answered, and whether it has failed since.
+/// The last successful contact with the state service, and since when requests fail.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Contact {
-    /// When the last request that was answered had been sent.
+    /// Sending time of the last request that was answered.
     pub answered: Option<Instant>,
-    /// Since when it has not answered.
+    /// Since when requests fail.
     pub failing_since: Option<Instant>,
 }
 
-/// What a peer says of its contact with the state service.
+/// State of a peer's contact with the state service, as it answers a probe.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PeerContactAnswer {
-    /// It has it.
-    Fine,
-    /// It lost it, too.
-    Failing,
-    /// It takes no connection from us.
+    /// The peer has contact.
+    Connected,
+    /// The peer has lost contact, too.
+    Disconnected,
+    /// The peer refuses connections of this controller.
     Refused,
 }
 
-/// What the peers said since we lost the state service.
+/// Answers of the peers since this controller lost the state service.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct PeerContacts {
-    asked: Option<Instant>,
-    fine: Option<Instant>,
-    failing: Option<Instant>,
+    first_probe: Option<Instant>,
+    connected: Option<Instant>,
+    disconnected: Option<Instant>,
     refused: Option<Instant>,
 }
 
 impl PeerContacts {
-    /// They were asked; the first time counts.
-    pub fn asked(&mut self, now: Instant) {
-        self.asked.get_or_insert(now);
+    /// The peers were probed; only the first time counts.
+    pub fn probed(&mut self, now: Instant) {
+        self.first_probe.get_or_insert(now);
     }
 
-    /// One answered.
-    pub fn answered(&mut self, answer: PeerContactAnswer, now: Instant) {
+    /// Records the answer of a peer.
+    pub fn record(&mut self, answer: PeerContactAnswer, now: Instant) {
         match answer {
-            PeerContactAnswer::Fine => self.fine = Some(now),
-            PeerContactAnswer::Failing => self.failing = Some(now),
+            PeerContactAnswer::Connected => self.connected = Some(now),
+            PeerContactAnswer::Disconnected => self.disconnected = Some(now),
             PeerContactAnswer::Refused => self.refused = Some(now),
         }
     }
 
-    /// Whether it is this node alone that is cut off: another one is fine, or none at all can
-    /// be reached for a while. In an outage that all share none is better than another.
-    pub fn we_alone(&self, now: Instant) -> bool {
+    /// Whether this controller alone is disconnected: a peer has contact, or no peer was reachable for
+    /// [`CONTACT_LOST`]. In an outage that all controllers share, none is isolated.
+    pub fn isolated(&self, now: Instant) -> bool {
         let recent = |at: Option<Instant>| {
             at.is_some_and(|at| now.saturating_duration_since(at) < CONTACT_LOST)
         };
-        if recent(self.fine) {
+        if recent(self.connected) {
             return true;
         }
         let waited = self
-            .asked
+            .first_probe
             .is_some_and(|at| now.saturating_duration_since(at) >= CONTACT_LOST);
-        waited && !recent(self.failing) && !recent(self.refused)
+        waited && !recent(self.disconnected) && !recent(self.refused)
     }
 }
 
--- a/crates/links/src/damping.rs
+++ b/crates/links/src/damping.rs
@@ -1,13 +1,14 @@
-//! Flap damping, after the scheme of routing protocols: each loss of a link adds a penalty that decays
-//! exponentially; above one threshold the link is suppressed, below a lower one it is used again.
+//! Flap damping as in routing protocols (RFC 2439): each loss of a link adds a penalty that decays
+//! exponentially; at the suppress threshold the link is suppressed, below the reuse threshold it is used
+//! again.
 
 use std::time::{Duration, Instant};
 
-/// Penalty for one loss.
+/// Penalty of one loss.
 const LOSS_PENALTY: f64 = 1.0;
-/// A link is suppressed from this penalty on: not by two losses however close, by three in a row.
+/// Penalty from which on a link is suppressed: two losses never reach it, three in a row do.
 const SUPPRESS_ABOVE: f64 = 2.0;
-/// A suppressed link is used again below this.
+/// Penalty below which a suppressed link is used again.
 const REUSE_BELOW: f64 = 0.75;
 
 /// The damping of one link.
@@ -26,7 +27,7 @@
     pub fn new(half_life: Duration, longest: Duration) -> Self {
         let half_life = half_life.max(Duration::from_millis(1));
         let half_lives = longest.as_secs_f64() / half_life.as_secs_f64();
-        // A link above the threshold is suppressed at all.
+        // Below the suppress threshold the ceiling would keep any link from being suppressed.
         let ceiling = (REUSE_BELOW * half_lives.exp2()).max(SUPPRESS_ABOVE);
         Self {
             half_life,
@@ -37,8 +38,8 @@
         }
     }
 
-    /// The link was lost.
-    pub fn lost(&mut self, now: Instant) {
+    /// Adds the penalty of a loss.
+    pub fn record_loss(&mut self, now: Instant) {
         self.decay(now);
         self.penalty = (self.penalty + LOSS_PENALTY).min(self.ceiling);
         if self.penalty >= SUPPRESS_ABOVE {
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Whether the link counts as down though it may be up.
+    /// Whether the link is suppressed: it counts as down even while it is up.
     pub fn suppressed(&mut self, now: Instant) -> bool {
         self.decay(now);
         if self.penalty < REUSE_BELOW {
@@ -55,16 +56,16 @@
         self.suppressed
     }
 
-    /// The penalty as of the last look.
+    /// The penalty as of the last update.
     pub fn penalty(&self) -> f64 {
         self.penalty
     }
 
     fn decay(&mut self, now: Instant) {
-        let passed = self.updated.map(|at| now.saturating_duration_since(at));
+        let elapsed = self.updated.map(|at| now.saturating_duration_since(at));
         self.updated = self.updated.max(Some(now));
-        if let Some(passed) = passed {
-            let half_lives = passed.as_secs_f64() / self.half_life.as_secs_f64();
+        if let Some(elapsed) = elapsed {
+            let half_lives = elapsed.as_secs_f64() / self.half_life.as_secs_f64();
             self.penalty *= (-half_lives).exp2();
         }
     }
--- a/crates/links/src/damping/tests.rs
+++ b/crates/links/src/damping/tests.rs
@@ -11,12 +11,12 @@
     let mut now = start;
     for loss in 0..count {
         now = start + Duration::from_secs_f64(period_s * f64::from(loss));
-        damping.lost(now);
+        damping.record_loss(now);
     }
     (damping, now)
 }
 
-fn quiet_until_used(damping: &mut FlapDamping, last: Instant) -> Duration {
+fn stable_until_reused(damping: &mut FlapDamping, last: Instant) -> Duration {
     let tenths = |t: u32| Duration::from_millis(100) * t;
     let first = (0..10_000)
         .map(tenths)
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn one_loss_or_two_do_not_suppress_and_three_close_together_do() {
+fn two_losses_do_not_suppress_a_link_and_three_close_together_do() {
     for (count, expected) in [(1, false), (2, false), (3, true)] {
         let (mut damping, last) = losses_every(2.0, count);
         assert_eq!(damping.suppressed(last), expected, "{count} losses");
@@ -36,13 +36,13 @@
 
 /// Two to five seconds up and as long down: a loss every four to ten.
 #[test]
-fn a_link_that_flaps_every_few_seconds_stays_suppressed_until_it_is_quiet() {
+fn a_flapping_link_stays_suppressed_until_it_is_stable() {
     for period_s in [4.0, 7.0, 10.0] {
         let (mut damping, last) = losses_every(period_s, 60);
         let between = last + Duration::from_secs_f64(period_s * 0.9);
         assert!(damping.suppressed(between), "{period_s} s");
         let (mut damping, last) = losses_every(period_s, 60);
-        let quiet = quiet_until_used(&mut damping, last);
+        let quiet = stable_until_reused(&mut damping, last);
         assert!(quiet > HALF_LIFE, "{period_s} s: {quiet:?}");
         assert!(
             quiet <= LONGEST + Duration::from_millis(100),
@@ -56,18 +56,18 @@
 fn the_penalty_has_a_ceiling() {
     let (mut damping, last) = losses_every(0.2, 10_000);
     assert!(damping.penalty() <= 0.75 * 8.0 + 1e-9);
-    assert!(quiet_until_used(&mut damping, last) <= LONGEST + Duration::from_millis(100));
+    assert!(stable_until_reused(&mut damping, last) <= LONGEST + Duration::from_millis(100));
 }
 
 /// Reuse is lower than suppression: a link is not used and suppressed in turn.
 #[test]
-fn between_the_thresholds_it_stays_as_it_is() {
+fn between_the_thresholds_suppression_does_not_change() {
     let (mut damping, last) = losses_every(2.0, 3);
     assert!(damping.suppressed(last));
     let later = last + HALF_LIFE;
     assert!(damping.suppressed(later) && damping.penalty() < 2.0);
-    damping.lost(later);
-    damping.lost(later);
+    damping.record_loss(later);
+    damping.record_loss(later);
     assert!(damping.suppressed(later));
     let (mut fresh, last) = losses_every(0.0, 1);
     assert!(fresh.penalty() > 0.75 && !fresh.suppressed(last));
--- a/crates/links/src/detector.rs
+++ b/crates/links/src/detector.rs
@@ -1,22 +1,23 @@
-//! Failure detection by phi accrual: how unlikely the present silence is, by the intervals seen before.
+//! Phi accrual failure detector: how unlikely the time since the last heartbeat is, given the intervals
+//! observed before.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// Intervals remembered. More make the detector slower to follow a change, fewer let one outlier
-/// decide.
+/// Intervals in the sliding window. More make the detector adapt more slowly, fewer let one outlier
+/// dominate.
 const WINDOW: usize = 32;
-/// Least standard deviation, as a part of the expected interval: timers are late by that much even
-/// where the intervals seen were equal.
-const DEVIATION_MIN_PART: f64 = 0.25;
-/// Intervals longer than this many expected ones were outages, and teach nothing about the next one.
+/// Lower bound of the standard deviation, as a fraction of the expected interval: timers are late by
+/// that much even where all observed intervals were equal.
+const DEVIATION_MIN_FRACTION: f64 = 0.25;
+/// Intervals longer than this many expected ones are outages and are left out of the distribution.
 const OUTLIER_INTERVALS: f64 = 4.0;
-/// The highest value of phi that is told. Beyond it the tail of the distribution is rounding.
+/// Upper bound of phi. Beyond it the tail of the distribution is rounding error.
 const PHI_MAX: f64 = 40.0;
 
 /// A detector for one link on which messages are expected regularly.
 ///
-/// `phi` is the negative decimal logarithm of the probability that a message comes later than now, if
+/// `phi` is the negative decimal logarithm of the probability that a message arrives later than now, if
 /// the intervals are normally distributed. The logistic approximation of the normal distribution is
 /// used, whose error is below 0.02 in probability.
 #[derive(Debug, Clone)]
@@ -27,7 +28,7 @@
 }
 
 impl PhiAccrual {
-    /// A detector that knows nothing but the interval at which messages should come.
+    /// A detector without observations, for messages expected at this interval.
     pub fn new(expected: Duration) -> Self {
         Self {
             expected_s: expected.as_secs_f64().max(f64::MIN_POSITIVE),
@@ -36,7 +37,7 @@
         }
     }
 
-    /// A message came. One that is older than the last changes nothing.
+    /// A message arrived. One that is older than the last is ignored.
     pub fn heartbeat(&mut self, at: Instant) {
         let Some(last) = self.last else {
             self.last = Some(at);
@@ -56,12 +57,12 @@
         self.intervals.push_back(interval_s);
     }
 
-    /// When the last message came.
+    /// Arrival of the last message.
     pub fn last(&self) -> Option<Instant> {
         self.last
     }
 
-    /// How suspicious the silence since the last message is; 0 before the first one.
+    /// The suspicion level of the silence since the last message; 0 before the first one.
     pub fn phi(&self, now: Instant) -> f64 {
         let Some(last) = self.last else {
             return 0.0;
@@ -80,15 +81,15 @@
     }
 
     /// Mean and standard deviation of the interval. The expected interval counts as one observation,
-    /// and a mean below it is not believed: messages sent for another reason, close together, do not
-    /// make the regular ones due sooner.
+    /// and is the lower bound of the mean: additional messages close together do not make the regular
+    /// ones due sooner.
     fn distribution(&self) -> (f64, f64) {
         let count = self.intervals.len() as f64 + 1.0;
         let sum: f64 = self.intervals.iter().sum::<f64>() + self.expected_s;
         let mean = (sum / count).max(self.expected_s);
         let squares = self.intervals.iter().map(|i| (i - mean).powi(2));
         let variance = squares.sum::<f64>() / count;
-        let floor = self.expected_s * DEVIATION_MIN_PART;
+        let floor = self.expected_s * DEVIATION_MIN_FRACTION;
         (mean, variance.sqrt().max(floor))
     }
 }
--- a/crates/links/src/detector/tests.rs
+++ b/crates/links/src/detector/tests.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn the_threshold_follows_the_intervals_seen() {
+fn the_suspicion_adapts_to_the_observed_intervals() {
     let (steady, last) = after((1..40).map(|n| f64::from(n) * 3.0));
     let steady_s = reached(&steady, last, 8.0);
     assert!((5.0..9.0).contains(&steady_s), "{steady_s}");
@@ -63,7 +63,7 @@
 
 /// After an outage of a minute the next one must not go unnoticed for as long.
 #[test]
-fn an_outage_teaches_nothing() {
+fn an_outage_does_not_change_the_distribution() {
     let before = (1..20).map(|n| f64::from(n) * 3.0);
     let (calm, last) = after(before.clone());
     let calm_s = reached(&calm, last, 8.0);
--- a/crates/links/src/gate.rs
+++ b/crates/links/src/gate.rs
@@ -1,7 +1,7 @@
-//! The placement gate: when the links to the state service forbid a leader to place anything new.
+//! The placement gate: it refuses new placements of a leader whose links to the state service fail.
 //!
-//! It can only refuse. Without a refusal a start still needs what it needs without the gate: the lease,
-//! a replica that was read since a request last failed, and its records written.
+//! The gate can only refuse. An open gate permits nothing: a start still needs the lease, a replica read
+//! since the last failed request, and its records written.
 
 use std::time::{Duration, Instant};
 
@@ -10,23 +10,23 @@
 
 use crate::link::{Link, LinkState};
 
-/// Why nothing new is placed.
+/// Why new placements are refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Error)]
 #[serde(rename_all = "snake_case")]
 pub enum GateRefusal {
-    /// Requests that read are not answered.
+    /// Reads are not answered.
     #[error("the state service can't be read from this controller")]
     Unreadable,
-    /// Transactions are not answered, or refused.
+    /// Transactions are not answered, or are refused.
     #[error("the state service can't be written from this controller")]
     Unwritable,
-    /// The link comes and goes.
+    /// The link flaps.
     #[error("the link to the state service comes and goes")]
     Flapping,
 }
 
 impl GateRefusal {
-    /// The same as a constant text, for those who tell why a job waits.
+    /// The missing condition, as part of a job's pending reason.
     pub fn reason(self) -> &'static str {
         match self {
             Self::Unreadable => "the state service, which this controller can't read",
@@ -36,7 +36,7 @@
     }
 }
 
-/// What the gate says, and since when.
+/// The decision of the gate, and since when it stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct GateVerdict {
     /// Why placements are refused, if they are.
@@ -45,7 +45,7 @@
     pub since: Instant,
 }
 
-/// The gate with its last verdict.
+/// The gate with its last decision.
 #[derive(Debug)]
 pub struct PlacementGate {
     verdict: GateVerdict,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Looks at the links again; whether the verdict changed.
+    /// Re-evaluates the links and returns whether the decision changed.
     pub fn evaluate(&mut self, read: &Link, write: &Link, now: Instant) -> bool {
         let refusal = refusal(read, write);
         if refusal == self.verdict.refusal {
@@ -80,12 +80,12 @@
         true
     }
 
-    /// The verdict of the last look.
+    /// The decision of the last evaluation.
     pub fn verdict(&self) -> GateVerdict {
         self.verdict
     }
 
-    /// How long it has refused in all.
+    /// Total time of refusal.
     pub fn refused_for(&self, now: Instant) -> Duration {
         match self.verdict.refusal {
             Some(_) => self.refused_for + now.saturating_duration_since(self.verdict.since),
@@ -94,8 +94,8 @@
     }
 }
 
-/// Unknown is no reason to refuse: a process that has just started has read its records, or does not
-/// lead, and its first placement waits for its records to be written in any case.
+/// An unknown link is no reason to refuse: a process that has just started has read its records, or is a
+/// follower, and its first placement waits for its records to be written in any case.
 fn refusal(read: &Link, write: &Link) -> Option<GateRefusal> {
     if read.state() == LinkState::Down {
         return Some(GateRefusal::Unreadable);
--- a/crates/links/src/gate/tests.rs
+++ b/crates/links/src/gate/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of [`super`].
 
 use super::*;
-use crate::test_support::{timing, JUDGEMENT};
+use crate::test_support::{timing, DETECTION_PARAMS};
 
 struct Service {
     read: Link,
@@ -13,7 +13,7 @@
 impl Service {
     fn new() -> Self {
         let start = Instant::now();
-        let link = || Link::new(JUDGEMENT, &timing(), None, start);
+        let link = || Link::new(DETECTION_PARAMS, &timing(), None, start);
         Self {
             read: link(),
             write: link(),
@@ -40,13 +40,13 @@
 }
 
 #[test]
-fn it_is_open_until_something_speaks_against_it() {
+fn the_gate_is_open_without_evidence_against_a_link() {
     let service = Service::new();
     assert_eq!(service.gate.verdict().refusal, None);
 }
 
 #[test]
-fn a_leader_that_can_not_write_or_can_write_and_not_read_places_nothing() {
+fn the_gate_refuses_when_writes_or_reads_fail() {
     for (reads, writes, expected) in [
         (true, false, GateRefusal::Unwritable),
         (false, true, GateRefusal::Unreadable),
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_link_that_flaps_keeps_it_shut_also_while_it_is_up() {
+fn the_gate_refuses_while_a_flapping_link_is_suppressed() {
     let mut service = Service::new();
     for round in 0..5 {
         service.second(round * 4, true, true);
--- a/crates/links/src/handover.rs
+++ b/crates/links/src/handover.rs
@@ -1,9 +1,9 @@
-//! Who should lead, by the connectivity matrix.
+//! Hand-over of leadership by the connectivity matrix.
 //!
-//! A leader is of use if it can read and write at the state service and gets the workers' reports,
-//! directly or by way of followers. It hands over only if another controller is better connected, has
-//! been so for a while, and hand-overs have been rare: two controllers that each have half of what is
-//! needed would otherwise pass the lead to and fro.
+//! A leader needs the state service for reads and writes, and the workers' heartbeats, directly or
+//! forwarded by followers. It hands over only if another controller has been much better connected for a
+//! minimum time, and if hand-overs have been rare: leadership would otherwise oscillate between two
+//! controllers that each have half of the connections.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -14,66 +14,66 @@
 use crate::row::Row;
 use crate::timing::LinkTiming;
 
-/// Another controller must get this many times the reports that the leader gets.
-const WORKERS_FACTOR: f64 = 2.0;
+/// Factor by which another controller must serve more workers than the leader.
+const SERVED_WORKERS_FACTOR: f64 = 2.0;
 
-/// How well connected a controller is.
+/// Connectivity of a controller as a leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct Connectivity {
-    /// It has the state service, as far as it knows.
+    /// It can use the state service, as far as it knows.
     pub store: bool,
-    /// It has read and written there lately.
+    /// It has recent evidence of a read and a write there.
     pub store_proven: bool,
-    /// Workers whose reports it gets, or would get if it led.
+    /// Workers whose heartbeats it receives, or would receive as the leader.
     pub workers: u64,
 }
 
 impl Connectivity {
-    /// Whether it is so much better that a change of leader pays: it has the state service and the other
-    /// has not, or it has both and gets far more reports.
+    /// Whether it is so much better that a failover is worth its cost: only it can use the state service,
+    /// or both can and it serves far more workers.
     pub fn much_better_than(&self, other: &Connectivity) -> bool {
         if !self.store {
             return false;
         }
         if !other.store {
-            // Without workers it would only lose the lead again; without proof, so might the election be.
+            // Without workers it would hand over again; without evidence of a write the election could fail.
             return self.store_proven && (self.workers > 0 || other.workers == 0);
         }
-        self.workers as f64 > other.workers as f64 * WORKERS_FACTOR
+        self.workers as f64 > other.workers as f64 * SERVED_WORKERS_FACTOR
     }
 }
 
-/// Why the lead is handed over, or stays.
+/// Whether leadership is handed over, and why.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case", tag = "decision")]
 pub enum Decision {
     /// No other controller is much better connected.
     StayNobodyBetter,
-    /// One is, but not for long enough yet.
+    /// One is, but not yet for the minimum time.
     StayHolding {
-        /// That controller.
+        /// The better connected controller.
         candidate: String,
     },
-    /// One is, but the lead was handed over too often lately.
+    /// One is, but the limit of hand-overs is reached.
     StayLimited {
-        /// That controller.
+        /// The better connected controller.
         candidate: String,
     },
-    /// The lead should be handed over.
+    /// Leadership should be handed over.
     HandOver {
-        /// Who should lead.
+        /// The next leader.
         candidate: String,
-        /// How this controller is connected.
+        /// Connectivity of this controller.
         own: Connectivity,
-        /// How the candidate is.
+        /// Connectivity of the candidate.
         theirs: Connectivity,
     },
 }
 
-/// Decides for one controller.
+/// The policy of one controller, with its recent hand-overs.
 #[derive(Debug)]
 pub struct HandoverPolicy {
-    hold: Duration,
+    better_for_min: Duration,
     window: Duration,
     handovers_max: usize,
     better_since: Option<Instant>,
@@ -84,7 +84,7 @@
     /// At most `handovers_max` hand-overs within the window of the timing.
     pub fn new(timing: &LinkTiming, handovers_max: usize) -> Self {
         Self {
-            hold: timing.handover_hold(),
+            better_for_min: timing.better_connected_for_min(),
             window: timing.handover_window(),
             handovers_max,
             better_since: None,
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Looks at the matrix while this controller leads.
+    /// Decides by the matrix while this controller is the leader.
     pub fn decide(&mut self, own: &Row, matrix: &Matrix, now: Instant) -> Decision {
         let ours = connectivity(own, own, matrix, now);
         let Some((candidate, theirs)) = best_other(own, matrix, now) else {
@@ -104,7 +104,7 @@
             return Decision::StayNobodyBetter;
         }
         let since = *self.better_since.get_or_insert(now);
-        if now.saturating_duration_since(since) < self.hold {
+        if now.saturating_duration_since(since) < self.better_for_min {
             return Decision::StayHolding { candidate };
         }
         if self.exhausted(now) {
@@ -117,18 +117,18 @@
         }
     }
 
-    /// The lead was handed over.
+    /// Records a hand-over.
     pub fn handed_over(&mut self, now: Instant) {
         self.better_since = None;
         self.handovers.push_back(now);
     }
 
-    /// The lead was lost or gained otherwise: what was seen before says nothing.
+    /// Leadership changed for another reason: earlier observations are void.
     pub fn reset(&mut self) {
         self.better_since = None;
     }
 
-    /// Whether the lead was handed over so often lately that it stays, whatever the reason.
+    /// Whether the limit of hand-overs within the window is reached.
     pub fn exhausted(&mut self, now: Instant) -> bool {
         while let Some(first) = self.handovers.front() {
             if now.saturating_duration_since(*first) < self.window {
@@ -139,14 +139,14 @@
         self.handovers.len() >= self.handovers_max
     }
 
-    /// Whether a controller that could stand for election should leave it to a better one for a moment.
+    /// Whether a follower should delay its campaign in favour of a much better connected controller.
     pub fn should_yield(own: &Row, matrix: &Matrix, now: Instant) -> bool {
         let ours = connectivity(own, own, matrix, now);
         best_other(own, matrix, now).is_some_and(|(_, theirs)| theirs.much_better_than(&ours))
     }
 }
 
-/// How the sender of `row` is connected.
+/// Connectivity of the sender of `row`.
 pub fn connectivity(row: &Row, own: &Row, matrix: &Matrix, now: Instant) -> Connectivity {
     let workers = matrix.workers_served_by(&row.message.member, own, now);
     Connectivity {
@@ -156,7 +156,7 @@
     }
 }
 
-/// The best connected other controller; by name among equals, so that all choose the same.
+/// The best connected other controller; the first by name among equals, so that all choose the same.
 fn best_other(own: &Row, matrix: &Matrix, now: Instant) -> Option<(String, Connectivity)> {
     let mut best: Option<(String, Connectivity)> = None;
     for (member, row, _) in matrix.rows(now) {
--- a/crates/links/src/handover/tests.rs
+++ b/crates/links/src/handover/tests.rs
@@ -3,7 +3,7 @@
 
 use super::*;
 use crate::table::{LinkTable, RowStamp, StoreOperation};
-use crate::test_support::{timing, JUDGEMENT};
+use crate::test_support::{timing, DETECTION_PARAMS};
 
 const WALL_MS: u64 = 1_800_000_000_000;
 const MEMBERS: [&str; 3] = ["knot-0", "knot-1", "knot-2"];
@@ -40,7 +40,7 @@
     start: Instant,
     second: u64,
     leader: usize,
-    /// The seconds at which the lead was handed over, and to whom.
+    /// The seconds at which leadership was handed over, and to whom.
     handovers: Vec<(u64, String)>,
 }
 
@@ -53,7 +53,7 @@
                 others.map(|member| (*member).to_owned())
             };
             Controller {
-                table: LinkTable::new(MEMBERS[at], others(), JUDGEMENT, timing(), start),
+                table: LinkTable::new(MEMBERS[at], others(), DETECTION_PARAMS, timing(), start),
                 matrix: Matrix::new(others(), timing()),
                 leadership: HandoverPolicy::new(&timing(), HANDOVERS_MAX),
                 workers,
@@ -109,7 +109,7 @@
                 for worker in controller.workers.clone() {
                     controller
                         .table
-                        .worker_reported(worker, (1, self.second), now);
+                        .worker_heartbeat(worker, (1, self.second), now);
                 }
             }
             controller.table.evaluate(now);
@@ -130,11 +130,11 @@
                 let wall = WALL_MS + self.second * 1_000;
                 let receiver = &mut self.controllers[to];
                 receiver.matrix.take(row, now, wall).unwrap();
-                receiver.table.peer_heard(MEMBERS[from], now);
+                receiver.table.peer_row(MEMBERS[from], now);
             }
             let answered = arrives && links.peers[to][from];
             let sender = &mut self.controllers[from].table;
-            sender.peer_asked(MEMBERS[to], now, answered, now);
+            sender.peer_request(MEMBERS[to], now, answered, now);
         }
     }
 
@@ -168,14 +168,14 @@
 }
 
 #[test]
-fn while_all_is_well_nobody_moves() {
+fn with_full_connectivity_leadership_stays() {
     let mut cluster = zone_spread();
     cluster.seconds(600, |_| ALL);
     assert_eq!(cluster.handovers, vec![]);
 }
 
 #[test]
-fn a_leader_without_the_state_service_hands_over_once_and_late() {
+fn a_leader_without_the_state_service_hands_over_once_after_the_minimum_time() {
     let mut cluster = zone_spread();
     let cut = Links {
         store: [false, true, true],
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn in_an_outage_that_all_share_nobody_moves() {
+fn in_an_outage_that_all_share_leadership_stays() {
     let mut cluster = zone_spread();
     let out = Links {
         store: [false; 3],
@@ -201,10 +201,10 @@
     assert_eq!(cluster.handovers, vec![]);
 }
 
-/// Seen with real processes: the followers had not written, nothing spoke against them, and the lead went
+/// Seen with real processes: the followers had not written, nothing spoke against them, and leadership went
 /// to one that could not be elected.
 #[test]
-fn where_transactions_are_refused_to_all_nobody_moves() {
+fn where_transactions_are_refused_to_all_leadership_stays() {
     let mut cluster = zone_spread();
     let unwritable = Links {
         writes: [false; 3],
@@ -223,7 +223,7 @@
 
 /// Followers forward reports, so a leader without workers of its own is not cut off from any.
 #[test]
-fn a_leader_that_lost_its_own_workers_stays_while_followers_reach_it() {
+fn a_leader_without_own_workers_stays_while_followers_forward_heartbeats() {
     let mut cluster = zone_spread();
     let lost = Links {
         workers: [false, true, true],
@@ -253,7 +253,7 @@
 }
 
 #[test]
-fn a_cut_between_two_controllers_in_one_direction_costs_no_lead() {
+fn a_one_way_cut_between_two_controllers_costs_no_leadership() {
     let mut cluster = zone_spread();
     let mut one_way = ALL;
     one_way.peers[1][0] = false;
@@ -277,7 +277,7 @@
 
 /// Followers' rows arrive at the leader, its answers don't get back: they can't forward reports to it.
 #[test]
-fn a_leader_cut_from_most_workers_hands_over_to_who_gets_their_reports() {
+fn a_leader_cut_from_most_workers_hands_over_to_the_controller_that_serves_them() {
     let mut cluster = Cluster::new([0..10, 10..200, 200..400]);
     cluster.seconds(20, |_| ALL);
     let mut cut = ALL;
@@ -300,7 +300,7 @@
 }
 
 #[test]
-fn two_half_connected_controllers_do_not_pass_the_lead_to_and_fro() {
+fn leadership_does_not_oscillate_between_two_half_connected_controllers() {
     // One has the state service every other ten seconds, the other in between.
     let mut cluster = zone_spread();
     let halves = |second: u64| Links {
@@ -330,7 +330,7 @@
     };
     let mut cluster = zone_spread();
     cluster.seconds(900, fast);
-    // The third one is steady, and keeps the lead once it has it.
+    // The third one is steady, and keeps leadership once it has it.
     assert!(
         cluster.handovers.len() <= HANDOVERS_MAX,
         "{:?}",
@@ -341,7 +341,7 @@
 
 /// It wakes with rows from before; they have expired by its own clock.
 #[test]
-fn a_frozen_controller_wakes_with_rows_that_say_nothing() {
+fn a_resumed_controller_ignores_its_expired_rows() {
     let mut cluster = zone_spread();
     cluster.controllers[0].frozen = true;
     cluster.seconds(30, |_| ALL);
@@ -349,7 +349,7 @@
     let now = cluster.now();
     let woken = &mut cluster.controllers[0];
     assert_eq!(woken.matrix.rows(now).count(), 0);
-    woken.table.stood_still(now);
+    woken.table.resume(now);
     let own = cluster.row(0);
     let woken = &mut cluster.controllers[0];
     let decision = woken.leadership.decide(&own, &woken.matrix, now);
@@ -359,7 +359,7 @@
 }
 
 #[test]
-fn an_election_is_left_to_who_is_much_better_connected_and_only_then() {
+fn a_campaign_is_delayed_only_for_a_much_better_connected_controller() {
     let mut cluster = zone_spread();
     let now = cluster.now();
     let yields = |cluster: &Cluster, at: usize, now| {
@@ -377,7 +377,7 @@
 }
 
 #[test]
-fn much_better_is_the_state_service_with_workers_or_twice_the_workers() {
+fn much_better_means_the_state_service_with_workers_or_twice_the_workers() {
     let connected = |store, workers| Connectivity {
         store,
         store_proven: store,
--- a/crates/links/src/health.rs
+++ b/crates/links/src/health.rs
@@ -1,90 +1,90 @@
-//! Health of a worker as one controller sees it, with the direction that is lost and the time of the
-//! evidence. It describes; no machine is given up because of it.
+//! Health of a worker from the viewpoint of one controller, with the lost direction and the time of the
+//! evidence. It is descriptive only: no machine is declared failed because of it.
 
 use std::time::{Duration, Instant};
 
 use serde::Serialize;
 
-/// Commands without an answer, in a row, from which on they count as lost.
-const COMMANDS_LOST: u32 = 2;
+/// Consecutive commands without a response from which on the direction to the worker counts as lost.
+const UNANSWERED_COMMANDS_LOST: u32 = 2;
 
-/// How a worker stands.
+/// Health of a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HealthState {
-    /// Reports arrive, and show that answers do.
+    /// Heartbeats arrive and confirm that responses do.
     Healthy,
-    /// A report is overdue, or something that it was told has not shown yet.
+    /// A heartbeat is overdue, or an acknowledgement is pending.
     Suspect,
     /// One direction or both are lost.
     Unreachable,
-    /// This controller can't tell.
+    /// This controller has no usable evidence.
     Unknown,
 }
 
-/// A direction that is lost.
+/// The lost direction of an unreachable worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LostDirection {
-    /// Its reports don't arrive, commands do.
+    /// Heartbeats do not arrive, commands do.
     FromWorker,
-    /// Its reports arrive, answers and commands don't.
+    /// Heartbeats arrive, responses and commands do not.
     ToWorker,
     /// Neither arrives.
     Both,
 }
 
-/// What is known of one worker.
+/// Evidence about one worker.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct WorkerEvidence {
-    /// When its newest report arrived.
+    /// When its newest heartbeat arrived.
     pub last_heartbeat: Option<Instant>,
-    /// It has shown that it hears this controller's term.
-    pub hears: bool,
-    /// Since when something that it was told has not shown.
-    pub doubted_since: Option<Instant>,
-    /// Commands sent to it without an answer since it last spoke.
+    /// It has confirmed this controller's term and owes no acknowledgement.
+    pub confirmed: bool,
+    /// Since when an acknowledgement is pending.
+    pub unacknowledged_since: Option<Instant>,
+    /// Commands without a response since its last heartbeat.
     pub unanswered_commands: u32,
 }
 
-/// By what a worker is judged.
+/// Thresholds of the health states.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HealthLimits {
-    /// Silence from which on a worker is suspect.
+    /// Time without a heartbeat from which on a worker is suspect.
     pub suspect: Duration,
-    /// Silence, or doubt, from which on a direction counts as lost.
+    /// Time without a heartbeat, or without an acknowledgement, from which on a direction counts as lost.
     pub lost: Duration,
 }
 
 /// A worker's health at one moment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WorkerHealth {
-    /// How it stands.
+    /// The health state.
     pub state: HealthState,
-    /// What is lost, if it is unreachable.
+    /// The lost direction, if the worker is unreachable.
     pub lost: Option<LostDirection>,
-    /// When the newest evidence came.
+    /// Arrival of the newest evidence.
     pub evidence_at: Option<Instant>,
 }
 
-/// Judges workers at one moment.
+/// Evaluates the health of workers at one moment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HealthJudge {
     /// The limits.
     pub limits: HealthLimits,
-    /// Whether this controller hears its workers at all. One that hears hardly any can't tell their
-    /// silence from its own, and says so instead of repeating what it knew.
-    pub hears_workers: bool,
-    /// The moment.
+    /// Whether heartbeats of enough workers arrive. A controller without them cannot tell failed workers
+    /// from a failed connection of its own, and reports `Unknown` instead of a stale state.
+    pub receives_heartbeats: bool,
+    /// The moment of the evaluation.
     pub now: Instant,
 }
 
 impl HealthJudge {
-    /// Judges one worker.
+    /// The health of one worker.
     pub fn judge(&self, evidence: &WorkerEvidence) -> WorkerHealth {
         let (state, lost) = match evidence.last_heartbeat {
-            Some(reported) if self.hears_workers => {
-                judge_heard(evidence, reported, &self.limits, self.now)
+            Some(last_heartbeat) if self.receives_heartbeats => {
+                judge_by_evidence(evidence, last_heartbeat, &self.limits, self.now)
             }
             _ => (HealthState::Unknown, None),
         };
@@ -96,20 +96,20 @@
     }
 }
 
-fn judge_heard(
+fn judge_by_evidence(
     evidence: &WorkerEvidence,
-    reported: Instant,
+    last_heartbeat: Instant,
     limits: &HealthLimits,
     now: Instant,
 ) -> (HealthState, Option<LostDirection>) {
-    let silent_for = now.saturating_duration_since(reported);
-    let doubted_for = evidence
-        .doubted_since
+    let silent_for = now.saturating_duration_since(last_heartbeat);
+    let unacknowledged_for = evidence
+        .unacknowledged_since
         .map(|since| now.saturating_duration_since(since));
-    let no_reports = silent_for > limits.lost;
-    let no_commands = doubted_for.is_some_and(|d| d > limits.lost)
-        || evidence.unanswered_commands >= COMMANDS_LOST;
-    let lost = match (no_reports, no_commands) {
+    let no_heartbeats = silent_for > limits.lost;
+    let no_commands = unacknowledged_for.is_some_and(|pending| pending > limits.lost)
+        || evidence.unanswered_commands >= UNANSWERED_COMMANDS_LOST;
+    let lost = match (no_heartbeats, no_commands) {
         (true, true) => Some(LostDirection::Both),
         (true, false) => Some(LostDirection::FromWorker),
         (false, true) => Some(LostDirection::ToWorker),
@@ -119,8 +119,8 @@
         return (HealthState::Unreachable, lost);
     }
     let suspect = silent_for > limits.suspect
-        || evidence.doubted_since.is_some()
-        || !evidence.hears
+        || evidence.unacknowledged_since.is_some()
+        || !evidence.confirmed
         || evidence.unanswered_commands > 0;
     if suspect {
         (HealthState::Suspect, None)
--- a/crates/links/src/health/tests.rs
+++ b/crates/links/src/health/tests.rs
@@ -4,30 +4,30 @@
 
 const NOW_S: u64 = 1_000;
 
-fn judge(evidence: WorkerEvidence, hears_workers: bool, start: Instant) -> WorkerHealth {
+fn judge(evidence: WorkerEvidence, receives_heartbeats: bool, start: Instant) -> WorkerHealth {
     let judge = HealthJudge {
         limits: HealthLimits {
             suspect: Duration::from_secs(5),
             lost: Duration::from_secs(9),
         },
-        hears_workers,
+        receives_heartbeats,
         now: start + Duration::from_secs(NOW_S),
     };
     judge.judge(&evidence)
 }
 
 #[test]
-fn each_direction_is_judged_by_its_own_evidence() {
+fn each_direction_is_evaluated_by_its_own_evidence() {
     let start = Instant::now();
     let ago = |s: u64| Some(start + Duration::from_secs(NOW_S - s));
     let good = WorkerEvidence {
         last_heartbeat: ago(2),
-        hears: true,
+        confirmed: true,
         ..WorkerEvidence::default()
     };
     let doubted = |s| WorkerEvidence {
-        hears: false,
-        doubted_since: ago(s),
+        confirmed: false,
+        unacknowledged_since: ago(s),
         ..good
     };
     let cases = [
@@ -42,7 +42,7 @@
         ),
         (
             WorkerEvidence {
-                hears: false,
+                confirmed: false,
                 ..good
             },
             HealthState::Suspect,
@@ -99,12 +99,12 @@
 
 /// A controller that lost its workers must not go on calling them healthy, nor say that they are lost.
 #[test]
-fn a_controller_without_its_workers_says_unknown_and_how_old_its_evidence_is() {
+fn a_controller_without_heartbeats_reports_unknown_health_and_the_age_of_its_evidence() {
     let start = Instant::now();
     let reported = Some(start + Duration::from_secs(NOW_S - 1));
     let evidence = WorkerEvidence {
         last_heartbeat: reported,
-        hears: true,
+        confirmed: true,
         ..WorkerEvidence::default()
     };
     let health = judge(evidence, false, start);
--- a/crates/links/src/lib.rs
+++ b/crates/links/src/lib.rs
@@ -1,17 +1,17 @@
 //! Directed links between the controllers of a cluster, the state service and the workers.
 //!
-//! The crate decides without I/O: observations and the time are handed in, states and decisions are
-//! handed out. Nothing here permits anything. A lease and conditional transactions are the only
-//! permission to start a task; what this crate finds can only refuse a placement, describe a worker's
-//! health, or suggest that a leader hands over.
+//! The crate decides without I/O: observations and the time are passed in, states and decisions are
+//! returned. Nothing here grants a permission. A lease and conditional transactions are the only
+//! permission to start a task; this crate can only refuse a placement, describe a worker's health, or
+//! recommend a hand-over of leadership.
 //!
-//! - [`detector`] and [`damping`] judge one link; [`link`] puts both together.
+//! - [`detector`] and [`damping`] evaluate one link; [`link`] combines both.
 //! - [`table`] holds the links of this controller.
-//! - [`row`] is what a controller tells the others, [`matrix`] what it keeps of theirs.
-//! - [`gate`], [`health`] and [`leadership`] decide.
-//! - [`reachability`] tells workers that hear this controller from those that only speak.
-//! - [`contact`] and [`misdirected`] judge whether a controller is cut off alone. These three are in use
-//!   with or without the rest of the crate.
+//! - [`row`] is what a controller publishes, [`matrix`] holds the rows of the others.
+//! - [`gate`], [`health`] and [`handover`] decide.
+//! - [`reachability`] separates workers that confirm responses from those that only send heartbeats.
+//! - [`contact`] and [`misdirected`] detect that a controller is isolated. These three are in use with or
+//!   without the rest of the crate.
 
 pub mod contact;
 pub mod damping;
--- a/crates/links/src/link.rs
+++ b/crates/links/src/link.rs
@@ -1,4 +1,4 @@
-//! One directed link: what was observed of it, and what state that puts it in.
+//! One directed link: its evidence and the state that follows from it.
 
 use std::time::{Duration, Instant};
 
@@ -8,27 +8,27 @@
 use crate::detector::PhiAccrual;
 use crate::timing::LinkTiming;
 
-/// Failures in a row, with no success sent after the first of them, that make a link count as down. One
-/// request alone may fail for its own reasons.
+/// Consecutive failures, with no success sent after the first of them, from which on a link is down. A
+/// single request may fail for reasons of its own.
 const FAILURES_DOWN: u32 = 2;
-/// Part of the threshold of phi from which on a link is suspect.
-const SUSPECT_PART: f64 = 0.5;
+/// Fraction of the phi threshold from which on a link is suspect.
+const SUSPECT_FRACTION: f64 = 0.5;
 
 /// State of a directed link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LinkState {
-    /// Nothing is known, or what was known is too old.
+    /// There is no evidence, or it is too old.
     Unknown,
     /// The newest evidence is a success.
     Up,
-    /// The newest evidence speaks against it, not yet enough.
+    /// There is evidence against it, but not enough to declare it down.
     Suspect,
-    /// It is lost.
+    /// It is declared down.
     Down,
 }
 
-/// A change of state, to be logged.
+/// A change of state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Transition {
     /// The state before.
@@ -39,24 +39,24 @@
     pub suppressed: bool,
 }
 
-/// What decides how a link is judged.
+/// Parameters of failure detection and damping.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Judgement {
-    /// Phi from which on a link counts as down.
+pub struct DetectionParams {
+    /// Phi threshold from which on a link is down.
     pub phi_down: f64,
-    /// Whether links that flap are suppressed.
+    /// Whether flapping links are suppressed.
     pub damping: bool,
 }
 
 /// One directed link.
 #[derive(Debug, Clone)]
 pub struct Link {
-    judgement: Judgement,
+    params: DetectionParams,
     detector: Option<PhiAccrual>,
     damping: FlapDamping,
-    /// Sending of the newest request that succeeded.
+    /// Sending time of the newest request that succeeded.
     succeeded: Option<Instant>,
-    /// Sending of the newest request that failed.
+    /// Sending time of the newest request that failed.
     failed: Option<Instant>,
     failures: u32,
     state: LinkState,
@@ -65,16 +65,16 @@
 }
 
 impl Link {
-    /// A link of which nothing is known. `regular` is the interval at which it is used, if it is used
-    /// regularly: only then does silence say anything.
+    /// A link without evidence. `regular` is the interval at which it is used, if it is used regularly: only
+    /// then is silence evidence.
     pub fn new(
-        judgement: Judgement,
+        params: DetectionParams,
         timing: &LinkTiming,
         regular: Option<Duration>,
         now: Instant,
     ) -> Self {
         Self {
-            judgement,
+            params,
             detector: regular.map(PhiAccrual::new),
             damping: FlapDamping::new(timing.damping_half_life(), timing.suppression_max()),
             succeeded: None,
@@ -86,7 +86,7 @@
         }
     }
 
-    /// A message sent at `sent` arrived, as is known since `now`.
+    /// Records at `now` that a message sent at `sent` arrived.
     pub fn success(&mut self, sent: Instant, now: Instant) -> Option<Transition> {
         self.succeeded = self.succeeded.max(Some(sent));
         if let Some(detector) = &mut self.detector {
@@ -98,8 +98,8 @@
         self.evaluate(now)
     }
 
-    /// A message sent at `sent` did not arrive, or its answer did not, as is known since `now`. If one
-    /// sent later did, it says nothing.
+    /// Records at `now` that a message sent at `sent`, or its response, did not arrive. It is ignored if a
+    /// message sent later did.
     pub fn failure(&mut self, sent: Instant, now: Instant) -> Option<Transition> {
         if self.succeeded.is_some_and(|succeeded| succeeded > sent) {
             return None;
@@ -109,13 +109,13 @@
         self.evaluate(now)
     }
 
-    /// Looks at the link again, for what time alone changes.
+    /// Re-evaluates the link at `now`.
     pub fn evaluate(&mut self, now: Instant) -> Option<Transition> {
-        let state = self.judged(now);
+        let state = self.evaluate_state(now);
         if state == LinkState::Down && self.state != LinkState::Down {
-            self.damping.lost(now);
+            self.damping.record_loss(now);
         }
-        let suppressed = self.judgement.damping && self.damping.suppressed(now);
+        let suppressed = self.params.damping && self.damping.suppressed(now);
         if state == self.state && suppressed == self.suppressed {
             return None;
         }
@@ -132,13 +132,16 @@
         Some(transition)
     }
 
-    fn judged(&self, now: Instant) -> LinkState {
-        let phi = self.detector.as_ref().map_or(0.0, |d| d.phi(now));
-        if self.failures >= FAILURES_DOWN || phi >= self.judgement.phi_down {
+    fn evaluate_state(&self, now: Instant) -> LinkState {
+        let phi = self
+            .detector
+            .as_ref()
+            .map_or(0.0, |detector| detector.phi(now));
+        if self.failures >= FAILURES_DOWN || phi >= self.params.phi_down {
             return LinkState::Down;
         }
         if self.failures > 0 {
-            // A link that was down is not better for one failure more or less.
+            // A link that is down stays down until a success.
             return match self.state {
                 LinkState::Down => LinkState::Down,
                 _ => LinkState::Suspect,
@@ -147,16 +150,16 @@
         if self.succeeded.is_none() {
             return LinkState::Unknown;
         }
-        if phi >= self.judgement.phi_down * SUSPECT_PART {
+        if phi >= self.params.phi_down * SUSPECT_FRACTION {
             return LinkState::Suspect;
         }
         LinkState::Up
     }
 
-    /// Forgets what was observed, as after standing still: silence meanwhile says nothing.
+    /// Discards the evidence after a pause of the process: silence meanwhile is no evidence.
     pub fn forget(&mut self, now: Instant) -> Option<Transition> {
         if let Some(detector) = &mut self.detector {
-            // A message may be as late as if the last had come just now.
+            // The next message is due as if the last had arrived just now.
             detector.heartbeat(now);
         }
         self.failures = 0;
@@ -173,22 +176,22 @@
         self.suppressed
     }
 
-    /// Whether the link can be counted on: up, and not suppressed.
+    /// Whether the link is up and not suppressed.
     pub fn usable(&self) -> bool {
         self.state == LinkState::Up && !self.suppressed
     }
 
-    /// Whether the link counts as down: lost, or suppressed.
+    /// Whether the link is down or suppressed.
     pub fn counts_as_down(&self) -> bool {
         self.state == LinkState::Down || self.suppressed
     }
 
-    /// Since when it is in its state.
+    /// Time of the last change of state.
     pub fn since(&self) -> Instant {
         self.since
     }
 
-    /// When the newest success was sent.
+    /// Sending time of the newest success.
     pub fn evidence_at(&self) -> Option<Instant> {
         self.succeeded
     }
--- a/crates/links/src/link/tests.rs
+++ b/crates/links/src/link/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of [`super`].
 
 use super::*;
-use crate::test_support::{timing, JUDGEMENT};
+use crate::test_support::{timing, DETECTION_PARAMS};
 
 /// A link with a clock in milliseconds.
 struct Played {
@@ -12,7 +12,7 @@
 impl Played {
     fn new(regular: Option<Duration>) -> Self {
         let start = Instant::now();
-        let link = Link::new(JUDGEMENT, &timing(), regular, start);
+        let link = Link::new(DETECTION_PARAMS, &timing(), regular, start);
         Self { link, start }
     }
 
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn two_failures_in_a_row_lose_a_link_and_a_success_sent_later_restores_it() {
+fn two_consecutive_failures_take_a_link_down_and_a_later_success_restores_it() {
     let mut played = Played::new(None);
     assert_eq!(played.look(0), LinkState::Unknown);
     assert_eq!(played.success(0, 10), LinkState::Up);
@@ -54,7 +54,7 @@
 
 /// Of requests side by side some are lost; the others show that the link is there.
 #[test]
-fn a_failure_says_nothing_if_a_request_sent_later_succeeded() {
+fn a_failure_is_ignored_if_a_request_sent_later_succeeded() {
     let mut played = Played::new(None);
     played.success(0, 10);
     for n in 0..20 {
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn silence_loses_a_link_only_if_it_is_used_regularly() {
+fn silence_takes_a_link_down_only_if_it_is_used_regularly() {
     let mut regular = Played::new(Some(Duration::from_secs(1)));
     let mut on_demand = Played::new(None);
     for second in 0..10 {
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_suspect_link_comes_before_a_lost_one() {
+fn a_link_is_suspect_before_it_is_down() {
     let mut played = Played::new(Some(Duration::from_secs(1)));
     for second in 0..10 {
         played.success(second * 1_000, second * 1_000);
@@ -93,7 +93,7 @@
 
 /// Up for three seconds and down for three, again and again.
 #[test]
-fn a_link_that_flaps_counts_as_down_while_it_is_up_until_it_has_been_quiet() {
+fn a_flapping_link_counts_as_down_until_it_is_stable() {
     let mut played = Played::new(None);
     let mut up_and_suppressed = 0;
     for round in 0..10 {
@@ -111,11 +111,11 @@
 }
 
 #[test]
-fn without_damping_a_link_that_is_up_can_be_used() {
+fn without_damping_a_flapping_link_is_usable_while_up() {
     let start = Instant::now();
-    let judgement = Judgement {
+    let judgement = DetectionParams {
         damping: false,
-        ..JUDGEMENT
+        ..DETECTION_PARAMS
     };
     let mut link = Link::new(judgement, &timing(), None, start);
     for round in 0..20 {
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn a_transition_is_told_once() {
+fn a_transition_is_returned_once() {
     let mut played = Played::new(None);
     let (a, b) = (played.at(0), played.at(10));
     let first = played.link.success(a, b);
@@ -147,7 +147,7 @@
 
 /// A controller that stood still was not there to hear anybody.
 #[test]
-fn standing_still_is_no_evidence() {
+fn a_pause_of_the_process_is_no_evidence() {
     let mut played = Played::new(Some(Duration::from_secs(1)));
     for second in 0..10 {
         played.success(second * 1_000, second * 1_000);
@@ -158,7 +158,7 @@
     assert_eq!(
         played.link.evidence_at(),
         Some(played.at(9_000)),
-        "its age is told"
+        "its age is kept"
     );
     assert_eq!(played.look(90_000), LinkState::Down);
 }
--- a/crates/links/src/matrix.rs
+++ b/crates/links/src/matrix.rs
@@ -1,4 +1,4 @@
-//! The connectivity matrix: the newest row of every other controller, as long as it says something.
+//! The connectivity matrix: the newest row of every other controller, until it expires.
 
 use std::collections::{BTreeMap, HashSet};
 use std::time::{Duration, Instant};
@@ -7,7 +7,7 @@
 use crate::timing::LinkTiming;
 use crate::workers::WorkerSet;
 
-/// A row with the time at which it came.
+/// A row with its time of arrival.
 #[derive(Debug, Clone)]
 struct Received {
     row: Row,
@@ -19,8 +19,8 @@
 pub struct Matrix {
     timing: LinkTiming,
     rows: BTreeMap<String, Option<Received>>,
-    /// Refusals told since the sender's last good row.
-    told: HashSet<(String, RowRejection)>,
+    /// Rejections logged since the sender's last accepted row.
+    logged_rejections: HashSet<(String, RowRejection)>,
 }
 
 impl Matrix {
@@ -29,18 +29,18 @@
         Self {
             timing,
             rows: members.map(|member| (member, None)).collect(),
-            told: HashSet::new(),
+            logged_rejections: HashSet::new(),
         }
     }
 
-    /// Takes a row that came at `now`, at the time of day `wall_ms`. Refused, it changes nothing.
+    /// Accepts a row that arrived at `now`, at the time of day `wall_ms`. A rejected row changes nothing.
     pub fn take(&mut self, row: Row, now: Instant, wall_ms: u64) -> Result<(), RowRejection> {
         let message = &row.message;
-        let Some(before) = self.rows.get_mut(&message.member) else {
+        let Some(slot) = self.rows.get_mut(&message.member) else {
             return Err(RowRejection::UnknownMember);
         };
-        if let Some(before) = before {
-            let known = &before.row.message;
+        if let Some(received) = slot {
+            let known = &received.row.message;
             if message.incarnation < known.incarnation {
                 return Err(RowRejection::FormerIncarnation);
             }
@@ -53,33 +53,34 @@
             return Err(RowRejection::TooOld);
         }
         let member = message.member.clone();
-        *before = Some(Received { row, at: now });
-        self.told.retain(|(told, _)| *told != member);
+        *slot = Some(Received { row, at: now });
+        self.logged_rejections
+            .retain(|(sender, _)| *sender != member);
         Ok(())
     }
 
-    /// Whether a refusal should be logged: once for each kind and sender, until a good row comes. Of
-    /// senders that are not known, once for all of them.
-    pub fn tell_once(&mut self, member: &str, why: RowRejection) -> bool {
+    /// Whether a rejection should be logged: once for each reason and sender until a row is accepted, and
+    /// once for all unknown senders together.
+    pub fn should_log_rejection(&mut self, member: &str, reason: RowRejection) -> bool {
         let known = self.rows.contains_key(member);
         let member = if known { member } else { "" };
-        self.told.insert((member.to_owned(), why))
+        self.logged_rejections.insert((member.to_owned(), reason))
     }
 
-    /// The highest life of a member that was seen; 0 if none was.
+    /// The highest incarnation of a member in an accepted row; 0 without one.
     pub fn newest_incarnation(&self, member: &str) -> u64 {
         let received = self.rows.get(member).and_then(Option::as_ref);
         received.map_or(0, |received| received.row.message.incarnation)
     }
 
-    /// The row of a member, if it is new enough to say anything.
+    /// The row of a member, unless it is unknown or expired.
     pub fn row(&self, member: &str, now: Instant) -> Option<&Row> {
         let received = self.rows.get(member)?.as_ref()?;
         let age = now.saturating_duration_since(received.at);
         (age < self.timing.row_lifetime()).then_some(&received.row)
     }
 
-    /// All rows that say something, with the time since they came.
+    /// All rows that have not expired, with the time since their arrival.
     pub fn rows(&self, now: Instant) -> impl Iterator<Item = (&str, &Row, Duration)> {
         self.rows.iter().filter_map(move |(member, received)| {
             let row = self.row(member, now)?;
@@ -88,27 +89,27 @@
         })
     }
 
-    /// Whether a controller that leads says that it lacks the state service. The others then try whether
-    /// they have it, which their rows tell.
+    /// Whether the row of a leader shows that it lacks the state service. The others then probe whether
+    /// they have it, and publish that in their rows.
     pub fn leader_lacks_store(&self, now: Instant) -> bool {
-        let mut leads = self
+        let mut leaders = self
             .rows(now)
             .filter(|(_, row, _)| row.message.leads_term.is_some());
-        leads.any(|(_, row, _)| !row.store_usable())
+        leaders.any(|(_, row, _)| !row.store_usable())
     }
 
-    /// How old evidence in a row may be.
+    /// Maximum age of evidence in a row.
     pub fn evidence_age_max(&self) -> Duration {
         self.timing.row_lifetime()
     }
 
-    /// The other controllers, whether their rows are known or not.
+    /// The other controllers, with or without a row.
     pub fn members(&self) -> impl Iterator<Item = &str> {
         self.rows.keys().map(String::as_str)
     }
 
-    /// Workers whose reports `member` would get if it led: those that report to it, and those of every
-    /// other controller that reaches it, since followers forward reports. `own` is the row of this
+    /// Workers whose heartbeats `member` would receive as the leader: those that send them to it, and those
+    /// of every other controller that reaches it, since followers forward heartbeats. `own` is the row of this
     /// controller.
     pub fn workers_served_by(&self, member: &str, own: &Row, now: Instant) -> WorkerSet {
         let others = self.rows(now).map(|(_, row, _)| row);
--- a/crates/links/src/matrix/tests.rs
+++ b/crates/links/src/matrix/tests.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn rows_that_are_old_repeated_or_reordered_change_nothing() {
+fn stale_repeated_or_reordered_rows_change_nothing() {
     let (mut matrix, now) = (matrix(), Instant::now());
     let take = |matrix: &mut Matrix, incarnation, sequence| {
         matrix.take(
@@ -75,7 +75,7 @@
 
 /// A copy that was held up on its way must not pass for what is true now.
 #[test]
-fn a_row_that_was_long_on_its_way_is_refused_and_clocks_may_differ_by_their_bound() {
+fn a_row_sent_too_long_ago_is_rejected_with_allowance_for_clock_skew() {
     let (mut matrix, now) = (matrix(), Instant::now());
     let age_max = timing().row_age_max().as_millis() as u64;
     let mut take =
@@ -104,18 +104,19 @@
 }
 
 #[test]
-fn a_refusal_is_told_once_until_a_good_row_comes() {
+fn a_rejection_is_logged_once_until_a_row_is_accepted() {
     let (mut matrix, now) = (matrix(), Instant::now());
-    assert!(matrix.tell_once("knot-1", RowRejection::NotNewer));
-    assert!(!matrix.tell_once("knot-1", RowRejection::NotNewer));
-    assert!(matrix.tell_once("knot-1", RowRejection::TooOld));
-    assert!(matrix.tell_once("knot-2", RowRejection::NotNewer));
+    assert!(matrix.should_log_rejection("knot-1", RowRejection::NotNewer));
+    assert!(!matrix.should_log_rejection("knot-1", RowRejection::NotNewer));
+    assert!(matrix.should_log_rejection("knot-1", RowRejection::TooOld));
+    assert!(matrix.should_log_rejection("knot-2", RowRejection::NotNewer));
     matrix.take(row("knot-1", 1, 1, &[]), now, WALL_MS).unwrap();
-    assert!(matrix.tell_once("knot-1", RowRejection::NotNewer));
-    assert!(!matrix.tell_once("knot-2", RowRejection::NotNewer));
+    assert!(matrix.should_log_rejection("knot-1", RowRejection::NotNewer));
+    assert!(!matrix.should_log_rejection("knot-2", RowRejection::NotNewer));
     // Whoever invents senders fills no memory and no log.
-    assert!(matrix.tell_once("a", RowRejection::UnknownMember));
-    assert!((0..100).all(|n| !matrix.tell_once(&format!("b{n}"), RowRejection::UnknownMember)));
+    assert!(matrix.should_log_rejection("a", RowRejection::UnknownMember));
+    assert!((0..100)
+        .all(|n| !matrix.should_log_rejection(&format!("b{n}"), RowRejection::UnknownMember)));
 }
 
 #[test]
--- a/crates/links/src/reachability.rs
+++ b/crates/links/src/reachability.rs
@@ -1,65 +1,67 @@
-//! Whether a worker hears this controller. Its reports do not show that: answers and commands may be
-//! lost while reports arrive. A token that it has to bring back does.
+//! Whether responses and commands of this controller reach a worker. Heartbeats do not show that:
+//! responses may be lost while heartbeats arrive. A fencing token that the worker has to acknowledge does.
 
 use std::time::{Duration, Instant};
 
-/// Part of the workers below which hardly any is heard.
-const FEW_PART: f64 = 0.25;
+/// Fraction of the known workers below which the controller itself is suspected to be disconnected.
+const REPORTING_FRACTION_MIN: f64 = 0.25;
 
-/// A token that a worker has to report, and since when.
+/// A token that a worker has to acknowledge, and since when.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Doubt {
+struct PendingAcknowledgement {
     token: u64,
     since: Instant,
 }
 
-/// What shows whether one worker hears this controller.
+/// The acknowledgement that one worker still owes, if any.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Reachability {
-    doubt: Option<Doubt>,
+    pending: Option<PendingAcknowledgement>,
 }
 
 impl Reachability {
-    /// Whether nothing speaks against it.
-    pub fn fine(&self) -> bool {
-        self.doubt.is_none()
+    /// Whether no acknowledgement is pending.
+    pub fn confirmed(&self) -> bool {
+        self.pending.is_none()
     }
 
-    /// Something that it was told did not show: it has to report this token.
-    pub fn doubt(&mut self, token: u64, now: Instant) {
-        self.doubt.get_or_insert(Doubt { token, since: now });
+    /// The worker shows no effect of a response or command: it has to acknowledge this token. An earlier
+    /// pending acknowledgement stays.
+    pub fn require_acknowledgement(&mut self, token: u64, now: Instant) {
+        self.pending
+            .get_or_insert(PendingAcknowledgement { token, since: now });
     }
 
-    /// It reported this token.
-    pub fn heard(&mut self, token: u64) {
-        if self.doubt.is_some_and(|doubt| token >= doubt.token) {
-            self.doubt = None;
+    /// A heartbeat carried this token. The required token, or a higher one, ends the wait.
+    pub fn acknowledge(&mut self, token: u64) {
+        if self.pending.is_some_and(|pending| token >= pending.token) {
+            self.pending = None;
         }
     }
 
-    /// The doubt could not have been ended for so long.
-    pub fn wait(&mut self, missed: Duration) {
-        if let Some(doubt) = &mut self.doubt {
-            doubt.since += missed;
+    /// Extends the wait by a period in which no acknowledgement could have arrived.
+    pub fn extend(&mut self, missed: Duration) {
+        if let Some(pending) = &mut self.pending {
+            pending.since += missed;
         }
     }
 
-    /// Since when it is in doubt.
-    pub fn doubted_since(&self) -> Option<Instant> {
-        self.doubt.map(|doubt| doubt.since)
+    /// Since when an acknowledgement is pending.
+    pub fn pending_since(&self) -> Option<Instant> {
+        self.pending.map(|pending| pending.since)
     }
 
-    /// Whether it has been in doubt for longer than `limit`.
-    pub fn deaf(&self, now: Instant, limit: Duration) -> bool {
-        self.doubt
-            .is_some_and(|doubt| now.saturating_duration_since(doubt.since) > limit)
+    /// Whether an acknowledgement has been pending for longer than `limit`.
+    pub fn overdue(&self, now: Instant, limit: Duration) -> bool {
+        self.pending
+            .is_some_and(|pending| now.saturating_duration_since(pending.since) > limit)
     }
 }
 
-/// Whether so few of the workers that are known are heard that it is more likely this controller that is
-/// cut off: all of them lost at once are rarer.
-pub fn hears_few(known: usize, heard: usize) -> bool {
-    known > 0 && (heard as f64) < known as f64 * FEW_PART
+/// Whether so few of the known workers send heartbeats that a loss of this controller's own connection is
+/// the likelier cause: a simultaneous loss of nearly all workers is rarer.
+pub fn few_workers_reporting(known: usize, reporting: usize) -> bool {
+    known > 0 && (reporting as f64) < known as f64 * REPORTING_FRACTION_MIN
 }
 
 #[cfg(test)]
--- a/crates/links/src/row.rs
+++ b/crates/links/src/row.rs
@@ -1,4 +1,5 @@
-//! A row of the connectivity matrix: what one controller tells the others of its links.
+//! A row of the connectivity matrix: the state of one controller's links, which it publishes to the
+//! others.
 
 use std::time::Duration;
 
@@ -10,7 +11,7 @@
 
 /// Version of [`RowMessage`].
 pub const ROW_VERSION: u16 = 1;
-/// Largest row taken, in bytes: two sets of 100,000 workers with gaps, and a hundred controllers.
+/// Maximum size of an accepted row in bytes: two sets of 100,000 workers with gaps, and a hundred controllers.
 pub const ROW_BYTES_MAX: usize = 64 * 1024;
 
 /// A link as its owner sees it.
@@ -25,19 +26,19 @@
 }
 
 impl LinkStatus {
-    /// A link of which nothing is known.
+    /// A link without evidence.
     pub const UNKNOWN: Self = Self {
         state: LinkState::Unknown,
         suppressed: false,
         evidence_age_ms: None,
     };
 
-    /// Whether the link can be counted on.
+    /// Whether the link is up and not suppressed.
     pub fn usable(&self) -> bool {
         self.state == LinkState::Up && !self.suppressed
     }
 
-    /// Whether the link counts as down: lost, or suppressed.
+    /// Whether the link is down or suppressed.
     pub fn counts_as_down(&self) -> bool {
         self.state == LinkState::Down || self.suppressed
     }
@@ -48,26 +49,26 @@
 pub struct PeerLinks {
     /// The other controller.
     pub member: String,
-    /// Requests of the sender are answered by it.
+    /// Requests of the sender, answered by the other controller.
     pub outbound: LinkStatus,
-    /// Its requests arrive at the sender.
+    /// Requests of the other controller, arriving at the sender.
     pub inbound: LinkStatus,
 }
 
-/// A row on its way.
+/// A row in transit.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RowMessage {
     /// [`ROW_VERSION`]; first, so that it can be read whatever follows.
     pub version: u16,
     /// The sender.
     pub member: String,
-    /// The life of the sender's process: a later one has a higher number.
+    /// Incarnation of the sender's process: a later one has a higher number.
     pub incarnation: u64,
-    /// Counts the rows of a life.
+    /// Sequence number of the row within the incarnation.
     pub sequence: u64,
     /// Time of day at the sending, in milliseconds since 1970.
     pub sent_at_ms: u64,
-    /// The term that the sender leads.
+    /// The term in which the sender is the leader.
     pub leads_term: Option<u64>,
     /// Reads of the state service.
     pub store_read: LinkStatus,
@@ -75,39 +76,39 @@
     pub store_write: LinkStatus,
     /// The other controllers.
     pub peers: Vec<PeerLinks>,
-    /// Workers whose reports arrive at the sender itself, as [`WorkerSet::to_bytes`] has them.
+    /// Workers whose heartbeats arrive at the sender itself, as [`WorkerSet::to_bytes`] has them.
     pub workers_heard: Vec<u8>,
-    /// Of these, those that show that the sender's answers arrive.
+    /// Of these, those that confirm that the sender's responses arrive.
     pub workers_reached: Vec<u8>,
 }
 
 /// The answer to a row.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RowReply {
-    /// The highest life of the sender that the receiver knows. A process whose clock is behind that of
-    /// its former life takes a higher one.
+    /// The highest incarnation of the sender that the receiver knows. A process whose clock is behind that
+    /// of its former incarnation chooses a higher one.
     pub newest_incarnation: u64,
 }
 
-/// Why a row was refused. It changes nothing then.
+/// Why a row was rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Error)]
 pub enum RowRejection {
-    /// The body is larger than [`ROW_BYTES_MAX`], or was cut off.
-    #[error("the row is too large or cut off")]
+    /// The body is larger than [`ROW_BYTES_MAX`], or truncated.
+    #[error("the row is too large or truncated")]
     Body,
     /// Not a row.
     #[error("malformed row")]
     Malformed,
-    /// Of a version that is not known here.
-    #[error("unknown version {0} of rows")]
+    /// Of an unknown version.
+    #[error("unknown row version {0}")]
     UnknownVersion(u16),
     /// Not from a known controller.
-    #[error("the sender is no known controller")]
+    #[error("the sender is not a known controller")]
     UnknownMember,
-    /// Of a former life of the sender.
-    #[error("the row is of a former life")]
+    /// Of a former incarnation of the sender.
+    #[error("the row is of a former incarnation")]
     FormerIncarnation,
-    /// Not newer than the last row of this life.
+    /// Not newer than the last row of this incarnation.
     #[error("the row is repeated or was overtaken")]
     NotNewer,
     /// Sent too long ago.
@@ -115,7 +116,7 @@
     TooOld,
 }
 
-/// A row that was checked.
+/// A validated row.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Row {
     /// The message without its sets of workers.
@@ -127,7 +128,7 @@
 }
 
 impl Row {
-    /// Checks what a message says of itself.
+    /// Validates a message.
     pub fn check(mut message: RowMessage) -> Result<Self, RowRejection> {
         if message.version != ROW_VERSION {
             return Err(RowRejection::UnknownVersion(message.version));
@@ -142,14 +143,14 @@
         })
     }
 
-    /// Whether the sender can read at the state service, and write as far as it knows: followers rarely
-    /// do.
+    /// Whether the sender can read from the state service, and has no evidence against writes: followers
+    /// rarely write.
     pub fn store_usable(&self) -> bool {
         self.message.store_read.usable() && !self.message.store_write.counts_as_down()
     }
 
-    /// Whether the sender can read, and has written at most so long before it sent the row. Without it a
-    /// leader whose transactions are refused would hand over to a follower that has not tried.
+    /// Whether the sender can read, and has written at most `age_max` before it sent the row. Without this
+    /// evidence a leader whose transactions are refused would hand over to a follower that has not tried.
     pub fn store_proven(&self, age_max: Duration) -> bool {
         let write = &self.message.store_write;
         let age = write.evidence_age_ms.map(Duration::from_millis);
--- a/crates/links/src/row/tests.rs
+++ b/crates/links/src/row/tests.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_row_is_checked_and_sent_on_as_it_was() {
+fn a_row_survives_a_round_trip() {
     let row = Row::check(message()).unwrap();
     assert_eq!((row.heard.len(), row.reached.len()), (2, 1));
     assert_eq!(row.to_message(), message());
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_follower_that_has_not_written_yet_has_the_state_service_and_one_that_can_not_read_has_not() {
+fn a_follower_needs_reads_but_no_write_for_a_usable_state_service() {
     let usable = |change: fn(&mut RowMessage)| {
         let mut message = message();
         change(&mut message);
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn another_version_and_broken_sets_are_refused() {
+fn other_versions_and_malformed_sets_are_rejected() {
     let mut other = message();
     other.version = ROW_VERSION + 1;
     assert_eq!(Row::check(other), Err(RowRejection::UnknownVersion(2)));
--- a/crates/links/src/table/tests.rs
+++ b/crates/links/src/table/tests.rs
@@ -2,11 +2,11 @@
 
 use super::*;
 use crate::gate::GateRefusal;
-use crate::test_support::{timing, JUDGEMENT};
+use crate::test_support::{timing, DETECTION_PARAMS};
 
 fn table(now: Instant) -> LinkTable {
     let others = std::iter::once("knot-1".to_owned());
-    LinkTable::new("knot-0", others, JUDGEMENT, timing(), now)
+    LinkTable::new("knot-0", others, DETECTION_PARAMS, timing(), now)
 }
 
 fn row(table: &LinkTable, now: Instant) -> Row {
@@ -21,7 +21,7 @@
 
 /// Renewals that succeed are no evidence that transactions do, nor is a read.
 #[test]
-fn each_operation_at_the_state_service_is_judged_apart() {
+fn each_operation_at_the_state_service_has_its_own_link() {
     let start = Instant::now();
     let mut table = table(start);
     let at = |ms: u64| start + Duration::from_millis(ms);
@@ -31,7 +31,7 @@
         table.store(StoreOperation::Write, at(ms), ms < 1_000, at(ms));
     }
     assert_eq!(table.gate().refusal, Some(GateRefusal::Unwritable));
-    assert!(table.writes_fail());
+    assert!(table.store_write_down());
     let row = row(&table, at(5_000));
     assert!(row.message.store_read.usable() && !row.store_usable());
     let change = table.store(StoreOperation::Write, at(5_100), true, at(5_100));
@@ -40,13 +40,13 @@
 }
 
 #[test]
-fn a_peer_whose_requests_arrive_is_not_one_that_answers() {
+fn inbound_and_outbound_links_of_a_peer_are_independent() {
     let start = Instant::now();
     let mut table = table(start);
     for second in 0..20 {
         let now = start + Duration::from_secs(second);
-        table.peer_heard("knot-1", now);
-        table.peer_asked("knot-1", now, second < 5, now);
+        table.peer_row("knot-1", now);
+        table.peer_request("knot-1", now, second < 5, now);
         table.evaluate(now);
     }
     let row = row(&table, start + Duration::from_secs(19));
@@ -54,11 +54,11 @@
     assert!(links.inbound.usable());
     assert_eq!(links.outbound.state, LinkState::Down);
     assert!(links.outbound.evidence_age_ms >= Some(14_000));
-    assert!(table.peer_heard("knot-9", start).is_none());
+    assert!(table.peer_row("knot-9", start).is_none());
 }
 
 #[test]
-fn a_worker_is_heard_by_its_reports_and_reached_if_it_stays_for_our_answers() {
+fn a_worker_is_heard_by_its_heartbeats_and_reached_if_they_are_consecutive() {
     let start = Instant::now();
     let mut table = table(start);
     let at = |s: u64| start + Duration::from_secs(s);
@@ -66,12 +66,12 @@
     // answered; the fourth sends copies of one report.
     for (round, second) in (0..5).map(|n| (n, 3 * n)) {
         let now = at(second);
-        table.worker_reported(1, (1, 10 + round), now);
+        table.worker_heartbeat(1, (1, 10 + round), now);
         table.worker_answered(1);
-        table.worker_reported(2, (1, 10 + 3 * round), now);
+        table.worker_heartbeat(2, (1, 10 + 3 * round), now);
         table.worker_answered(2);
-        table.worker_reported(3, (1, 10 + round), now);
-        table.worker_reported(4, (1, 10), now);
+        table.worker_heartbeat(3, (1, 10 + round), now);
+        table.worker_heartbeat(4, (1, 10), now);
         table.worker_answered(4);
     }
     let now = at(13);
@@ -86,34 +86,34 @@
 }
 
 #[test]
-fn standing_still_makes_nobody_silent() {
+fn a_pause_of_the_process_is_no_evidence_of_silence() {
     let start = Instant::now();
     let mut table = table(start);
     for second in 0..10 {
         let now = start + Duration::from_secs(second);
-        table.worker_reported(1, (1, second + 1), now);
-        table.peer_heard("knot-1", now);
+        table.worker_heartbeat(1, (1, second + 1), now);
+        table.peer_row("knot-1", now);
     }
     let woken = start + Duration::from_secs(50);
-    table.stood_still(woken);
+    table.resume(woken);
     let row = row(&table, woken);
     assert!(row.heard.contains(1) && row.message.peers[0].inbound.usable());
     assert_eq!(
         row.message.peers[0].inbound.evidence_age_ms,
         Some(41_000),
-        "told as it is"
+        "the age is not altered"
     );
 }
 
-/// What is told once a second must stay small at 4,000 machines and seven controllers.
+/// A row is published once a second, so it must stay small at 4,000 machines and seven controllers.
 #[test]
-fn a_row_of_4000_workers_fits_many_times() {
+fn a_row_of_4000_workers_is_far_below_the_size_limit() {
     let start = Instant::now();
     let mut table = table(start);
     for worker in (0..8_000).step_by(2) {
-        table.worker_reported(worker, (1, 1), start);
+        table.worker_heartbeat(worker, (1, 1), start);
         table.worker_answered(worker);
-        table.worker_reported(worker, (1, 2), start + Duration::from_secs(3));
+        table.worker_heartbeat(worker, (1, 2), start + Duration::from_secs(3));
     }
     let row = row(&table, start + Duration::from_secs(4));
     assert_eq!((row.heard.len(), row.reached.len()), (4_000, 4_000));
--- a/crates/links/src/workers.rs
+++ b/crates/links/src/workers.rs
@@ -1,10 +1,10 @@
-//! Sets of workers as compressed bitmaps.
+//! Sets of workers as compressed bitmaps of worker numbers.
 
 use roaring::RoaringBitmap;
 use thiserror::Error;
 
-/// Set in the number of a worker whose name does not end in digits.
-const HASHED: u32 = 1 << 31;
+/// Bit set in the number of a worker whose name does not end in digits.
+const HASHED_NAME_BIT: u32 = 1 << 31;
 /// Offset basis and prime of the 32-bit FNV-1a hash.
 const FNV_OFFSET: u32 = 0x811c_9dc5;
 const FNV_PRIME: u32 = 0x0100_0193;
@@ -14,7 +14,7 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct WorkerSet(RoaringBitmap);
 
-/// Bytes that are no set of workers.
+/// Error for bytes that do not encode a set of workers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("not a set of workers")]
 pub struct MalformedSet;
@@ -24,13 +24,13 @@
 pub fn worker_number(name: &str) -> u32 {
     let digits = name.len() - name.trim_end_matches(|c: char| c.is_ascii_digit()).len();
     let number = name[name.len() - digits..].parse::<u32>().ok();
-    match number.filter(|number| *number < HASHED) {
+    match number.filter(|number| *number < HASHED_NAME_BIT) {
         Some(number) => number,
         None => {
             let hash = name.bytes().fold(FNV_OFFSET, |hash, byte| {
                 (hash ^ u32::from(byte)).wrapping_mul(FNV_PRIME)
             });
-            hash | HASHED
+            hash | HASHED_NAME_BIT
         }
     }
 }
@@ -71,7 +71,7 @@
         let mut optimized = self.0.clone();
         optimized.optimize();
         let mut bytes = Vec::with_capacity(optimized.serialized_size());
-        // Writing to memory does not fail; a set that was not written whole is not read.
+        // Writing to memory does not fail, and the receiver rejects an incomplete set.
         let _ = optimized.serialize_into(&mut bytes);
         bytes
     }
--- a/crates/links/src/workers/tests.rs
+++ b/crates/links/src/workers/tests.rs
@@ -8,7 +8,7 @@
     assert_eq!(worker_number("m-4000"), 4_000);
     let odd = ["spare", "m-", "m-99999999999", "m-4294967295", ""];
     for name in odd {
-        assert!(worker_number(name) >= HASHED, "{name}");
+        assert!(worker_number(name) >= HASHED_NAME_BIT, "{name}");
     }
     let distinct: std::collections::BTreeSet<u32> = odd.iter().map(|n| worker_number(n)).collect();
     assert_eq!(distinct.len(), odd.len());
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn bytes_that_are_no_set_are_refused_whole() {
+fn malformed_bytes_are_rejected() {
     let set = WorkerSet::of(["m-000001", "m-000900"].into_iter());
     let bytes = set.to_bytes();
     for end in 0..bytes.len() {
--- a/src/actors/peers.rs
+++ b/src/actors/peers.rs
@@ -252,8 +252,8 @@
             let shared = self.shared.clone();
             actix::spawn(async move {
                 let said = match sent.await {
-                    Ok(answer) if answer.status().is_success() => PeerContactAnswer::Fine,
-                    Ok(_) => PeerContactAnswer::Failing,
+                    Ok(answer) if answer.status().is_success() => PeerContactAnswer::Connected,
+                    Ok(_) => PeerContactAnswer::Disconnected,
                     // Refused by a filter or by a node that is just starting: no sign that we
                     // are the ones cut off.
                     Err(SendRequestError::Connect(ConnectError::Io(_))) => {
--- a/src/cluster/commands.rs
+++ b/src/cluster/commands.rs
@@ -130,7 +130,7 @@
             }
         }
         for machine in self.machines.values_mut() {
-            if !machine.reachability.fine()
+            if !machine.reachability.confirmed()
                 && again(machine.last_probe)
                 && !machine.address.is_empty()
             {
--- a/src/cluster/heartbeat.rs
+++ b/src/cluster/heartbeat.rs
@@ -206,7 +206,7 @@
         machine.spot_deadline = spot_deadline;
         let token = FencingToken(heartbeat.token);
         machine.fenced = token.term() == self.term;
-        machine.reachability.heard(token.0);
+        machine.reachability.acknowledge(token.0);
         machine.token = machine.token.max(token).max(FencingToken::first(self.term));
         let was_fresh = machine.fresh;
         machine.fresh =
--- a/src/cluster/machine.rs
+++ b/src/cluster/machine.rs
@@ -335,8 +335,8 @@
     pub fn evidence(&self) -> WorkerEvidence {
         WorkerEvidence {
             last_heartbeat: self.last_heartbeat,
-            hears: self.fenced && self.reachability.fine(),
-            doubted_since: self.reachability.doubted_since(),
+            confirmed: self.fenced && self.reachability.confirmed(),
+            unacknowledged_since: self.reachability.pending_since(),
             unanswered_commands: self.unanswered_commands,
         }
     }
@@ -352,7 +352,10 @@
                 !(self.fenced || self.fresh),
                 "it has not shown this term's token",
             ),
-            (!self.reachability.fine(), "it does not seem to hear us"),
+            (
+                !self.reachability.confirmed(),
+                "it does not seem to hear us",
+            ),
             (self.releasing, "it is being returned"),
             (
                 self.drain == Some(DrainReason::Faulty),
@@ -390,9 +393,13 @@
     /// Something we told it did not show: it gets no starts until it brings back a token that
     /// it can have only from us, from now on.
     pub fn doubt(&mut self, now: Instant) {
-        if let Some(raised) = self.token.raised().filter(|_| self.reachability.fine()) {
+        if let Some(raised) = self
+            .token
+            .raised()
+            .filter(|_| self.reachability.confirmed())
+        {
             self.token = raised;
-            self.reachability.doubt(raised.0, now);
+            self.reachability.require_acknowledgement(raised.0, now);
         }
     }
 
--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -31,7 +31,7 @@
 pub use records::{RecordKind, RecordWrite};
 
 use knotlanding_links::health::{HealthJudge, HealthLimits};
-use knotlanding_links::reachability::hears_few;
+use knotlanding_links::reachability::few_workers_reporting;
 
 use self::sent::SentLists;
 use crate::config::Settings;
@@ -448,7 +448,7 @@
             machine.last_heartbeat = machine.last_heartbeat.map(later);
             machine.first_heartbeat = machine.first_heartbeat.map(later);
             machine.listed_since = later(machine.listed_since);
-            machine.reachability.wait(missed);
+            machine.reachability.extend(missed);
             machine.unanswered_commands = 0;
         }
     }
@@ -480,7 +480,7 @@
                     usize::from(machine.last_heartbeat.is_some() && !machine.silent(now, limit));
             }
         }
-        hears_few(known, heard)
+        few_workers_reporting(known, heard)
     }
 
     /// What machines' health is judged by now. Who hears hardly any of them can't tell a machine's
@@ -492,7 +492,7 @@
                     + self.timing.heartbeat_interval / 2,
                 lost: self.timing.failed_after,
             },
-            hears_workers: !self.hears_few_machines(now),
+            receives_heartbeats: !self.hears_few_machines(now),
             now,
         }
     }
--- a/src/fleet/lost.rs
+++ b/src/fleet/lost.rs
@@ -35,7 +35,7 @@
         .first_heartbeat
         .is_some_and(|met| now.saturating_duration_since(met) > limit);
     machine.silent(now, limit)
-        || machine.reachability.deaf(now, limit)
+        || machine.reachability.overdue(now, limit)
         || (met_long_ago && !machine.fenced)
 }
 
--- a/src/service/links.rs
+++ b/src/service/links.rs
@@ -14,7 +14,7 @@
 use knotlanding_links::contact::{Contact, PeerContactAnswer, PeerContacts, CONTACT_LOST};
 use knotlanding_links::gate::{GateRefusal, GateVerdict};
 use knotlanding_links::handover::{Decision, HandoverPolicy};
-use knotlanding_links::link::Judgement;
+use knotlanding_links::link::DetectionParams;
 use knotlanding_links::matrix::Matrix;
 use knotlanding_links::misdirected::MisdirectedHeartbeats;
 use knotlanding_links::row::{Row, RowMessage, RowRejection, RowReply};
@@ -97,8 +97,8 @@
     LinkTiming {
         row_interval: ROW_INTERVAL,
         leader_lease,
-        report_interval: secs(settings.params.workers.report_s),
-        clock_difference: Duration::from_millis(clock_ms as u64),
+        heartbeat_interval: secs(settings.params.workers.report_s),
+        clock_skew_max: Duration::from_millis(clock_ms as u64),
     }
 }
 
@@ -145,12 +145,12 @@
 
     /// The peers are asked whether they have the state service, while this process has not.
     pub fn peers_asked(&self, now: Instant) {
-        self.evidence.lock().peer_contacts.asked(now);
+        self.evidence.lock().peer_contacts.probed(now);
     }
 
     /// A peer answered.
     pub fn peer_contact_answered(&self, answer: PeerContactAnswer, now: Instant) {
-        self.evidence.lock().peer_contacts.answered(answer, now);
+        self.evidence.lock().peer_contacts.record(answer, now);
     }
 
     /// What peers said counts no longer.
@@ -170,12 +170,15 @@
 
     /// A node says how many reports it could neither answer nor forward so far.
     pub fn misdirected_counted(&self, member: &str, count: u64, now: Instant) {
-        self.evidence.lock().misdirected.counted(member, count, now);
+        self.evidence
+            .lock()
+            .misdirected
+            .record_count(member, count, now);
     }
 
     /// Whether many reports were misdirected lately.
     pub fn misdirected_lately(&self, now: Instant) -> bool {
-        self.evidence.lock().misdirected.lately(now)
+        self.evidence.lock().misdirected.many_recently(now)
     }
 
     /// Whether this node can take requests as far as its links go; `has_peers` if it is not the only one.
@@ -186,7 +189,7 @@
         let failing = evidence.contact.failing_since.is_some_and(|at| !lasts(at));
         let heard = evidence.last_summary;
         let peer_fine = heard.is_some_and(|at| now.saturating_duration_since(at) < CONTACT_LOST);
-        let alone = has_peers && evidence.peer_contacts.we_alone(now);
+        let alone = has_peers && evidence.peer_contacts.isolated(now);
         (loaded && !failing) || !(peer_fine || alone)
     }
 
@@ -202,7 +205,7 @@
         if let Some(active) = &self.active {
             let number = worker_number(&heartbeat.machine);
             let newest = (heartbeat.epoch, heartbeat.sequence);
-            active.table.lock().worker_reported(number, newest, now);
+            active.table.lock().worker_heartbeat(number, newest, now);
         }
     }
 
@@ -217,7 +220,7 @@
 impl ActiveLinks {
     fn new(settings: &Settings, features: LinkFeatures, now: Instant) -> Self {
         let timing = link_timing(settings);
-        let judgement = Judgement {
+        let judgement = DetectionParams {
             phi_down: features.detector_phi,
             damping: features.damping,
         };
@@ -268,13 +271,13 @@
 
     /// This process stood still; all links are looked at again.
     pub fn stood_still(&self, now: Instant) {
-        self.table.lock().stood_still(now);
+        self.table.lock().resume(now);
         self.leadership.lock().reset();
     }
 
     /// A request to a peer was answered or not.
     pub fn peer_asked(&self, member: &str, sent: Instant, answered: bool, now: Instant) {
-        let change = self.table.lock().peer_asked(member, sent, answered, now);
+        let change = self.table.lock().peer_request(member, sent, answered, now);
         log_changes(change.as_slice());
     }
 
@@ -326,7 +329,7 @@
         match taken {
             Ok(()) => {
                 self.rows_taken.fetch_add(1, Ordering::Relaxed);
-                let change = self.table.lock().peer_heard(&member, now);
+                let change = self.table.lock().peer_row(&member, now);
                 log_changes(change.as_slice());
             }
             Err(why) => {
@@ -344,14 +347,14 @@
     /// Whether a write of no consequence should show if transactions succeed: our own fail while we lead,
     /// or the leader lacks the state service and asks for somebody who has it.
     pub fn wants_probe(&self, leads: bool, now: Instant) -> bool {
-        let own_fail = self.table.lock().writes_fail();
+        let own_fail = self.table.lock().store_write_down();
         (leads && own_fail) || self.matrix.lock().leader_lacks_store(now)
     }
 
     /// EventCounts a refused row, and logs it once.
     pub fn refuse_row(&self, member: &str, why: RowRejection) {
         self.rows_refused.fetch_add(1, Ordering::Relaxed);
-        if self.matrix.lock().tell_once(member, why) {
+        if self.matrix.lock().should_log_rejection(member, why) {
             warn!(member, %why, "row refused");
         }
     }
