--- a/crates/testbed/src/cloud.rs
+++ b/crates/testbed/src/cloud.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the cloud, whose machines are [`crate::worker`]s.
+//! A stand-in for the cloud, whose machines run [`crate::worker`]s.
 
 use std::collections::BTreeMap;
 use std::net::TcpListener;
@@ -9,20 +9,21 @@
 use ciborium::{cbor, Value};
 
 use crate::history::{Event, History};
-use crate::message::{answer, decode, field, number, text};
+use crate::message::{decode, field, number, respond, text};
 use crate::worker::{self, Worker};
 
-/// Machines that take direct commands. More are rented if wanted, and are reached by their reports only.
+/// Machines with a listener for direct commands. Further ones receive commands in heartbeat responses
+/// only.
 const LISTENING_MACHINES: usize = 64;
 
-/// How the workers of a cloud behave.
+/// Timing of the workers of a cloud.
 #[derive(Debug, Clone, Copy)]
 pub struct WorkerTimes {
-    /// Time between two reports.
-    pub report: Duration,
-    /// The lease, after which a worker without an answered report kills all.
+    /// Interval of heartbeats.
+    pub heartbeat: Duration,
+    /// The worker lease: without a heartbeat response for so long a worker kills all its tasks.
     pub lease: Duration,
-    /// How long a task runs.
+    /// Running time of a task.
     pub run: Duration,
     /// Pause before the next controller is tried.
     pub next_controller: Duration,
@@ -31,7 +32,7 @@
 impl Default for WorkerTimes {
     fn default() -> Self {
         Self {
-            report: Duration::from_millis(100),
+            heartbeat: Duration::from_millis(100),
             lease: Duration::from_secs(20),
             run: Duration::from_millis(300),
             next_controller: Duration::from_millis(100),
@@ -45,16 +46,16 @@
     machines: Arc<Mutex<BTreeMap<String, Arc<Worker>>>>,
     rented: Arc<Mutex<usize>>,
     times: WorkerTimes,
-    /// Machines up at once, at most.
+    /// Maximum number of machines at a time.
     capacity: Option<usize>,
     history: History,
-    /// Where the workers of a zone reach each controller, in the order of their names.
+    /// Addresses of the controllers as seen from each zone, in the order of the controllers' names.
     routes: Arc<Mutex<BTreeMap<String, Vec<String>>>>,
     addresses: Arc<Mutex<Vec<String>>>,
 }
 
 impl Cloud {
-    /// One of so many machines, whose workers write a history.
+    /// A cloud of limited capacity whose workers record a history.
     pub fn recording(history: History, times: WorkerTimes, capacity: usize) -> Self {
         Self {
             history,
@@ -64,13 +65,14 @@
         }
     }
 
-    /// Starts one on the running system; its address. Its workers report to `nodes`.
+    /// Starts the server on the running system and returns its address. Workers send heartbeats to
+    /// `nodes`.
     pub fn start(&self, nodes: Vec<String>) -> String {
         let routes = ["north", "south"].map(|zone| (zone.to_owned(), nodes.clone()));
         self.start_with_routes(routes.into_iter().collect())
     }
 
-    /// The same with a way of its own to the controllers for each zone.
+    /// The same with separate routes to the controllers for each zone.
     pub fn start_with_routes(&self, routes: BTreeMap<String, Vec<String>>) -> String {
         *self.routes.lock().unwrap() = routes;
         self.listen_for_commands();
@@ -80,10 +82,10 @@
         let server = HttpServer::new(move || {
             App::new()
                 .app_data(cloud.clone())
-                .route("/flavors", web::get().to(flavors))
-                .route("/machines", web::get().to(machines))
-                .route("/machines", web::post().to(hire))
-                .route("/machines/return", web::post().to(give_back))
+                .route("/flavors", web::get().to(list_machine_types))
+                .route("/machines", web::get().to(list_machines))
+                .route("/machines", web::post().to(rent_machines))
+                .route("/machines/return", web::post().to(release))
         });
         let server = server.workers(1).disable_signals();
         actix::spawn(server.listen(listener).unwrap().run());
@@ -95,8 +97,8 @@
         let mut server = HttpServer::new(move || {
             App::new()
                 .app_data(cloud.clone())
-                .route("/orders", web::post().to(orders))
-                .route("/inspect", web::get().to(inspect))
+                .route("/orders", web::post().to(execute_commands))
+                .route("/inspect", web::get().to(probe_status))
         })
         .workers(1)
         .disable_signals();
@@ -110,27 +112,30 @@
         actix::spawn(server.run());
     }
 
-    /// How often a task was started on one machine while it was on another.
-    pub fn ran_twice(&self) -> usize {
-        let mut places: BTreeMap<String, Vec<String>> = BTreeMap::new();
-        let mut twice = 0;
+    /// Number of starts of a task on one machine while it was on another.
+    pub fn duplicate_executions(&self) -> usize {
+        let mut placements: BTreeMap<String, Vec<String>> = BTreeMap::new();
+        let mut duplicates = 0;
         for entry in self.history.entries() {
             match entry.event {
                 Event::Started { task, machine, .. } => {
-                    let on = places.entry(task).or_default();
-                    twice += usize::from(on.iter().any(|other| *other != machine));
+                    let on = placements.entry(task).or_default();
+                    duplicates += usize::from(on.iter().any(|other| *other != machine));
                     on.push(machine);
                 }
                 Event::Ended { task, machine } => {
-                    places.entry(task).or_default().retain(|m| *m != machine);
+                    placements
+                        .entry(task)
+                        .or_default()
+                        .retain(|m| *m != machine);
                 }
                 _ => {}
             }
         }
-        twice
+        duplicates
     }
 
-    /// Number of machines up.
+    /// Number of running machines.
     pub fn count(&self) -> usize {
         self.machines.lock().unwrap().len()
     }
@@ -159,7 +164,7 @@
         name
     }
 
-    /// The machine that takes commands at the address on which a request came.
+    /// The machine whose command address received the request.
     fn machine_at(&self, request: &HttpRequest) -> Option<Arc<Worker>> {
         let address = request.app_config().local_addr().to_string();
         let machines = self.machines.lock().unwrap();
@@ -168,16 +173,16 @@
     }
 }
 
-async fn flavors() -> HttpResponse {
+async fn list_machine_types() -> HttpResponse {
     let build = cbor!({
         "name" => "cpu16", "cores" => 16, "cards" => 0, "ramGb" => 64.0, "localGb" => 50,
         "pullGbPerS" => 1.0, "rate" => 0.9, "marketPrice" => 0.3, "bootS" => 1,
         "yards" => ["north", "south"]
     });
-    answer(200, &cbor!({"builds" => [build.unwrap()]}).unwrap())
+    respond(200, &cbor!({"builds" => [build.unwrap()]}).unwrap())
 }
 
-async fn machines(cloud: web::Data<Cloud>) -> HttpResponse {
+async fn list_machines(cloud: web::Data<Cloud>) -> HttpResponse {
     let hosts: Vec<Value> = cloud
         .machines
         .lock()
@@ -191,10 +196,10 @@
             .unwrap()
         })
         .collect();
-    answer(200, &cbor!({"hosts" => hosts, "more" => false}).unwrap())
+    respond(200, &cbor!({"hosts" => hosts, "more" => false}).unwrap())
 }
 
-async fn hire(cloud: web::Data<Cloud>, body: web::Bytes) -> HttpResponse {
+async fn rent_machines(cloud: web::Data<Cloud>, body: web::Bytes) -> HttpResponse {
     let body = decode(&body);
     let zone = text(&body, "yard");
     let free = cloud
@@ -203,13 +208,13 @@
     let wanted = number(&body, "number") as usize;
     let granted = wanted.min(free.unwrap_or(wanted));
     if granted == 0 {
-        return answer(503, &cbor!({"error" => "no capacity"}).unwrap());
+        return respond(503, &cbor!({"error" => "no capacity"}).unwrap());
     }
     let names: Vec<String> = (0..granted).map(|_| cloud.rent(&zone)).collect();
-    answer(200, &cbor!({"hosts" => names}).unwrap())
+    respond(200, &cbor!({"hosts" => names}).unwrap())
 }
 
-async fn give_back(cloud: web::Data<Cloud>, body: web::Bytes) -> HttpResponse {
+async fn release(cloud: web::Data<Cloud>, body: web::Bytes) -> HttpResponse {
     let body = decode(&body);
     if let Some(Value::Array(names)) = field(&body, "hosts") {
         for name in names.iter().filter_map(Value::as_text) {
@@ -219,20 +224,24 @@
             }
         }
     }
-    answer(200, &cbor!({}).unwrap())
+    respond(200, &cbor!({}).unwrap())
 }
 
-async fn orders(cloud: web::Data<Cloud>, request: HttpRequest, body: web::Bytes) -> HttpResponse {
+async fn execute_commands(
+    cloud: web::Data<Cloud>,
+    request: HttpRequest,
+    body: web::Bytes,
+) -> HttpResponse {
     let Some(worker) = cloud.machine_at(&request) else {
         return HttpResponse::NotFound().finish();
     };
-    let (executed, report) = worker.command(&decode(&body));
-    answer(if executed { 200 } else { 409 }, &report)
+    let (executed, heartbeat) = worker.command(&decode(&body));
+    respond(if executed { 200 } else { 409 }, &heartbeat)
 }
 
-async fn inspect(cloud: web::Data<Cloud>, request: HttpRequest) -> HttpResponse {
+async fn probe_status(cloud: web::Data<Cloud>, request: HttpRequest) -> HttpResponse {
     match cloud.machine_at(&request) {
-        Some(worker) => answer(200, &worker.report()),
+        Some(worker) => respond(200, &worker.heartbeat()),
         None => HttpResponse::NotFound().finish(),
     }
 }
--- a/crates/testbed/src/deployment.rs
+++ b/crates/testbed/src/deployment.rs
@@ -1,4 +1,4 @@
-//! Several controllers as processes, with proxies on every link, stand-ins, and users who ask.
+//! A deployment of several controller processes, with proxies on every link, stand-ins and users.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -10,25 +10,25 @@
 use crate::checker::Rules;
 use crate::cloud::{Cloud, WorkerTimes};
 use crate::history::{Event, History};
+use crate::key_value_store::KeyValueStore;
 use crate::message::{decode, encode, free_address, text};
 use crate::proxy::Proxy;
-use crate::schedule::{LinkId, Trouble};
-use crate::state_service::State;
-
-/// A user waits so long for an answer.
-const USER_WAITS: Duration = Duration::from_secs(2);
-/// Time after which a leader knows that it can't write. It tries within two seconds, since completed
-/// tasks are written then; a second attempt follows, and an answer with a start may be under way for 4 s.
-const KNOWS_UNWRITABLE: Duration = Duration::from_secs(8);
-/// Shortest time between two looks at the schedule.
+use crate::schedule::{LinkId, ScheduledFault};
+
+/// Timeout of user requests.
+const USER_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time in which a leader detects that it cannot write. It writes within two seconds, since completed
+/// tasks are recorded then; a second attempt follows, and a response with a start may be in flight for 4 s.
+const UNWRITABLE_DETECTION: Duration = Duration::from_secs(8);
+/// Polling interval of the fault schedule.
 const SCHEDULE_STEP: Duration = Duration::from_millis(50);
 
-/// How controllers and workers of a deployment are timed.
+/// Timing of the controllers and workers of a deployment.
 #[derive(Debug, Clone, Copy)]
 pub struct DeploymentTimes {
     /// The workers.
     pub workers: WorkerTimes,
-    /// Time in which a cancelled job's tasks are gone.
+    /// Cancellation deadline.
     pub cancel: Duration,
 }
 
@@ -36,7 +36,7 @@
     fn default() -> Self {
         Self {
             workers: WorkerTimes {
-                report: Duration::from_millis(500),
+                heartbeat: Duration::from_millis(500),
                 lease: Duration::from_secs(6),
                 run: Duration::from_secs(2),
                 next_controller: Duration::from_millis(300),
@@ -46,13 +46,13 @@
     }
 }
 
-/// What to start.
-pub struct Plan<'a> {
+/// Description of a deployment to start.
+pub struct DeploymentPlan<'a> {
     /// The program.
     pub program: &'a str,
-    /// Where settings files go, and the first part of their names.
+    /// Folder for the settings files.
     pub folder: &'a Path,
-    /// Names this deployment's files.
+    /// Prefix of the settings files' names.
     pub name: &'a str,
     /// The features file of each controller, or none; as many as there are controllers.
     pub features: Vec<Option<PathBuf>>,
@@ -72,11 +72,11 @@
 
 /// A running deployment; its processes end with it.
 pub struct Deployment {
-    /// The state service.
-    pub state: State,
+    /// The key-value store.
+    pub store: KeyValueStore,
     /// The cloud.
     pub cloud: Cloud,
-    /// What happened.
+    /// The recorded history.
     pub history: History,
     program: String,
     controllers: Vec<Controller>,
@@ -106,14 +106,14 @@
 
 impl Deployment {
     /// Starts stand-ins, proxies and controllers on the running system.
-    pub fn start(plan: Plan) -> Self {
+    pub fn start(plan: DeploymentPlan) -> Self {
         let history = History::default();
-        let state = State::recording(history.clone());
+        let store = KeyValueStore::recording(history.clone());
         let cloud = Cloud::recording(history.clone(), plan.times.workers, plan.machines);
         let count = plan.features.len();
         let public: Vec<String> = (0..count).map(|_| free_address()).collect();
         let peer: Vec<String> = (0..count).map(|_| free_address()).collect();
-        let state_address = state.start();
+        let state_address = store.start();
         let mut links = BTreeMap::new();
         let mut routes: BTreeMap<String, Vec<String>> = BTreeMap::new();
         for (zone, name) in ["north", "south"].into_iter().enumerate() {
@@ -126,20 +126,20 @@
         }
         let cloud_address = cloud.start_with_routes(routes);
         for from in 0..count {
-            links.insert(key(LinkId::State(from)), Proxy::start(&state_address));
+            links.insert(key(LinkId::Store(from)), Proxy::start(&state_address));
             for to in (0..count).filter(|to| *to != from) {
                 links.insert(key(LinkId::Peer(from, to)), Proxy::start(&peer[to]));
             }
         }
         let mut deployment = Self {
-            state,
+            store,
             cloud,
             history,
             program: plan.program.to_owned(),
             controllers: Vec::new(),
             links,
             times: plan.times,
-            http: awc::Client::builder().timeout(USER_WAITS).finish(),
+            http: awc::Client::builder().timeout(USER_TIMEOUT).finish(),
         };
         for (number, features) in plan.features.into_iter().enumerate() {
             let text = deployment.settings(number, &public, &peer, &cloud_address);
@@ -158,7 +158,7 @@
     }
 
     fn settings(&self, number: usize, public: &[String], peer: &[String], cloud: &str) -> String {
-        let state = &self.links[&key(LinkId::State(number))].address;
+        let state = &self.links[&key(LinkId::Store(number))].address;
         let known: String = (0..public.len())
             .filter(|other| *other != number)
             .map(|other| {
@@ -214,23 +214,23 @@
             public_addr = public[number],
             peer_bind = peer[number],
             count = public.len(),
-            report = workers.report.as_secs_f64(),
+            report = workers.heartbeat.as_secs_f64(),
             lease = workers.lease.as_secs_f64(),
             cancel = self.times.cancel.as_secs_f64(),
         )
     }
 
-    /// The rules for this deployment's history.
+    /// The limits of the invariants for this deployment's history.
     pub fn rules(&self) -> Rules {
         Rules {
-            answer_dropped: Duration::from_secs(4),
-            cancel: self.times.cancel,
-            knows: KNOWS_UNWRITABLE,
-            forgotten: Duration::from_secs(75),
+            response_timeout: Duration::from_secs(4),
+            cancellation_deadline: self.times.cancel,
+            unwritable_detection: UNWRITABLE_DETECTION,
+            answer_deadline: Duration::from_secs(75),
         }
     }
 
-    /// Starts a controller's process; one that runs is ended first.
+    /// Starts a controller's process, after ending a running one.
     pub fn start_controller(&mut self, number: usize) {
         let controller = &mut self.controllers[number];
         end(&mut controller.process);
@@ -259,44 +259,46 @@
         end(&mut self.controllers[number].process);
     }
 
-    /// A link's switch.
+    /// The proxy of a link.
     pub fn link(&self, link: LinkId) -> &Proxy {
         &self.links[&key(link)]
     }
 
-    /// Makes all links whole and ends all outages.
+    /// Ends all link faults and outages.
     pub fn heal(&self) {
         self.links.values().for_each(Proxy::heal);
-        self.state.set_out(false);
-        self.state.set_writes_fail(false);
+        self.store.set_outage(false);
+        self.store.set_writes_refused(false);
     }
 
-    /// Plays troubles to their end, then makes everything whole.
-    pub async fn play(&mut self, troubles: &[Trouble]) {
+    /// Injects the scheduled faults until the last one ends, then heals everything.
+    pub async fn inject(&mut self, faults: &[ScheduledFault]) {
         let began = Instant::now();
-        let mut changes: Vec<(Duration, Trouble, bool)> = Vec::new();
-        for trouble in troubles {
-            changes.push((trouble.begins(), *trouble, true));
-            changes.push((trouble.ends(), *trouble, false));
+        let mut changes: Vec<(Duration, ScheduledFault, bool)> = Vec::new();
+        for fault in faults {
+            changes.push((fault.starts_at(), *fault, true));
+            changes.push((fault.ends_at(), *fault, false));
         }
         changes.sort_by_key(|(at, _, begins)| (*at, *begins));
-        for (at, trouble, begins) in changes {
+        for (at, fault, begins) in changes {
             while began.elapsed() < at {
                 tokio::time::sleep(SCHEDULE_STEP).await;
             }
-            self.change(&trouble, begins);
+            self.change(&fault, begins);
         }
         self.heal();
     }
 
-    fn change(&mut self, trouble: &Trouble, begins: bool) {
-        match trouble {
-            Trouble::Cut(cut) if begins => self.link(cut.link).set(cut.mode),
-            Trouble::Cut(cut) => self.link(cut.link).heal(),
-            Trouble::WritesFail { .. } => self.state.set_writes_fail(begins),
-            Trouble::StateOut { .. } => self.state.set_out(begins),
-            Trouble::Restart { controller, .. } if begins => self.start_controller(*controller),
-            Trouble::Restart { .. } => {}
+    fn change(&mut self, fault: &ScheduledFault, begins: bool) {
+        match fault {
+            ScheduledFault::Link(fault) if begins => self.link(fault.link).set(fault.mode),
+            ScheduledFault::Link(fault) => self.link(fault.link).heal(),
+            ScheduledFault::WritesRefused { .. } => self.store.set_writes_refused(begins),
+            ScheduledFault::StoreOutage { .. } => self.store.set_outage(begins),
+            ScheduledFault::Restart { controller, .. } if begins => {
+                self.start_controller(*controller)
+            }
+            ScheduledFault::Restart { .. } => {}
         }
     }
 
@@ -312,7 +314,7 @@
         .unwrap()
     }
 
-    /// Submits a job once, at this controller; whether it was accepted.
+    /// Submits a job once, at this controller, and returns whether it was accepted.
     pub async fn submit(&self, controller: usize, id: &str, shape: &str, tasks: u64) -> bool {
         let url = format!("http://{}/api/jobs", self.controllers[controller].public);
         let body = encode(&Self::job(id, shape, tasks));
@@ -320,12 +322,12 @@
         let accepted = sent.is_ok_and(|answer| matches!(answer.status().as_u16(), 200 | 201));
         if accepted {
             let job = id.to_owned();
-            self.history.add(Event::Accepted { job });
+            self.history.record(Event::Accepted { job });
         }
         accepted
     }
 
-    /// Asks for a job's state once, at this controller.
+    /// Queries a job's status once, at this controller.
     pub async fn poll(&self, controller: usize, id: &str) -> Option<String> {
         let public = &self.controllers[controller].public;
         let url = format!("http://{public}/api/jobs/{id}");
@@ -335,14 +337,14 @@
             404 => "404".to_owned(),
             _ => return None,
         };
-        self.history.add(Event::Answered {
+        self.history.record(Event::Polled {
             job: id.to_owned(),
             status: status.clone(),
         });
         Some(status)
     }
 
-    /// Cancels a job once, at this controller; whether it is cancelled now.
+    /// Cancels a job once, at this controller, and returns whether it is cancelled.
     pub async fn cancel(&self, controller: usize, id: &str) -> bool {
         let public = &self.controllers[controller].public;
         let url = format!("http://{public}/api/jobs/{id}/abort");
@@ -358,12 +360,12 @@
         let cancelled = text(&decode(&body), "status") == "cancelled";
         if cancelled {
             let job = id.to_owned();
-            self.history.add(Event::Cancelled { job });
+            self.history.record(Event::Cancelled { job });
         }
         cancelled
     }
 
-    /// What a controller tells operators, as text; nothing if it does not answer.
+    /// The response of a controller's admin API as text, if it answers.
     pub async fn admin(&self, controller: usize, path: &str) -> Option<String> {
         let url = format!("http://{}/admin/{path}", self.controllers[controller].peer);
         let mut answer = self.http.get(url).send().await.ok()?;
--- a/crates/testbed/src/history.rs
+++ b/crates/testbed/src/history.rs
@@ -1,12 +1,12 @@
-//! What workers, the state service and users saw, in one order.
+//! The history of a run: what workers, the key-value store and users observed, in one order.
 
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
 
-/// Something that was seen.
+/// An observed event.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// A worker took a start.
+    /// A worker accepted a start command.
     Started {
         /// The task.
         task: String,
@@ -14,45 +14,45 @@
         attempt: u64,
         /// The machine.
         machine: String,
-        /// The token under which it was ordered.
+        /// The fencing token of the command.
         token: u64,
     },
-    /// A task left a machine, however.
+    /// A task ended on a machine, for whatever reason.
     Ended {
         /// The task.
         task: String,
         /// The machine.
         machine: String,
     },
-    /// The state service took a leader's record.
-    LeadBegan {
+    /// The store committed a leader's record.
+    LeadershipGained {
         /// The term.
         term: u64,
         /// The controller.
         member: String,
     },
-    /// The leader's record went, with its lease or by deletion.
-    LeadEnded {
+    /// The leader's record was removed, with its lease or by deletion.
+    LeadershipLost {
         /// The term.
         term: u64,
     },
-    /// From now on the state service refuses transactions of everybody, or takes them again.
+    /// From now on the store refuses all transactions, or accepts them again.
     WritesRefused(bool),
-    /// A user was told that a job is accepted.
+    /// A user received the confirmation that a job is accepted.
     Accepted {
         /// The job.
         job: String,
     },
-    /// A user was told that a job is cancelled.
+    /// A user received the confirmation that a job is cancelled.
     Cancelled {
         /// The job.
         job: String,
     },
-    /// A question about a job was answered with this status.
-    Answered {
+    /// A status query for a job was answered.
+    Polled {
         /// The job.
         job: String,
-        /// `pending`, `running`, `done` or `cancelled`; `404` if it is not known.
+        /// `pending`, `running`, `done` or `cancelled`; `404` if the job is unknown.
         status: String,
     },
 }
@@ -60,25 +60,25 @@
 /// An event with its time.
 #[derive(Debug, Clone)]
 pub struct Entry {
-    /// When.
+    /// Time of the event.
     pub at: Instant,
-    /// What.
+    /// The event.
     pub event: Event,
 }
 
-/// A history that several stand-ins write.
+/// A history shared by all stand-ins that write to it.
 #[derive(Debug, Clone, Default)]
 pub struct History(Arc<Mutex<Vec<Entry>>>);
 
 impl History {
-    /// Adds an event that is seen now.
-    pub fn add(&self, event: Event) {
+    /// Appends an event with the current time.
+    pub fn record(&self, event: Event) {
         let mut entries = self.0.lock().unwrap();
         let at = Instant::now();
         entries.push(Entry { at, event });
     }
 
-    /// All events up to now.
+    /// All events so far.
     pub fn entries(&self) -> Vec<Entry> {
         self.0.lock().unwrap().clone()
     }
--- a/crates/testbed/src/message.rs
+++ b/crates/testbed/src/message.rs
@@ -13,7 +13,7 @@
     out
 }
 
-/// Decodes a message; what is none becomes null.
+/// Decodes a message; malformed bytes become null.
 pub fn decode(bytes: &[u8]) -> Value {
     ciborium::from_reader(bytes).unwrap_or(Value::Null)
 }
@@ -37,20 +37,20 @@
     text.unwrap_or_default().to_owned()
 }
 
-/// An answer with a message.
-pub fn answer(status: u16, value: &Value) -> HttpResponse {
+/// A response with a message as its body.
+pub fn respond(status: u16, value: &Value) -> HttpResponse {
     let status = actix_web::http::StatusCode::from_u16(status).unwrap();
     HttpResponse::build(status)
         .content_type("application/cbor")
         .body(encode(value))
 }
 
-/// Loopback addresses given out by this process.
+/// Number of loopback addresses allocated by this process.
 static ADDRESSES: AtomicUsize = AtomicUsize::new(0);
 
 /// A listener at a loopback IP number of its own: ports of 127.0.0.1 are taken by other tests' connections.
-/// Whoever can should keep it: an address that is given up and taken again may be in use for a moment, as
-/// a process that another test has just forked holds the socket until it runs its program.
+/// Callers should keep the listener if they can: a released address may stay in use for a moment, since a
+/// process that another test has just forked holds the socket until it runs its program.
 pub fn free_listener() -> TcpListener {
     let number = ADDRESSES.fetch_add(1, Ordering::Relaxed);
     let process = std::process::id() as usize;
@@ -58,7 +58,7 @@
     TcpListener::bind((format!("127.{high}.{middle}.{low}"), 0)).unwrap()
 }
 
-/// An address nobody listens on. "Address already in use" was seen while it was one of 127.0.0.1.
+/// An address without a listener. "Address already in use" was seen while it was one of 127.0.0.1.
 pub fn free_address() -> String {
     free_listener().local_addr().unwrap().to_string()
 }
--- a/crates/testbed/src/proxy.rs
+++ b/crates/testbed/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback TCP proxy for one link, whose two directions can be cut apart from each other.
+//! A loopback TCP proxy for one link, with fault injection for each direction.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,33 +9,33 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Bytes passed on at once.
+/// Maximum number of bytes forwarded at once.
 const CHUNK: usize = 16 * 1024;
 
-/// What a link does with what goes one way.
+/// Treatment of the bytes in one direction of a link.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Flow {
-    /// Passes it on.
+    /// Forwards them.
     #[default]
     Pass,
-    /// Holds it, and delivers it in order once it passes again.
+    /// Holds them, and delivers them in order once the direction passes again.
     Hold,
-    /// Loses it. The connection is of no use from then on, and is closed when the link is whole again.
-    Lose,
+    /// Drops them. The connection is unusable from then on, and is closed once the link is healed.
+    Drop,
 }
 
-/// How a link is.
+/// Mode of a link.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LinkMode {
-    /// From who opened the connection.
+    /// Direction from the client.
     pub requests: Flow,
-    /// To who opened the connection.
-    pub answers: Flow,
-    /// Connections are closed, and new ones at once.
+    /// Direction to the client.
+    pub responses: Flow,
+    /// Whether connections are closed, including new ones.
     pub refuse: bool,
-    /// Time that each chunk takes longer.
+    /// Additional delay of each chunk.
     pub delay: Duration,
-    /// Most bytes a second, if there is a limit.
+    /// Bandwidth limit in bytes per second.
     pub bytes_per_s: Option<u32>,
 }
 
@@ -43,7 +43,7 @@
     /// Everything is held in both directions: connections are accepted, and nothing is answered.
     pub const BLACKHOLE: Self = Self {
         requests: Flow::Hold,
-        answers: Flow::Hold,
+        responses: Flow::Hold,
         refuse: false,
         delay: Duration::ZERO,
         bytes_per_s: None,
@@ -51,36 +51,36 @@
     /// Connections are refused.
     pub const REFUSED: Self = Self {
         requests: Flow::Pass,
-        answers: Flow::Pass,
+        responses: Flow::Pass,
         refuse: true,
         delay: Duration::ZERO,
         bytes_per_s: None,
     };
-    /// Requests arrive, their answers are lost.
-    pub const ANSWERS_LOST: Self = Self {
+    /// Requests arrive, their responses are lost.
+    pub const RESPONSES_LOST: Self = Self {
         requests: Flow::Pass,
-        answers: Flow::Lose,
+        responses: Flow::Drop,
         refuse: false,
         delay: Duration::ZERO,
         bytes_per_s: None,
     };
     /// Requests are lost.
     pub const REQUESTS_LOST: Self = Self {
-        requests: Flow::Lose,
-        answers: Flow::Pass,
+        requests: Flow::Drop,
+        responses: Flow::Pass,
         refuse: false,
         delay: Duration::ZERO,
         bytes_per_s: None,
     };
 
-    fn whole(&self) -> bool {
-        self.requests == Flow::Pass && self.answers == Flow::Pass && !self.refuse
+    fn healthy(&self) -> bool {
+        self.requests == Flow::Pass && self.responses == Flow::Pass && !self.refuse
     }
 
     fn flow(&self, direction: Direction) -> Flow {
         match direction {
             Direction::Requests => self.requests,
-            Direction::Answers => self.answers,
+            Direction::Responses => self.responses,
         }
     }
 }
@@ -88,19 +88,19 @@
 #[derive(Debug, Clone, Copy)]
 enum Direction {
     Requests,
-    Answers,
+    Responses,
 }
 
-/// The link's switch.
+/// Control of a proxied link.
 #[derive(Debug, Clone)]
 pub struct Proxy {
     mode: Arc<watch::Sender<LinkMode>>,
-    /// Where it listens.
+    /// Its listen address.
     pub address: String,
 }
 
 impl Proxy {
-    /// Listens on a loopback address of its own and passes connections on to `target`.
+    /// Listens on a loopback address of its own and forwards connections to `target`.
     pub fn start(target: &str) -> Self {
         let listener = crate::message::free_listener();
         let address = listener.local_addr().unwrap().to_string();
@@ -115,12 +115,12 @@
         proxy
     }
 
-    /// Makes the link so from now on.
+    /// Sets the mode of the link.
     pub fn set(&self, mode: LinkMode) {
         self.mode.send_replace(mode);
     }
 
-    /// Makes the link whole.
+    /// Ends all faults of the link.
     pub fn heal(&self) {
         self.set(LinkMode::default());
     }
@@ -148,26 +148,26 @@
     let Ok(server) = TcpStream::connect(target).await else {
         return;
     };
-    // Small messages, sent one at a time.
+    // Small messages are sent one at a time and must not wait for each other.
     let _ = (client.set_nodelay(true), server.set_nodelay(true));
     let (from_client, to_client) = client.into_split();
     let (from_server, to_server) = server.into_split();
-    let requests = pump(from_client, to_server, Direction::Requests, mode.clone());
-    let answers = pump(from_server, to_client, Direction::Answers, mode.clone());
+    let requests = forward(from_client, to_server, Direction::Requests, mode.clone());
+    let responses = forward(from_server, to_client, Direction::Responses, mode.clone());
     tokio::select! {
         () = requests => {}
-        () = answers => {}
+        () = responses => {}
         () = refused(mode) => {}
     }
 }
 
-/// Ends when the link refuses connections.
+/// Completes when the link refuses connections.
 async fn refused(mut mode: watch::Receiver<LinkMode>) {
-    // The switch is gone with the test.
+    // An error means that the test has dropped the proxy.
     let _ = mode.wait_for(|mode| mode.refuse).await;
 }
 
-async fn pump(
+async fn forward(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     direction: Direction,
@@ -187,8 +187,8 @@
                     return;
                 }
             }
-            Flow::Lose => {
-                let _ = mode.wait_for(LinkMode::whole).await;
+            Flow::Drop => {
+                let _ = mode.wait_for(LinkMode::healthy).await;
                 return;
             }
         }
--- a/crates/testbed/src/schedule.rs
+++ b/crates/testbed/src/schedule.rs
@@ -1,4 +1,4 @@
-//! Seeded schedules of cuts.
+//! Seeded schedules of injected faults.
 
 use std::time::Duration;
 
@@ -10,71 +10,73 @@
 /// A link of the deployment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LinkId {
-    /// From a controller to the state service.
-    State(usize),
+    /// From a controller to the key-value store.
+    Store(usize),
     /// From a controller to another one.
     Peer(usize, usize),
     /// From the workers of a zone (0 or 1) to a controller.
     Workers(usize, usize),
 }
 
-/// A link that is so for a while.
+/// A fault of one link for a limited time.
 #[derive(Debug, Clone, Copy)]
-pub struct Cut {
-    /// When it begins, from the start of the schedule.
+pub struct LinkFault {
+    /// Start, relative to the start of the schedule.
     pub at: Duration,
-    /// How long it lasts.
-    pub lasts: Duration,
-    /// The link.
+    /// Its duration.
+    pub duration: Duration,
+    /// The affected link.
     pub link: LinkId,
-    /// How it is meanwhile.
+    /// The mode of the link meanwhile.
     pub mode: LinkMode,
 }
 
-/// Something else that goes wrong.
+/// A fault with its time.
 #[derive(Debug, Clone, Copy)]
-pub enum Trouble {
-    /// A link.
-    Cut(Cut),
-    /// Transactions are refused for a while; reads and leases are served.
-    WritesFail {
-        /// When.
+pub enum ScheduledFault {
+    /// A link fault.
+    Link(LinkFault),
+    /// Transactions are refused; reads and leases are served.
+    WritesRefused {
+        /// Its start.
         at: Duration,
-        /// How long.
-        lasts: Duration,
+        /// Its duration.
+        duration: Duration,
     },
-    /// The state service is out for a while.
-    StateOut {
-        /// When.
+    /// Outage of the key-value store.
+    StoreOutage {
+        /// Its start.
         at: Duration,
-        /// How long.
-        lasts: Duration,
+        /// Its duration.
+        duration: Duration,
     },
-    /// A controller ends and is back at once.
+    /// Crash and immediate restart of a controller.
     Restart {
-        /// When.
+        /// Its start.
         at: Duration,
-        /// Which.
+        /// The controller.
         controller: usize,
     },
 }
 
-impl Trouble {
-    /// When it begins.
-    pub fn begins(&self) -> Duration {
+impl ScheduledFault {
+    /// Time at which the fault starts.
+    pub fn starts_at(&self) -> Duration {
         match self {
-            Self::Cut(cut) => cut.at,
-            Self::WritesFail { at, .. } | Self::StateOut { at, .. } | Self::Restart { at, .. } => {
-                *at
-            }
+            Self::Link(fault) => fault.at,
+            Self::WritesRefused { at, .. }
+            | Self::StoreOutage { at, .. }
+            | Self::Restart { at, .. } => *at,
         }
     }
 
-    /// When it is over.
-    pub fn ends(&self) -> Duration {
+    /// Time at which the fault ends.
+    pub fn ends_at(&self) -> Duration {
         match self {
-            Self::Cut(cut) => cut.at + cut.lasts,
-            Self::WritesFail { at, lasts } | Self::StateOut { at, lasts } => *at + *lasts,
+            Self::Link(fault) => fault.at + fault.duration,
+            Self::WritesRefused { at, duration } | Self::StoreOutage { at, duration } => {
+                *at + *duration
+            }
             Self::Restart { at, .. } => *at,
         }
     }
@@ -85,10 +87,10 @@
     match rng.random_range(0..8) {
         0 => LinkMode::BLACKHOLE,
         1 => LinkMode::REFUSED,
-        2 => LinkMode::ANSWERS_LOST,
+        2 => LinkMode::RESPONSES_LOST,
         3 => LinkMode::REQUESTS_LOST,
         4 => LinkMode {
-            answers: Flow::Hold,
+            responses: Flow::Hold,
             ..LinkMode::default()
         },
         5 => LinkMode {
@@ -110,56 +112,61 @@
     let controller = rng.random_range(0..controllers);
     let other = (controller + rng.random_range(1..controllers)) % controllers;
     match rng.random_range(0..5) {
-        0 | 1 => LinkId::State(controller),
+        0 | 1 => LinkId::Store(controller),
         2 | 3 => LinkId::Peer(controller, other),
         _ => LinkId::Workers(rng.random_range(0..2), controller),
     }
 }
 
-/// Troubles drawn from a seed, all over by `length`.
-pub fn draw(seed: u64, controllers: usize, length: Duration, count: usize) -> Vec<Trouble> {
+/// Draws faults from a seed, all of which end by `length`.
+pub fn draw(seed: u64, controllers: usize, length: Duration, count: usize) -> Vec<ScheduledFault> {
     let mut rng = StdRng::seed_from_u64(seed);
-    let mut troubles = Vec::new();
+    let mut faults = Vec::new();
     for _ in 0..count {
         let at = length.mul_f64(rng.random_range(0.0..0.8));
-        let lasts = (length - at).mul_f64(rng.random_range(0.1..0.9));
+        let duration = (length - at).mul_f64(rng.random_range(0.1..0.9));
         match rng.random_range(0..10) {
-            0 => troubles.push(Trouble::WritesFail { at, lasts }),
-            1 => troubles.push(Trouble::StateOut {
+            0 => faults.push(ScheduledFault::WritesRefused { at, duration }),
+            1 => faults.push(ScheduledFault::StoreOutage {
                 at,
-                lasts: lasts / 2,
+                duration: duration / 2,
             }),
-            2 => troubles.push(Trouble::Restart {
+            2 => faults.push(ScheduledFault::Restart {
                 at,
                 controller: rng.random_range(0..controllers),
             }),
-            3 => troubles.extend(flapping(&mut rng, controllers, at, lasts)),
-            _ => troubles.push(Trouble::Cut(Cut {
+            3 => faults.extend(flapping(&mut rng, controllers, at, duration)),
+            _ => faults.push(ScheduledFault::Link(LinkFault {
                 at,
-                lasts,
+                duration,
                 link: link(&mut rng, controllers),
                 mode: mode(&mut rng),
             })),
         }
     }
-    troubles.sort_by_key(Trouble::begins);
-    troubles
+    faults.sort_by_key(ScheduledFault::starts_at);
+    faults
 }
 
-/// A link that comes and goes every two to five seconds.
-fn flapping(rng: &mut StdRng, controllers: usize, at: Duration, lasts: Duration) -> Vec<Trouble> {
+/// A flapping link, with a period of two to five seconds.
+fn flapping(
+    rng: &mut StdRng,
+    controllers: usize,
+    at: Duration,
+    duration: Duration,
+) -> Vec<ScheduledFault> {
     let (link, mode) = (link(rng, controllers), mode(rng));
     let period = Duration::from_secs_f64(rng.random_range(2.0..5.0));
-    let mut cuts = Vec::new();
-    let mut begins = at;
-    while begins + period <= at + lasts {
-        cuts.push(Trouble::Cut(Cut {
-            at: begins,
-            lasts: period / 2,
+    let mut link_faults = Vec::new();
+    let mut next_at = at;
+    while next_at + period <= at + duration {
+        link_faults.push(ScheduledFault::Link(LinkFault {
+            at: next_at,
+            duration: period / 2,
             link,
             mode,
         }));
-        begins += period;
+        next_at += period;
     }
-    cuts
+    link_faults
 }
--- a/crates/testbed/src/worker.rs
+++ b/crates/testbed/src/worker.rs
@@ -1,4 +1,5 @@
-//! A stand-in for a worker: reports, leases, sessions, tokens and commands by the published protocol.
+//! A stand-in for a worker agent: heartbeats, leases, epochs, fencing tokens and commands by the published
+//! protocol.
 
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -9,8 +10,8 @@
 use crate::history::{Event, History};
 use crate::message::{decode, encode, field, number, text};
 
-/// A worker gives an answer up after that time.
-const ANSWER_DROPPED: Duration = Duration::from_secs(4);
+/// Timeout after which a worker drops the response to a heartbeat.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum TaskState {
@@ -29,18 +30,18 @@
 #[derive(Debug)]
 struct State {
     up: bool,
-    session: u64,
+    epoch: u64,
     sequence: u64,
     token: u64,
-    /// Sending of the last answered report, or the beginning of the session.
+    /// Sending time of the last answered heartbeat, or the start of the epoch.
     lease_from: Instant,
     tasks: Vec<Task>,
 }
 
-/// One machine.
+/// The agent of one machine.
 pub struct Worker {
     name: String,
-    /// Where it takes direct commands.
+    /// Its address for direct commands.
     pub address: String,
     /// Its zone.
     pub zone: String,
@@ -51,7 +52,7 @@
 }
 
 impl Worker {
-    /// A worker that has just come up, and the ways by which it reaches the controllers.
+    /// A worker that has just started, with its routes to the controllers.
     pub fn new(
         name: &str,
         zone: &str,
@@ -69,7 +70,7 @@
             history,
             state: Mutex::new(State {
                 up: true,
-                session: 1,
+                epoch: 1,
                 sequence: 0,
                 token: 0,
                 lease_from: Instant::now(),
@@ -78,7 +79,7 @@
         }
     }
 
-    /// The machine is gone, and all that was on it.
+    /// The machine is released, and its tasks end.
     pub fn end(&self) {
         let mut state = self.state.lock().unwrap();
         state.up = false;
@@ -94,18 +95,18 @@
     }
 
     fn ended(&self, task: &str) {
-        self.history.add(Event::Ended {
+        self.history.record(Event::Ended {
             task: task.to_owned(),
             machine: self.name.clone(),
         });
     }
 
-    /// What time alone brings: the end of the lease, and of tasks.
+    /// Applies what is due by time: the expiry of the lease, and the end of tasks.
     fn tick(&self, state: &mut State) {
         let now = Instant::now();
         if now.duration_since(state.lease_from) > self.times.lease {
             self.kill_all(state);
-            state.session += 1;
+            state.epoch += 1;
             state.lease_from = now;
         }
         for task in &mut state.tasks {
@@ -119,44 +120,44 @@
         }
     }
 
-    /// The report as it is now, with the next number.
-    pub fn report(&self) -> Value {
+    /// The next heartbeat, with its sequence number.
+    pub fn heartbeat(&self) -> Value {
         let mut state = self.state.lock().unwrap();
         self.tick(&mut state);
         state.sequence += 1;
-        let tasks: Vec<Value> = state.tasks.iter().map(reported).collect();
-        let report = cbor!({
+        let tasks: Vec<Value> = state.tasks.iter().map(task_status).collect();
+        let heartbeat = cbor!({
             "host" => self.name, "address" => self.address, "build" => "cpu16",
-            "yard" => self.zone, "loaners" => false, "tenure" => state.session,
+            "yard" => self.zone, "loaners" => false, "tenure" => state.epoch,
             "tally" => state.sequence, "baton" => state.token, "recallS" => null,
             "strands" => tasks
         });
-        report.unwrap()
+        heartbeat.unwrap()
     }
 
-    /// Executes a direct command; whether it was, and the report after it.
+    /// Executes a direct command. Returns whether it was accepted, and the heartbeat after it.
     pub fn command(&self, body: &Value) -> (bool, Value) {
         let executed = {
             let mut state = self.state.lock().unwrap();
             self.tick(&mut state);
-            let (token, session) = (number(body, "baton"), number(body, "tenure"));
-            let valid = token >= state.token && session == state.session;
+            let (token, epoch) = (number(body, "baton"), number(body, "tenure"));
+            let valid = token >= state.token && epoch == state.epoch;
             if valid {
                 state.token = token;
                 self.execute(&mut state, body, token);
             }
             valid
         };
-        (executed, self.report())
+        (executed, self.heartbeat())
     }
 
-    /// Takes the 200 to a report that was sent at `sent` in `session`.
-    fn answered(&self, sent: Instant, session: u64, body: &Value) {
+    /// Handles the 200 response to a heartbeat sent at `sent` in `epoch`.
+    fn answered(&self, sent: Instant, epoch: u64, body: &Value) {
         let mut state = self.state.lock().unwrap();
         self.tick(&mut state);
         let token = number(body, "baton");
-        let dropped = session != state.session || token < state.token || !state.up;
-        if dropped || sent.elapsed() > ANSWER_DROPPED {
+        let dropped = epoch != state.epoch || token < state.token || !state.up;
+        if dropped || sent.elapsed() > RESPONSE_TIMEOUT {
             return;
         }
         state.token = token;
@@ -176,7 +177,7 @@
                 .position(|task| task.id == id && task.attempt == attempt);
             match (text(order, "verb").as_str(), found) {
                 ("run", None) => {
-                    self.history.add(Event::Started {
+                    self.history.record(Event::Started {
                         task: id.clone(),
                         attempt,
                         machine: self.name.clone(),
@@ -211,9 +212,9 @@
     }
 }
 
-fn reported(task: &Task) -> Value {
+fn task_status(task: &Task) -> Value {
     let (id, attempt) = (task.id.as_str(), task.attempt);
-    let report = match task.state {
+    let status = match task.state {
         TaskState::Running(_) => cbor!({"strand" => id, "try" => attempt, "status" => "running"}),
         TaskState::Done => {
             cbor!({"strand" => id, "try" => attempt, "status" => "exited", "cause" => "done"})
@@ -222,20 +223,20 @@
             cbor!({"strand" => id, "try" => attempt, "status" => "exited", "cause" => "stopped"})
         }
     };
-    report.unwrap()
+    status.unwrap()
 }
 
-/// The worker's loop: one report under way at a time, to one controller at a time.
+/// The worker's loop: one heartbeat in flight at a time, to one controller at a time.
 pub async fn run(worker: Arc<Worker>) {
-    let http = awc::Client::builder().timeout(ANSWER_DROPPED).finish();
+    let http = awc::Client::builder().timeout(RESPONSE_TIMEOUT).finish();
     let mut at = 0;
     while worker.up() && !worker.controllers.is_empty() {
-        tokio::time::sleep(worker.times.report).await;
-        let report = worker.report();
-        let session = number(&report, "tenure");
+        tokio::time::sleep(worker.times.heartbeat).await;
+        let heartbeat = worker.heartbeat();
+        let epoch = number(&heartbeat, "tenure");
         let url = format!("http://{}/hello", worker.controllers[at]);
         let sent = Instant::now();
-        let answer = http.post(url).send_body(encode(&report)).await;
+        let answer = http.post(url).send_body(encode(&heartbeat)).await;
         let next = (at + 1) % worker.controllers.len();
         let Ok(mut answer) = answer else {
             at = next;
@@ -245,8 +246,8 @@
         let body = answer.body().await;
         let body = body.map_or(Value::Null, |bytes| decode(&bytes));
         match answer.status().as_u16() {
-            200 => worker.answered(sent, session, &body),
-            421 => at = named(&text(&body, "answerTo"), &worker, at).unwrap_or(next),
+            200 => worker.answered(sent, epoch, &body),
+            421 => at = controller_named(&text(&body, "answerTo"), &worker, at).unwrap_or(next),
             _ => {
                 at = next;
                 tokio::time::sleep(worker.times.next_controller).await;
@@ -255,8 +256,8 @@
     }
 }
 
-/// The controller of that name, if it is another one. They are named `knot-0` and so on.
-fn named(name: &str, worker: &Worker, at: usize) -> Option<usize> {
+/// The controller with this name, unless it is the present one. They are named `knot-0` and so on.
+fn controller_named(name: &str, worker: &Worker, at: usize) -> Option<usize> {
     let number: usize = name.strip_prefix("knot-")?.parse().ok()?;
     (number != at && number < worker.controllers.len()).then_some(number)
 }
--- a/examples/link_delays.rs
+++ b/examples/link_delays.rs
@@ -7,7 +7,7 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-use knotlanding_testbed::deployment::{Deployment, DeploymentTimes, Plan};
+use knotlanding_testbed::deployment::{Deployment, DeploymentPlan, DeploymentTimes};
 use knotlanding_testbed::history::Event;
 use knotlanding_testbed::proxy::LinkMode;
 use knotlanding_testbed::schedule::LinkId;
@@ -75,11 +75,11 @@
         let leads = leader(deployment).await;
         let gate = |links: &serde_json::Value| !links["placement_gate"]["refuses"].is_null();
         let from = Instant::now();
-        deployment.state.set_writes_fail(true);
+        deployment.store.set_writes_refused(true);
         let refused = until(deployment, leads, "links", gate).await;
         tokio::time::sleep(Duration::from_secs(12)).await;
         let last = last_start_after(deployment, from);
-        deployment.state.set_writes_fail(false);
+        deployment.store.set_writes_refused(false);
         let healed = Instant::now();
         let open = until(deployment, leads, "links", |links| !gate(links)).await;
         let before = deployment.history.entries().len();
@@ -110,7 +110,7 @@
             }
         };
         let link = LinkId::Peer(follower, leads);
-        deployment.link(link).set(LinkMode::ANSWERS_LOST);
+        deployment.link(link).set(LinkMode::RESPONSES_LOST);
         let down = until(deployment, follower, "links", outbound("down")).await;
         deployment.heal();
         let up = until(deployment, follower, "links", outbound("up")).await;
@@ -131,7 +131,7 @@
     let folder = std::env::temp_dir();
     let name = format!("link-delays-{}", std::process::id());
     actix_web::rt::System::new().block_on(async {
-        let deployment = Deployment::start(Plan {
+        let deployment = Deployment::start(DeploymentPlan {
             program: &program,
             folder: &folder,
             name: &name,
--- a/tests/common/node.rs
+++ b/tests/common/node.rs
@@ -10,8 +10,8 @@
 
 use crate::common;
 use knotlanding_testbed::cloud::Cloud;
+use knotlanding_testbed::key_value_store::KeyValueStore;
 use knotlanding_testbed::message::{decode, encode, free_address, text};
-use knotlanding_testbed::state_service::State;
 
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_knotlanding");
 /// Long enough for any machine; nothing here measures time.
@@ -33,7 +33,7 @@
 
 /// A place for a node: its settings and the systems outside.
 pub struct Bench {
-    pub state: State,
+    pub store: KeyValueStore,
     pub cloud: Cloud,
     pub file: PathBuf,
     pub public: String,
@@ -47,15 +47,15 @@
 
     /// One whose settings are changed before they are written.
     pub fn with_settings(name: &str, change: impl Fn(String) -> String) -> Self {
-        let (state, cloud) = (State::default(), Cloud::default());
+        let (store, cloud) = (KeyValueStore::default(), Cloud::default());
         let (public, peer) = (free_address(), free_address());
-        let state_address = state.start();
+        let state_address = store.start();
         let cloud_address = cloud.start(vec![public.clone()]);
         let text = common::settings_text("knot-0", &public, &peer, &state_address, &cloud_address);
         let file = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}.toml"));
         std::fs::write(&file, change(text)).unwrap();
         Self {
-            state,
+            store,
             cloud,
             file,
             public,
--- a/tests/common/world/delivery.rs
+++ b/tests/common/world/delivery.rs
@@ -159,7 +159,7 @@
         let body = wire::encode(&*heartbeat);
         let received = receive(&self.nodes[n].shared, Ok(body.into()), &|| now);
         let (name, epoch) = (heartbeat.machine.clone(), heartbeat.epoch);
-        let answers = cut.mode.answers == Flow::Pass;
+        let answers = cut.mode.responses == Flow::Pass;
         match (received, number.filter(|_| answers)) {
             (Reception::Answered(answer), Some(number)) => {
                 self.answer_worker(&name, (epoch, number), answer);
--- a/tests/common/world/forwarding.rs
+++ b/tests/common/world/forwarding.rs
@@ -174,7 +174,7 @@
         let answer = answer.map_err(|error| error.status().as_u16());
         let answer = answer.map(|answer| encode(&answer).unwrap());
         let link = self.link_mode(LinkId::Peer(from, to));
-        if link.mode.answers != Flow::Pass {
+        if link.mode.responses != Flow::Pass {
             return;
         }
         let (trouble, until) = self.batch_trouble;
--- a/tests/common/world/links.rs
+++ b/tests/common/world/links.rs
@@ -74,7 +74,7 @@
 
     /// Whether a request is kept from arriving; held, it arrives when the link is whole again.
     pub(super) fn keeps_request(&mut self, cut: &CutLink, late: Option<Mail>) -> bool {
-        if cut.mode.refuse || cut.mode.requests == Flow::Lose {
+        if cut.mode.refuse || cut.mode.requests == Flow::Drop {
             return true;
         }
         if cut.mode.requests == Flow::Hold {
@@ -202,7 +202,7 @@
             Err(RowRejection::Malformed | RowRejection::UnknownMember)
         ));
         let cut = self.link_mode(LinkId::Peer(from, to));
-        if cut.mode.answers != Flow::Pass || cut.mode.refuse {
+        if cut.mode.responses != Flow::Pass || cut.mode.refuse {
             return;
         }
         let answer = Some(taken.ok());
@@ -280,7 +280,7 @@
         node: usize,
         ask: &StoreRequest,
     ) -> Option<StoreResponse> {
-        let cut = self.link_mode(LinkId::State(node));
+        let cut = self.link_mode(LinkId::Store(node));
         let late = match ask {
             StoreRequest::Multi(group) => Some(Mail::LateWrite(group.clone())),
             _ => None,
@@ -289,7 +289,7 @@
         if self.keeps_request(&cut, late) {
             return Some(unknown);
         }
-        if cut.mode.answers != Flow::Pass {
+        if cut.mode.responses != Flow::Pass {
             self.carry_out(ask.clone());
             return Some(unknown);
         }
--- a/tests/forwarding_service.rs
+++ b/tests/forwarding_service.rs
@@ -122,7 +122,7 @@
     let leader = cbor!({
         "member" => "knot-1", "address" => "127.0.0.1:1", "term" => LEADER_TERM, "lease" => 99
     });
-    bench.state.put("kl/leader", leader.unwrap());
+    bench.store.put("kl/leader", leader.unwrap());
     bench.start()
 }
 
--- a/tests/links.rs
+++ b/tests/links.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 use knotlanding_testbed::proxy::LinkMode;
-use knotlanding_testbed::schedule::{draw, LinkId, Trouble as Scheduled};
+use knotlanding_testbed::schedule::{draw, LinkId, ScheduledFault as DrawnFault};
 use play::{drawn, Play};
 use world::{trouble, BatchTrouble, Fault, Trouble, World};
 
@@ -36,7 +36,7 @@
 
 const ONE_WAY: [LinkMode; 3] = [
     LinkMode::REQUESTS_LOST,
-    LinkMode::ANSWERS_LOST,
+    LinkMode::RESPONSES_LOST,
     LinkMode::BLACKHOLE,
 ];
 
@@ -57,7 +57,7 @@
                     trouble(
                         25.0 + d + 20.0 * n as f64,
                         15.0,
-                        Fault::Link(LinkId::State(n), mode),
+                        Fault::Link(LinkId::Store(n), mode),
                     )
                 })
                 .chain([trouble(30.0 + d, 0.0, Fault::CancelNow(3))])
@@ -117,11 +117,17 @@
         let worlds = worlds(|d| {
             let mut troubles = Vec::new();
             for n in 0..2 {
-                let (link, from) = (LinkId::State(n), 20.0 + d + n as f64);
+                let (link, from) = (LinkId::Store(n), 20.0 + d + n as f64);
                 troubles.extend(flapping(link, LinkMode::BLACKHOLE, period, from, 140.0));
             }
             let peers = LinkId::Peer(1, 2);
-            troubles.extend(flapping(peers, LinkMode::ANSWERS_LOST, period, 30.0, 140.0));
+            troubles.extend(flapping(
+                peers,
+                LinkMode::RESPONSES_LOST,
+                period,
+                30.0,
+                140.0,
+            ));
             troubles.push(trouble(60.0 + d, 0.0, Fault::CancelNow(3)));
             troubles
         });
@@ -137,8 +143,8 @@
 fn two_controllers_that_flap_in_turn_do_not_pass_the_lead_to_and_fro() {
     let worlds = worlds(|d| {
         let out = LinkMode::REFUSED;
-        let mut troubles = flapping(LinkId::State(0), out, 8.0, 20.0 + d, 180.0);
-        troubles.extend(flapping(LinkId::State(1), out, 8.0, 24.0 + d, 180.0));
+        let mut troubles = flapping(LinkId::Store(0), out, 8.0, 20.0 + d, 180.0);
+        troubles.extend(flapping(LinkId::Store(1), out, 8.0, 24.0 + d, 180.0));
         troubles
     });
     assert!(worlds.iter().all(|world| world.handovers <= 6));
@@ -152,7 +158,7 @@
                 trouble(
                     25.0 + d + 30.0 * n as f64,
                     25.0,
-                    Fault::Link(LinkId::State(n), LinkMode::BLACKHOLE),
+                    Fault::Link(LinkId::Store(n), LinkMode::BLACKHOLE),
                 )
             })
             .collect();
@@ -232,7 +238,7 @@
             trouble(
                 30.0 + d,
                 15.0,
-                Fault::Link(LinkId::State(0), LinkMode::ANSWERS_LOST),
+                Fault::Link(LinkId::Store(0), LinkMode::RESPONSES_LOST),
             ),
             trouble(33.0 + d, 0.0, Fault::CancelNow(3)),
             trouble(50.0 + d, 0.0, Fault::CrashLeader(0.3)),
@@ -240,17 +246,17 @@
     });
 }
 
-fn as_fault(scheduled: &Scheduled, from: f64) -> Trouble {
+fn as_fault(scheduled: &DrawnFault, from: f64) -> Trouble {
     let s = |duration: Duration| duration.as_secs_f64();
     let (at, lasts) = (
-        from + s(scheduled.begins()),
-        s(scheduled.ends() - scheduled.begins()),
+        from + s(scheduled.starts_at()),
+        s(scheduled.ends_at() - scheduled.starts_at()),
     );
     let fault = match scheduled {
-        Scheduled::Cut(cut) => Fault::Link(cut.link, cut.mode),
-        Scheduled::WritesFail { .. } => Fault::WritesFail,
-        Scheduled::StateOut { .. } => Fault::StoreOut,
-        Scheduled::Restart { controller, .. } => Fault::Restart(*controller),
+        DrawnFault::Link(cut) => Fault::Link(cut.link, cut.mode),
+        DrawnFault::WritesRefused { .. } => Fault::WritesFail,
+        DrawnFault::StoreOutage { .. } => Fault::StoreOut,
+        DrawnFault::Restart { controller, .. } => Fault::Restart(*controller),
     };
     trouble(at, lasts, fault)
 }
--- a/tests/links_service.rs
+++ b/tests/links_service.rs
@@ -10,11 +10,11 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-use knotlanding_testbed::checker::{check, Findings};
-use knotlanding_testbed::deployment::{Deployment, DeploymentTimes, Plan};
+use knotlanding_testbed::checker::{check, Violations};
+use knotlanding_testbed::deployment::{Deployment, DeploymentPlan, DeploymentTimes};
 use knotlanding_testbed::history::Event;
 use knotlanding_testbed::proxy::{Flow, LinkMode};
-use knotlanding_testbed::schedule::{draw, LinkId, Trouble};
+use knotlanding_testbed::schedule::{draw, LinkId, ScheduledFault};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_knotlanding");
 /// Long enough for any machine; nothing here measures time.
@@ -33,7 +33,7 @@
 
 fn deployment(name: &str, features: Vec<Option<PathBuf>>) -> Deployment {
     let machines = from_environment("KNOTLANDING_MACHINES", 10) as usize;
-    Deployment::start(Plan {
+    Deployment::start(DeploymentPlan {
         program: PROGRAM,
         folder: folder(),
         name,
@@ -49,7 +49,7 @@
     deployment(name, vec![Some(file); 3])
 }
 
-fn findings(deployment: &Deployment) -> Findings {
+fn violations(deployment: &Deployment) -> Violations {
     let entries = deployment.history.entries();
     check(&entries, &deployment.rules(), Instant::now())
 }
@@ -188,8 +188,8 @@
         told(&deployment, &id, "done").await;
         deployment.start_controller(number);
     }
-    let found = findings(&deployment);
-    assert!(found.clean(), "{found:#?}");
+    let found = violations(&deployment);
+    assert!(found.is_empty(), "{found:#?}");
 }
 
 /// The machines are on the lists of the array's starts already, so no write stands before the next ones:
@@ -197,7 +197,7 @@
 async fn refuse_transactions_amid_work(deployment: &Deployment) {
     accepted(deployment, "wk-000001", "array", 600).await;
     until("many starts", || async { starts(deployment) > 60 }).await;
-    deployment.state.set_writes_fail(true);
+    deployment.store.set_writes_refused(true);
 }
 
 #[actix_web::test]
@@ -215,14 +215,14 @@
             .contains("this controller can't write")
     })
     .await;
-    deployment.state.set_writes_fail(false);
+    deployment.store.set_writes_refused(false);
     let before = starts(&deployment);
     until("starts again", || async {
         starts(&deployment) > before + 20
     })
     .await;
-    let found = findings(&deployment);
-    assert!(found.clean(), "{found:#?}");
+    let found = violations(&deployment);
+    assert!(found.is_empty(), "{found:#?}");
 }
 
 /// Only the history speaks here: with the gate taken out of the program, this fails.
@@ -232,16 +232,16 @@
     refuse_transactions_amid_work(&deployment).await;
     let before = leader(&deployment).await;
     // What was under way has arrived by then, and after it many more tasks could have run.
-    tokio::time::sleep(deployment.rules().knows * 2).await;
+    tokio::time::sleep(deployment.rules().unwritable_detection * 2).await;
     assert_eq!(
         leader(&deployment).await,
         before,
         "nobody is better connected"
     );
-    deployment.state.set_writes_fail(false);
+    deployment.store.set_writes_refused(false);
     told_done(&deployment, "wk-000001").await;
-    let found = findings(&deployment);
-    assert!(found.clean(), "{found:#?}");
+    let found = violations(&deployment);
+    assert!(found.is_empty(), "{found:#?}");
 }
 
 /// The old leader keeps its workers for a while; the new one cancels, and all must be gone in time.
@@ -253,7 +253,7 @@
     }
     until("many starts", || async { starts(&deployment) > 30 }).await;
     let old = leader(&deployment).await;
-    deployment.link(LinkId::State(old)).set(LinkMode::BLACKHOLE);
+    deployment.link(LinkId::Store(old)).set(LinkMode::BLACKHOLE);
     for other in (0..3).filter(|other| *other != old) {
         deployment
             .link(LinkId::Peer(old, other))
@@ -279,7 +279,7 @@
         told["member"] == format!("knot-{old}") && row.is_null()
     })
     .await;
-    tokio::time::sleep(deployment.rules().cancel).await;
+    tokio::time::sleep(deployment.rules().cancellation_deadline).await;
     deployment.heal();
     until("the other job is cancelled", || async {
         deployment.cancel(old, "wk-000002").await
@@ -287,8 +287,8 @@
     .await;
     accepted(&deployment, "wk-000003", "group", 3).await;
     told_done(&deployment, "wk-000003").await;
-    let found = findings(&deployment);
-    assert!(found.clean(), "{found:#?}");
+    let found = violations(&deployment);
+    assert!(found.is_empty(), "{found:#?}");
 }
 
 async fn told_done(deployment: &Deployment, id: &str) {
@@ -309,7 +309,7 @@
     })
     .await;
     let answers_held = LinkMode {
-        answers: Flow::Hold,
+        responses: Flow::Hold,
         ..LinkMode::default()
     };
     deployment
@@ -331,8 +331,8 @@
         links["matrix"][&follows]["peers"][&leads]["outbound"]["state"] == "up"
     })
     .await;
-    let found = findings(&deployment);
-    assert!(found.clean(), "{found:#?}");
+    let found = violations(&deployment);
+    assert!(found.is_empty(), "{found:#?}");
 }
 
 /// A leader that no worker reaches, by whatever way, must not call any of them healthy.
@@ -365,8 +365,8 @@
     }
     deployment.heal();
     told_done(&deployment, "wk-000001").await;
-    let found = findings(&deployment);
-    assert!(found.clean(), "{found:#?}");
+    let found = violations(&deployment);
+    assert!(found.is_empty(), "{found:#?}");
 }
 
 fn from_environment(name: &str, default: u64) -> u64 {
@@ -377,7 +377,7 @@
 }
 
 /// Plays a schedule drawn from a seed, with users at it all the while; what became of it.
-async fn play(seed: u64, length: Duration, on: bool) -> Findings {
+async fn play(seed: u64, length: Duration, on: bool) -> Violations {
     let name = format!("seed-{seed}-{}", if on { "on" } else { "off" });
     let mut deployment = if on {
         all_on(&name)
@@ -392,10 +392,10 @@
         accepted(&deployment, &id, kind, tasks).await;
         open.push(id);
     }
-    let troubles = draw(seed, 3, length, 12);
-    let half = troubles.partition_point(|trouble| trouble.begins() < length / 2);
-    let (first, second) = troubles.split_at(half);
-    deployment.play(first).await;
+    let faults = draw(seed, 3, length, 12);
+    let half = faults.partition_point(|fault| fault.starts_at() < length / 2);
+    let (first, second) = faults.split_at(half);
+    deployment.inject(first).await;
     ask_all(&deployment, &open).await;
     // Cancelled in the middle of it all, at any node that takes it.
     let cancelled = open.remove(seed as usize % open.len());
@@ -411,27 +411,27 @@
         false
     })
     .await;
-    let later: Vec<Trouble> = second
+    let later: Vec<ScheduledFault> = second
         .iter()
-        .map(|trouble| earlier(trouble, length / 2))
+        .map(|fault| earlier(fault, length / 2))
         .collect();
-    deployment.play(&later).await;
+    deployment.inject(&later).await;
     for id in &open {
         told_done(&deployment, id).await;
     }
-    tokio::time::sleep(deployment.rules().cancel).await;
-    findings(&deployment)
+    tokio::time::sleep(deployment.rules().cancellation_deadline).await;
+    violations(&deployment)
 }
 
-fn earlier(trouble: &Trouble, by: Duration) -> Trouble {
-    let mut trouble = *trouble;
-    match &mut trouble {
-        Trouble::Cut(cut) => cut.at -= by,
-        Trouble::WritesFail { at, .. }
-        | Trouble::StateOut { at, .. }
-        | Trouble::Restart { at, .. } => *at -= by,
+fn earlier(fault: &ScheduledFault, by: Duration) -> ScheduledFault {
+    let mut fault = *fault;
+    match &mut fault {
+        ScheduledFault::Link(cut) => cut.at -= by,
+        ScheduledFault::WritesRefused { at, .. }
+        | ScheduledFault::StoreOutage { at, .. }
+        | ScheduledFault::Restart { at, .. } => *at -= by,
     }
-    trouble
+    fault
 }
 
 async fn ask_all(deployment: &Deployment, ids: &[String]) {
@@ -451,9 +451,9 @@
         let found = play(seed, length, on).await;
         println!(
             "seed {seed}: clean {}, {} starts soon after a cancellation",
-            found.clean(),
-            found.soon_after_cancellation.len()
+            found.is_empty(),
+            found.starts_before_cancellation_deadline.len()
         );
-        assert!(found.clean(), "seed {seed}: {found:#?}");
+        assert!(found.is_empty(), "seed {seed}: {found:#?}");
     }
 }
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -40,11 +40,11 @@
     node.accept(&job("wk-000003", "array", 1, 4.0)).await;
     node.until("wk-000003", "done").await;
     assert!(
-        bench.state.get("kl/live/wk-000003").is_none(),
+        bench.store.get("kl/live/wk-000003").is_none(),
         "the job's records go with its end"
     );
     assert!(
-        bench.state.get("kl/job/wk-000003").is_some(),
+        bench.store.get("kl/job/wk-000003").is_some(),
         "its verdict stays"
     );
 }
@@ -97,14 +97,14 @@
     );
     node.until("wk-000010", "done").await;
 
-    bench.state.set_out(true);
+    bench.store.set_outage(true);
     let next = job("wk-000012", "array", 1, 4.0);
     let (status, _, retry) = node.post("/api/jobs", encode(&next)).await;
     assert_eq!(status, 503);
     assert!(retry.is_some(), "a refusal for now says when to come back");
     let (status, body) = node.poll("wk-000010").await;
     assert_eq!((status, text(&body, "status").as_str()), (200, "done"));
-    bench.state.set_out(false);
+    bench.store.set_outage(false);
     node.accept(&next).await;
     node.until("wk-000012", "done").await;
 }
@@ -139,7 +139,7 @@
     let value = Value::Text("x".repeat(16 * 1024));
     let count = 2 * most / (16 * 1024);
     let keys = (0..count).map(|n| (format!("kl/other/{n:04}"), value.clone()));
-    bench.state.put_all(keys);
+    bench.store.put_all(keys);
     node.until("wk-000060", "done").await;
     node.accept(&job("wk-000061", "group", 2, 15.0)).await;
     node.until("wk-000061", "done").await;
@@ -162,7 +162,7 @@
     drop(node);
     node = bench.start();
     node.until("wk-000051", "done").await;
-    assert_eq!(bench.cloud.ran_twice(), 0);
+    assert_eq!(bench.cloud.duplicate_executions(), 0);
 }
 
 /// A leader that has lost its workers while the nodes refuse each other's connections hears of
@@ -173,7 +173,7 @@
     let leader = cbor!({
         "member" => "knot-9", "address" => "127.0.0.1:1", "term" => 3, "lease" => 99
     });
-    bench.state.put("kl/leader", leader.unwrap());
+    bench.store.put("kl/leader", leader.unwrap());
     let node = bench.start();
     let heartbeat = cbor!({
         "host" => "m-000001", "address" => "127.0.0.1:9", "build" => "cpu16", "yard" => "north",
@@ -186,7 +186,7 @@
         if status == 421 {
             assert_eq!(text(&body, "answerTo"), "knot-9");
         }
-        if let Some(written) = bench.state.get("kl/knocks/knot-0") {
+        if let Some(written) = bench.store.get("kl/knocks/knot-0") {
             break written;
         }
         assert!(began.elapsed() < TEST_TIMEOUT, "it is never written");
@@ -202,7 +202,7 @@
     let node = bench.start();
     // It needs more machines than there are: it stays unfinished.
     node.accept(&job("wk-000900", "array", 5000, 16.0)).await;
-    let before = bench.state.requests();
+    let before = bench.store.requests();
     let asked = 400;
     let (known, unknown): (Vec<_>, Vec<_>) = {
         let known = (0..asked / 2).map(|_| node.poll("wk-000900"));
@@ -215,7 +215,7 @@
     };
     assert!(known.iter().all(|(status, _)| *status == 200));
     assert!(unknown.iter().all(|(status, _)| *status == 404));
-    let cost = bench.state.requests() - before;
+    let cost = bench.store.requests() - before;
     assert!(cost < asked / 4, "{cost} requests for {asked} questions");
 }
 
@@ -226,7 +226,7 @@
     let node = bench.start();
     node.accept(&job("wk-000910", "array", 5000, 16.0)).await;
     let done = cbor!({"verdict" => "Done", "tasks" => 1}).unwrap();
-    bench.state.put_and_forget("kl/job/wk-000911", done);
+    bench.store.put_and_compact("kl/job/wk-000911", done);
     node.until("wk-000911", "done").await;
     node.accept(&job("wk-000912", "array", 1, 4.0)).await;
     let (status, _) = node.poll("wk-000910").await;
@@ -273,13 +273,13 @@
         node.accept(&job(id, "array", 1, 16.0)).await;
     }
     for round in 0..3 {
-        bench.state.set_out(round != 1);
+        bench.store.set_outage(round != 1);
         if round > 0 {
             drop(node);
             node = bench.start();
         }
         tokio::time::sleep(Duration::from_millis(300)).await;
-        bench.state.set_out(false);
+        bench.store.set_outage(false);
         let flood: Vec<_> = (0..40)
             .map(|n| {
                 job(
@@ -308,7 +308,7 @@
     for id in &ids {
         node.until(id, "done").await;
     }
-    assert_eq!(bench.cloud.ran_twice(), 0);
+    assert_eq!(bench.cloud.duplicate_executions(), 0);
 }
 
 /// A report as a worker that has seen `baton` sends it; the answer's status and token.
@@ -334,7 +334,7 @@
     assert_eq!(status, 200);
     let newer = token + (1 << 20);
     assert_eq!(hello(&node, 2, newer).await.0, 503, "another one leads");
-    bench.state.set_out(true);
+    bench.store.set_outage(true);
     let began = Instant::now();
     let mut tally = 10;
     let (mut kept, mut gave_up) = (false, false);
@@ -358,10 +358,10 @@
         assert_eq!(node.submit(&job("wk-000071", "array", 1, 4.0)).await, 503);
     }
     assert!(kept, "work goes on for a while");
-    bench.state.set_out(false);
+    bench.store.set_outage(false);
     node.accept(&job("wk-000071", "array", 1, 4.0)).await;
     node.until("wk-000071", "done").await;
-    assert_eq!(bench.cloud.ran_twice(), 0);
+    assert_eq!(bench.cloud.duplicate_executions(), 0);
 }
 
 #[actix_web::test]
@@ -396,7 +396,7 @@
     node.until("wk-000031", "done").await;
     let (_, metrics) = node.admin("GET", "metrics", "").await;
     assert_eq!(metrics["accepted"].as_u64(), Some(1));
-    bench.state.set_out(true);
+    bench.store.set_outage(true);
     let again = got.to_string();
     assert_eq!(node.admin("PUT", "settings", &again).await.0, 503);
 }
