--- a/src/cluster/machine.rs
+++ b/src/cluster/machine.rs
@@ -342,8 +342,8 @@
     pub fn evidence(&self) -> WorkerEvidence {
         WorkerEvidence {
             last_heartbeat: self.last_heartbeat,
-            hears: self.fenced && self.reachability.fine(),
-            doubted_since: self.reachability.doubted_since(),
+            confirmed: self.fenced && self.reachability.confirmed(),
+            unacknowledged_since: self.reachability.pending_since(),
             unanswered_commands: self.unanswered_commands,
         }
     }
@@ -361,7 +361,10 @@
         let refusals = [
             (self.last_heartbeat.is_none(), PlacementRefusal::NoHeartbeat),
             (!fenced, PlacementRefusal::NotFenced),
-            (!self.reachability.fine(), PlacementRefusal::Unreachable),
+            (
+                !self.reachability.confirmed(),
+                PlacementRefusal::Unreachable,
+            ),
             (self.releasing, PlacementRefusal::Releasing),
             (
                 self.drain == Some(DrainReason::Faulty),
@@ -407,9 +410,13 @@
     /// Something we sent had no effect: it gets no starts until it shows a token that it can have
     /// only from an answer of ours from now on.
     pub(super) fn require_confirmation(&mut self, now: Instant) {
-        if let Some(raised) = self.token.raised().filter(|_| self.reachability.fine()) {
+        if let Some(raised) = self
+            .token
+            .raised()
+            .filter(|_| self.reachability.confirmed())
+        {
             self.token = raised;
-            self.reachability.doubt(raised.0, now);
+            self.reachability.require_acknowledgement(raised.0, now);
         }
     }
 
