--- a/src/api/admin.rs
+++ b/src/api/admin.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::RETRY_AFTER_S;
-use crate::cluster::{Cluster, DrainReason, Job, Machine};
+use crate::cluster::{Cluster, DrainReason, Job, Machine, PlacementRefusal};
 use crate::leader::Role;
 use crate::model::{JobId, MachineId};
 use crate::service::operator::OperatorSettings;
@@ -92,7 +92,9 @@
             reported_s_ago: reported.map(|d| d.as_secs_f64()),
             drain: machine.drain.map(DrainReason::label),
             releasing: machine.releasing,
-            passed_over: machine.passed_over(now, cluster.timing.suspect_after),
+            passed_over: machine
+                .placement_refusal(now, cluster.timing.suspect_after)
+                .map(PlacementRefusal::as_str),
             health: MachineHealth::of(judge.judge(&machine.evidence()), now),
         }
     }
@@ -108,7 +110,7 @@
     age_s: f64,
     /// Why tasks of it don't run.
     #[serde(rename = "waits_for")]
-    pending_reason: Option<&'static str>,
+    pending_reason: Option<crate::pending_reason::PendingReason>,
     /// Machines on which tasks of it failed.
     failed_on: usize,
     /// Whether it fails everywhere, as far as can be seen.
@@ -117,7 +119,7 @@
 
 impl JobStatus {
     fn of(job: &Job, now: Instant) -> Self {
-        let waits = job.open() && job.pending_count() > 0;
+        let waits = job.is_schedulable() && job.pending_count() > 0;
         Self {
             class: job.spec.class.clone(),
             team: job.spec.team.clone(),
@@ -288,9 +290,8 @@
     wanted: VersionedSettings,
 ) -> HttpResponse {
     let value_kb = shared.settings.params.state.value_kb;
-    if let Some(field) = wanted.settings.wrong_field(value_kb) {
-        let error = format!("field `{field}` is out of range");
-        return refuse(HttpResponse::BadRequest(), error);
+    if let Err(error) = wanted.settings.validate(value_kb) {
+        return refuse(HttpResponse::BadRequest(), error.to_string());
     }
     if !shared.replica.lock().loaded {
         return unavailable();
--- a/tests/common/scene.rs
+++ b/tests/common/scene.rs
@@ -7,10 +7,10 @@
 use std::time::{Duration, Instant, SystemTime};
 
 use knotlanding::cluster::{
-    AddressedCommand, Cluster, HeartbeatSource, RecordKind, Sent, Verified,
+    AddressedCommand, Cluster, DispatchTargets, HeartbeatOrdering, HeartbeatSource, RecordKind,
 };
 use knotlanding::config::Settings;
-use knotlanding::fleet::{self, FleetView, IdlePolicy, Market};
+use knotlanding::fleet::{self, Action, FleetView, IdlePolicy, Market};
 use knotlanding::model::{
     FencingToken, JobId, JobKind, JobSpec, MachineId, MachineType, Priority, Resources, Term,
     Verdict,
@@ -19,7 +19,7 @@
 use knotlanding::sched::{self, Decisions};
 use knotlanding::store::keys::{self, InventoryRecord, JobRecord, LiveRecord, SentRecord};
 use knotlanding::store::replica::Replica;
-use knotlanding::store::{to_value, Row, StoreError, TransactionOutcome};
+use knotlanding::store::{to_value, KeyValue, StoreError, TransactionOutcome};
 use knotlanding::wire::{
     ExitCause, Heartbeat, ListedMachine, TaskPhase, TaskStatus, WorkerCommand,
 };
@@ -50,7 +50,7 @@
 pub fn machine_types() -> Vec<MachineType> {
     let machine_type = |name: &str, cpus: f64, gpus: f64, price: f64| MachineType {
         name: name.to_owned(),
-        room: Resources {
+        capacity: Resources {
             cpus,
             gpus,
             memory: 64.0,
@@ -155,7 +155,7 @@
 
     pub fn replica(&self) -> Replica {
         let rows = self.records.iter().enumerate();
-        let rows = rows.map(|(at, (key, value))| Row {
+        let rows = rows.map(|(at, (key, value))| KeyValue {
             key: key.clone(),
             value: value.clone(),
             version: at as u64 + 1 + self.rewritten,
@@ -228,7 +228,7 @@
             assert_eq!(*machine.load(), machine.counted(), "{}", machine.id);
         }
         self.cluster.expire(self.now);
-        let decisions = sched::round(&self.cluster, &self.policy, self.now);
+        let decisions = sched::run_cycle(&self.cluster, &self.policy, self.now);
         sched::apply(&mut self.cluster, &decisions, self.now);
         for start in &decisions.starts {
             let to: Vec<_> = start
@@ -238,8 +238,9 @@
                 .collect();
             self.note(&format!("round: start {} [{}]", start.job, to.join(", ")));
         }
-        for (job, why) in &decisions.gang_stops {
-            self.note(&format!("round: stop gang {job}: {why}"));
+        for restart in &decisions.gang_restarts {
+            let (job, reason) = (&restart.job, restart.reason);
+            self.note(&format!("round: stop gang {job}: {reason}"));
         }
         for termination in &decisions.terminations {
             self.note(&format!(
@@ -247,8 +248,9 @@
                 termination.task, termination.machine
             ));
         }
-        for (job, why) in &decisions.waits {
-            self.note(&format!("round: {job} waits for {why}"));
+        for pending in &decisions.pending {
+            let (job, reason) = (&pending.job, pending.reason);
+            self.note(&format!("round: {job} waits for {reason}"));
         }
         self.write(writes_work);
         let direct = self.cluster.direct_commands(self.now);
@@ -273,17 +275,23 @@
                 TransactionOutcome::Failed(StoreError::Refused(503))
             };
             let what = match &write.kind {
-                RecordKind::Sent(_, jobs) => {
-                    let each = jobs.iter().map(|(id, sent)| match sent {
-                        Sent::Anywhere => format!("{id} anywhere"),
-                        Sent::Hosts(hosts) => format!("{id} to {hosts:?} at most"),
+                RecordKind::Dispatch { entries, .. } => {
+                    let each = entries.iter().map(|entry| match &entry.targets {
+                        DispatchTargets::Anywhere => format!("{} anywhere", entry.job),
+                        DispatchTargets::Machines(machines) => {
+                            format!("{} to {machines:?} at most", entry.job)
+                        }
                     });
                     format!("starts: {}", each.collect::<Vec<_>>().join("; "))
                 }
-                RecordKind::Done(id, chunk, bits) => format!("{id} done chunk {chunk} = {bits}"),
-                RecordKind::Finished(id) => format!("{id} is done"),
-                RecordKind::Retired(id) => format!("{id} retired"),
-                RecordKind::Inventory(shard, names) => format!("roster {shard} = {names:?}"),
+                RecordKind::Progress { job, chunk, digits } => {
+                    format!("{job} done chunk {chunk} = {digits}")
+                }
+                RecordKind::Finished { job } => format!("{job} is done"),
+                RecordKind::Retired { job } => format!("{job} retired"),
+                RecordKind::Inventory { shard, machines } => {
+                    format!("roster {shard} = {machines:?}")
+                }
             };
             self.note(&format!(
                 "write {}: {what}",
@@ -300,7 +308,7 @@
         (epoch, sequence, token): (u64, u64, u64),
         tasks: &[(&str, u64, TaskPhase, Option<ExitCause>)],
         own: bool,
-    ) -> Verified {
+    ) -> HeartbeatOrdering {
         let source = if own {
             HeartbeatSource::Worker
         } else {
@@ -343,9 +351,9 @@
             "{kind} of {machine} ({epoch}.{sequence} token {token}): [{}] {verified:?}",
             list.join(", ")
         ));
-        if own && verified == Verified::Newer {
+        if own && verified == HeartbeatOrdering::Newer {
             let id = MachineId(machine.into());
-            let commands = self.cluster.answer(&id, self.now, true);
+            let commands = self.cluster.respond(&id, self.now, true);
             if !commands.is_empty() {
                 self.note(&format!("answer to {machine}: {}", shown(&commands)));
             }
@@ -405,7 +413,11 @@
             now: self.now,
         });
         for action in actions {
-            self.note(&format!("fleet: {action:?}"));
+            let shown = match action {
+                Action::Rent(pool, count) => format!("Rent({pool:?}, {count})"),
+                Action::Return(ids, reason) => format!("Return({ids:?}, {:?})", reason.as_str()),
+            };
+            self.note(&format!("fleet: {shown}"));
         }
     }
 }
--- a/tests/common/world.rs
+++ b/tests/common/world.rs
@@ -37,12 +37,12 @@
 use futures_util::FutureExt;
 use knotlanding::api::workers::{receive, Reception};
 use knotlanding::cluster::{
-    AddressedCommand, Cluster, HeartbeatSource, Machine, RecordKind, Verified,
+    AddressedCommand, Cluster, HeartbeatOrdering, HeartbeatSource, Machine, RecordKind,
 };
 use knotlanding::config::{Peer, Settings, WorkerSettings};
 use knotlanding::demand::UnmetDemand;
 use knotlanding::fleet::{self, Action, FleetView, IdlePolicy, Market};
-use knotlanding::leader::{HeldLease, Leadership};
+use knotlanding::leader::Leadership;
 use knotlanding::model::{
     FencingToken, JobId, JobKind, JobSpec, MachineId, MachinePool, Resources, Term, Verdict,
 };
@@ -50,10 +50,12 @@
 use knotlanding::sched::{self, Decisions};
 use knotlanding::service::Shared;
 use knotlanding::store::keys::{self, JobRecord, LeaderRecord, LiveRecord, TermRecord};
+use knotlanding::store::replica::VerdictState;
 use knotlanding::store::{
-    to_value, Change, Condition, Event, Row, StoreError, Transaction, TransactionOutcome, Value,
+    to_value, Change, Condition, KeyValue, StoreError, Transaction, TransactionOutcome, Value,
+    WatchEvent,
 };
-use knotlanding::timing::{renew_every, LEASE_TIME_MIN};
+use knotlanding::timing::{lease_renewal_interval, LEADER_LEASE_MIN};
 use knotlanding::wire::{
     self, ExitCause, Heartbeat, HeartbeatResponse, ListedMachine, Redirect, TaskPhase, TaskStatus,
     WorkerCommand,
--- a/tests/common/world/delivery.rs
+++ b/tests/common/world/delivery.rs
@@ -159,7 +159,7 @@
         let body = wire::encode(&*heartbeat);
         let received = receive(&self.nodes[n].shared, Ok(body.into()), &|| now);
         let (name, epoch) = (heartbeat.machine.clone(), heartbeat.epoch);
-        let answers = cut.mode.answers == Flow::Pass;
+        let answers = cut.mode.responses == Flow::Pass;
         match (received, number.filter(|_| answers)) {
             (Reception::Answered(answer), Some(number)) => {
                 self.answer_worker(&name, (epoch, number), answer);
@@ -197,7 +197,11 @@
         if let Some(cluster) = guard.as_mut().filter(|c| c.term == term && !late) {
             let verified =
                 cluster.apply_heartbeat(&heartbeat, HeartbeatSource::Command(asked), now);
-            assert_ne!(verified, Verified::Deposed, "ours was executed or refused");
+            assert_ne!(
+                verified,
+                HeartbeatOrdering::Deposed,
+                "ours was executed or refused"
+            );
         }
     }
 
--- a/tests/formats/admin.rs
+++ b/tests/formats/admin.rs
@@ -1,10 +1,11 @@
 //! The operators' interface: the fields of its JSON, by their paths.
 
 use std::collections::BTreeSet;
-use std::path::PathBuf;
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
+use knotlanding::cluster::PlacementRefusal;
+use knotlanding::pending_reason::PendingReason;
 use knotlanding_links::gate::GateRefusal;
 use knotlanding_links::handover::{Connectivity, Decision};
 use knotlanding_links::health::{HealthState, LostDirection};
@@ -153,34 +154,65 @@
     }
 }
 
-/// All Rust sources of the program.
-fn sources() -> String {
-    let mut folders = vec![
-        PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("src"),
-        PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("crates/links/src"),
-    ];
-    let mut text = String::new();
-    while let Some(folder) = folders.pop() {
-        for entry in std::fs::read_dir(folder).unwrap() {
-            let path = entry.unwrap().path();
-            if path.is_dir() {
-                folders.push(path);
-            } else {
-                text.push_str(&std::fs::read_to_string(path).unwrap());
-            }
-        }
+/// The line of the fixture for each reason. A new variant does not compile without one.
+fn line_number(reason: PendingReason) -> usize {
+    match reason {
+        PendingReason::NotConsidered => 0,
+        PendingReason::StaleReplica => 1,
+        PendingReason::Gate(GateRefusal::Unreadable) => 2,
+        PendingReason::Gate(GateRefusal::Unwritable) => 3,
+        PendingReason::Gate(GateRefusal::Flapping) => 4,
+        PendingReason::UnreconciledMachines => 5,
+        PendingReason::TrialBackoff => 6,
+        PendingReason::FailureBackoff => 7,
+        PendingReason::Terminating => 8,
+        PendingReason::TeamLimit => 9,
+        PendingReason::TrialCapacity => 10,
+        PendingReason::GangCapacity => 11,
+        PendingReason::ImageLocality => 12,
+        PendingReason::Capacity => 13,
     }
-    text
 }
 
-/// Operators' scripts may look for these.
+/// Operators' scripts may look for these, too.
 #[test]
-fn reasons_told_to_operators_stay() {
-    let sources = sources();
-    for file in ["pending-reasons.txt", "passed-over.txt"] {
-        for reason in fixture::text(file).lines() {
-            assert!(sources.contains(&format!("\"{reason}\"")), "{reason}");
-        }
+fn pending_reasons_stay() {
+    let text = fixture::text("pending-reasons.txt");
+    let lines: Vec<&str> = text.lines().collect();
+    assert_eq!(PendingReason::ALL.len(), lines.len());
+    for (at, reason) in PendingReason::ALL.into_iter().enumerate() {
+        assert_eq!(line_number(reason), at);
+        assert_eq!(reason.to_string(), lines[at]);
+        let json = serde_json::to_value(reason).unwrap();
+        assert_eq!(json, Value::from(lines[at]));
+    }
+}
+
+/// So do these, each line from one refusal.
+#[test]
+fn placement_refusals_told_to_operators_stay() {
+    let lines = PlacementRefusal::ALL.map(|refusal| format!("{refusal}\n"));
+    fixture::assert_text("passed-over.txt", &lines.concat());
+    for (position, refusal) in PlacementRefusal::ALL.into_iter().enumerate() {
+        assert_eq!(position_of(refusal), position);
+    }
+}
+
+/// Does not compile with a variant that is not listed.
+fn position_of(refusal: PlacementRefusal) -> usize {
+    match refusal {
+        PlacementRefusal::NoHeartbeat => 0,
+        PlacementRefusal::NotFenced => 1,
+        PlacementRefusal::Unreachable => 2,
+        PlacementRefusal::Releasing => 3,
+        PlacementRefusal::Faulty => 4,
+        PlacementRefusal::Slow => 5,
+        PlacementRefusal::Drained => 6,
+        PlacementRefusal::SpotNotice => 7,
+        PlacementRefusal::Suspected => 8,
+        PlacementRefusal::Backoff => 9,
+        PlacementRefusal::UnknownTask => 10,
+        PlacementRefusal::TooManyTasks => 11,
     }
 }
 
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -49,7 +49,7 @@
     let mut written = BTreeSet::new();
     for write in &writes {
         assert!(write.group.changes.len() <= limits.txn_ops);
-        let RecordKind::Inventory(_, machines) = &write.kind else {
+        let RecordKind::Inventory { machines, .. } = &write.kind else {
             panic!("{:?}", write.kind);
         };
         written.extend(machines.iter().cloned());
@@ -227,7 +227,7 @@
         rounds += 1;
         assert!(rounds <= 4, "{} of {gangs} started", started.len());
         let now = scene.now;
-        let decisions = knotlanding::sched::round(&scene.cluster, &scene.policy, now);
+        let decisions = knotlanding::sched::run_cycle(&scene.cluster, &scene.policy, now);
         knotlanding::sched::apply(&mut scene.cluster, &decisions, now);
         for start in &decisions.starts {
             assert_eq!(start.members.len(), 16, "whole or not at all");
--- a/tests/layers.rs
+++ b/tests/layers.rs
@@ -8,9 +8,9 @@
 /// The modules of the library from the lowest to the highest. Those of one layer do not use each other.
 const LAYERS: [&[&str]; 15] = [
     &["time"],
-    &["model", "rate_limit", "metrics"],
+    &["model", "pending_reason", "rate_limit", "metrics"],
     &["config", "features", "cli"],
-    &["wire", "timing", "policy"],
+    &["wire", "timing", "policy", "admin_client"],
     &["http", "state_summary", "demand"],
     &["store"],
     &["leader"],
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -10,7 +10,7 @@
 
 use std::time::Duration;
 
-use knotlanding::cluster::{DrainReason, Verified};
+use knotlanding::cluster::{DrainReason, HeartbeatOrdering};
 use knotlanding::config::Settings;
 use knotlanding::model::*;
 use knotlanding::policy::SchedulingPolicy;
@@ -75,7 +75,7 @@
     let mut s = Scene::new();
     assert_eq!(
         s.report_as("m-g1n", (1, 1, 2), &[], true),
-        Verified::Deposed
+        HeartbeatOrdering::Deposed
     );
     assert!(s.cluster.machines.is_empty());
 }
@@ -200,8 +200,10 @@
     s.heartbeat("m-g1n", &[]);
     let replica = s.replica();
     let lost = s.cluster.due_writes(&replica, s.now).remove(0);
-    s.cluster
-        .written(&lost.kind, &TransactionOutcome::Failed(StoreError::Unknown));
+    s.cluster.written(
+        &lost.kind,
+        &TransactionOutcome::Failed(StoreError::OutcomeUnknown),
+    );
     s.heartbeat("m-g2n", &[]);
     let again = s.cluster.due_writes(&replica, s.now).remove(0);
     s.cluster
@@ -256,7 +258,7 @@
     s.round();
     let blamed = s.cluster.machines.values();
     let blamed = blamed.flat_map(|m| {
-        m.blame
+        m.faults
             .iter()
             .map(move |b| format!("{} for {}", m.id, b.job))
     });
@@ -481,8 +483,11 @@
     ];
     let settings = Settings::parse(&(text + &more.concat()), "test").unwrap();
     let policy = SchedulingPolicy::new(&settings);
-    assert_eq!(policy.prompt.len(), 1, "only what it was before");
-    assert!(policy.aims.is_empty(), "a colour is no time to be over");
-    assert_eq!(policy.guarantee, Some(Duration::from_secs(5)));
-    assert_eq!(policy.deadlines["batch"], [1.75]);
+    assert_eq!(policy.start_objectives.len(), 1, "only what it was before");
+    assert!(
+        policy.completion_objectives.is_empty(),
+        "a colour is no time to be over"
+    );
+    assert_eq!(policy.guarantee_objective, Some(Duration::from_secs(5)));
+    assert_eq!(policy.deadline_objectives["batch"], [1.75]);
 }
