--- a/src/actors/election.rs
+++ b/src/actors/election.rs
@@ -99,14 +99,14 @@
                 *shared.cluster.lock() = None;
                 store.do_send(SetLeading(false));
             }
-            shared.wake_election.notify_one();
+            shared.wake_ups.election.notify_one();
         }
         Err(error) => {
             debug!(%error, "renewal failed");
             if error.contact_lost() {
                 shared.store_failed(StoreOperation::Lease, sent);
             }
-            shared.wake_election.notify_one();
+            shared.wake_ups.election.notify_one();
         }
     }
 }
@@ -131,7 +131,7 @@
     async fn run(self) {
         loop {
             let wait = self.step().await;
-            let woken = self.shared.wake_election.notified();
+            let woken = self.shared.wake_ups.election.notified();
             let due = Instant::now() + wait;
             // Either way the next step looks at everything again.
             let _ = actix::clock::timeout(wait, woken).await;
@@ -290,7 +290,7 @@
         self.store.do_send(SetLeading(true));
         // Starts wait for a read that is newer than the election.
         self.shared.replica.request_read();
-        self.shared.wake_scheduler.notify_one();
+        self.shared.wake_ups.scheduler.notify_one();
     }
 
     /// Sends a renewal if one is due; when to look again.
--- a/src/actors/fleet.rs
+++ b/src/actors/fleet.rs
@@ -210,7 +210,7 @@
                 if let Some(cluster) = self.shared.cluster.lock().as_mut() {
                     cluster.set_catalog(catalog);
                 }
-                self.shared.wake_election.notify_one();
+                self.shared.wake_ups.election.notify_one();
             }
             Err(error) => debug!(%error, "cannot read the machine types"),
         }
@@ -340,7 +340,7 @@
             Ok(()) => {
                 info!(machines = ?ids, why, "returned");
                 self.shared.metrics.lock().counts.returned += ids.len() as u64;
-                self.shared.machine_gone(&ids);
+                self.shared.machines_released(&ids);
             }
             Err(CloudError::Unknown) => self.unreturned.push((ids, why)),
             Err(error) => {
--- a/src/actors/forward.rs
+++ b/src/actors/forward.rs
@@ -1,4 +1,5 @@
-//! Owner of forwarded reports: gathers what came to this follower and sends it to the leader.
+//! Owner of forwarded heartbeats: collects those that arrived at this follower and sends them to the
+//! leader in batches.
 
 use std::net::SocketAddrV4;
 use std::rc::Rc;
@@ -12,7 +13,7 @@
 use tracing::{debug, info};
 
 use crate::forwarding::messages::{BatchAnswer, HeartbeatBatch, BATCH_BODY_LIMIT, BATCH_VERSION};
-use crate::forwarding::{gather_time, PathFailure, QueuedHeartbeat, BATCH_LIMIT};
+use crate::forwarding::{batch_delay, QueuedHeartbeat, UpstreamFailure, BATCH_LIMIT};
 use crate::leader::{LeaderHint, Role};
 use crate::peer::heartbeats::HEARTBEATS;
 use crate::peer::{self, BINCODE};
@@ -37,7 +38,7 @@
 
     fn started(&mut self, _: &mut Self::Context) {
         let forwarder = Forwarder {
-            gather: gather_time(&self.shared.settings),
+            batch_delay: batch_delay(&self.shared.settings),
             shared: self.shared.clone(),
             http: self.http.clone(),
         };
@@ -48,28 +49,28 @@
 struct Forwarder {
     shared: Arc<Shared>,
     http: Client,
-    gather: Duration,
+    batch_delay: Duration,
 }
 
 impl Forwarder {
     async fn run(self: Rc<Self>) {
         loop {
-            self.shared.wake_forwarding.notified().await;
-            actix::clock::sleep(self.gather).await;
+            self.shared.wake_ups.forwarding.notified().await;
+            actix::clock::sleep(self.batch_delay).await;
             self.send_queued();
         }
     }
 
-    /// Sends what waits, as far as batches may be under way. The end of a batch wakes the loop.
+    /// Sends queued heartbeats, as far as batches may be in flight. The end of a batch wakes the loop.
     fn send_queued(self: &Rc<Self>) {
         let now = Instant::now();
         let role = self.shared.election.lock().role(now);
         let leader = match role {
             Role::Follower(Some(leader)) => leader,
-            _ => return self.shared.forwarding.lock().give_up_queued(),
+            _ => return self.shared.forwarding.lock().drop_queued(),
         };
         let Some(address) = self.shared.settings.peer_address(&leader.member) else {
-            return self.shared.forwarding.lock().give_up_queued();
+            return self.shared.forwarding.lock().drop_queued();
         };
         loop {
             let batch = self.shared.forwarding.lock().next_batch(&leader, now);
@@ -96,24 +97,27 @@
                 }
             }
             Err(failure) => {
-                if failure == PathFailure::Unsupported {
-                    info!(leader = leader.member, "takes no forwarded reports");
+                if failure == UpstreamFailure::Unsupported {
+                    info!(
+                        leader = leader.member,
+                        "leader does not support forwarded heartbeats"
+                    );
                 }
                 debug!(
                     leader = leader.member,
                     count,
-                    ?failure,
-                    "reports not forwarded"
+                    reason = ?failure,
+                    "heartbeats not forwarded"
                 );
                 let now = Instant::now();
                 let mut forwarding = self.shared.forwarding.lock();
                 forwarding.failed(&leader, failure, now);
-                // Only now: who waits looks at the path to say where its worker is to go.
+                // Only now: the waiting handlers read the state of the path to answer their agents.
                 drop(batch);
             }
         }
         if self.shared.forwarding.lock().has_queued() {
-            self.shared.wake_forwarding.notify_one();
+            self.shared.wake_ups.forwarding.notify_one();
         }
     }
 
@@ -122,7 +126,7 @@
         leader: &LeaderHint,
         address: SocketAddrV4,
         batch: &[QueuedHeartbeat],
-    ) -> Result<BatchAnswer, PathFailure> {
+    ) -> Result<BatchAnswer, UpstreamFailure> {
         let body = peer::encode(&HeartbeatBatch {
             version: BATCH_VERSION,
             member: self.shared.settings.member.clone(),
@@ -133,7 +137,7 @@
                 .map(|queued| queued.heartbeat.clone())
                 .collect(),
         });
-        let body = body.ok_or(PathFailure::Unsupported)?;
+        let body = body.ok_or(UpstreamFailure::Unsupported)?;
         {
             let mut metrics = self.shared.metrics.lock();
             metrics.heartbeats.batches_sent += 1;
@@ -147,28 +151,28 @@
             .send_body(body);
         let mut answer = sent.await.map_err(|error| failure_of(&error))?;
         let bytes = answer.body().limit(BATCH_BODY_LIMIT).await;
-        let bytes = bytes.map_err(|_| PathFailure::Silent)?;
+        let bytes = bytes.map_err(|_| UpstreamFailure::Unresponsive)?;
         match answer.status() {
             StatusCode::OK => decode_answer(&bytes, batch.len()),
-            StatusCode::CONFLICT => Err(PathFailure::NotLeading),
-            status if status.is_server_error() => Err(PathFailure::Silent),
-            _ => Err(PathFailure::Unsupported),
+            StatusCode::CONFLICT => Err(UpstreamFailure::NotLeading),
+            status if status.is_server_error() => Err(UpstreamFailure::Unresponsive),
+            _ => Err(UpstreamFailure::Unsupported),
         }
     }
 }
 
-fn failure_of(error: &SendRequestError) -> PathFailure {
+fn failure_of(error: &SendRequestError) -> UpstreamFailure {
     match error {
         // Refused by a filter between the nodes, or by a node that is just starting.
-        SendRequestError::Connect(ConnectError::Io(_)) => PathFailure::ConnectionRefused,
-        _ => PathFailure::Silent,
+        SendRequestError::Connect(ConnectError::Io(_)) => UpstreamFailure::ConnectionRefused,
+        _ => UpstreamFailure::Unresponsive,
     }
 }
 
-/// An answer of another version, or to another number of reports, answers none of them.
-fn decode_answer(bytes: &[u8], heartbeats: usize) -> Result<BatchAnswer, PathFailure> {
+/// A response of another version, or to another number of heartbeats, answers none of them.
+fn decode_answer(bytes: &[u8], heartbeats: usize) -> Result<BatchAnswer, UpstreamFailure> {
     let answer: Option<BatchAnswer> = peer::decode(bytes);
     answer
         .filter(|answer| answer.version == BATCH_VERSION && answer.answers.len() == heartbeats)
-        .ok_or(PathFailure::Unsupported)
+        .ok_or(UpstreamFailure::Unsupported)
 }
--- a/src/actors/links.rs
+++ b/src/actors/links.rs
@@ -1,4 +1,4 @@
-//! Owner of the rows that the nodes tell each other, and of the regular look at all links.
+//! Owner of the rows that the nodes send each other, and of the regular judgement of all links.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -19,14 +19,15 @@
 use crate::store::keys::{self, ProbeRecord};
 use crate::store::{to_value, Change, Transaction, WritePriority};
 
-/// A peer that takes longer to answer a row has not answered.
-const ROW_LIMIT: Duration = Duration::from_millis(900);
-/// Looks further apart than that: the process stood still.
-const STOOD_STILL: Duration = Duration::from_millis(2500);
-/// How long a peer that knows no rows is not sent any.
-const UNSUPPORTED_FOR: Duration = Duration::from_secs(30);
+/// Time for a peer's response to a row.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(900);
+/// Ticks further apart than that: the process was paused.
+const PAUSED_AFTER: Duration = Duration::from_millis(2500);
+/// Backoff after a peer did not know rows.
+const UNSUPPORTED_BACKOFF: Duration = Duration::from_secs(30);
 
-struct Peer {
+/// A peer that receives rows.
+struct RowPeer {
     member: String,
     address: SocketAddrV4,
     unsupported_until: Option<Instant>,
@@ -37,8 +38,8 @@
     shared: Arc<Shared>,
     store: Addr<StoreActor>,
     http: Client,
-    peers: Vec<Peer>,
-    last: Instant,
+    peers: Vec<RowPeer>,
+    last_tick: Instant,
     probes: u64,
 }
 
@@ -48,10 +49,10 @@
 struct Unsupported(String);
 
 impl LinksActor {
-    /// Tells rows through `http` and writes probes through `store`.
+    /// Sends rows through `http` and writes probes through `store`.
     pub fn new(shared: Arc<Shared>, store: Addr<StoreActor>, http: Client) -> Self {
         let known = shared.settings.known.iter();
-        let peers = known.map(|peer| Peer {
+        let peers = known.map(|peer| RowPeer {
             member: peer.member.clone(),
             address: peer.peer_addr,
             unsupported_until: None,
@@ -61,25 +62,25 @@
             shared,
             store,
             http,
-            last: Instant::now(),
+            last_tick: Instant::now(),
             probes: 0,
         }
     }
 
-    fn look(&mut self, own: Addr<Self>) {
+    fn tick(&mut self, own: Addr<Self>) {
         let shared = self.shared.clone();
         let Some(active) = shared.links.active() else {
             return;
         };
         let now = Instant::now();
-        let stood_still = now.saturating_duration_since(self.last) > STOOD_STILL;
-        self.last = now;
-        if stood_still {
+        let paused = now.saturating_duration_since(self.last_tick) > PAUSED_AFTER;
+        self.last_tick = now;
+        if paused {
             active.stood_still(now);
         }
         active.evaluate(now);
         let leads = self.shared.election.lock().leadership(now);
-        if active.wants_probe(leads.is_some(), now) {
+        if active.needs_write_probe(leads.is_some(), now) {
             self.probe_writes();
         }
         if self.peers.is_empty() {
@@ -93,27 +94,27 @@
         let Some(body) = peer::encode(&row.to_message()).map(Bytes::from) else {
             return;
         };
-        let due = |peer: &&Peer| peer.unsupported_until.is_none_or(|until| now >= until);
+        let due = |peer: &&RowPeer| peer.unsupported_until.is_none_or(|until| now >= until);
         for peer in self.peers.iter().filter(due) {
-            self.tell(peer, body.clone(), own.clone());
+            self.send_row(peer, body.clone(), own.clone());
         }
     }
 
-    /// While transactions fail, no placement brings about another one, and followers rarely write: a write
-    /// of no consequence shows whether they succeed.
+    /// While transactions fail, no placement causes another one, and followers rarely write: a write
+    /// without effect shows whether they succeed.
     fn probe_writes(&mut self) {
         self.probes += 1;
         let key = keys::probe(&self.shared.settings.member);
         let record = to_value(&ProbeRecord { count: self.probes });
-        let group = Transaction::new(Vec::new(), vec![Change::put(key, record)]);
-        self.store.do_send(Commit(group, WritePriority::High));
+        let transaction = Transaction::new(Vec::new(), vec![Change::put(key, record)]);
+        self.store.do_send(Commit(transaction, WritePriority::High));
     }
 
-    fn tell(&self, peer: &Peer, body: Bytes, own: Addr<Self>) {
+    fn send_row(&self, peer: &RowPeer, body: Bytes, own: Addr<Self>) {
         let request = self
             .http
             .post(format!("http://{}{LINKS}", peer.address))
-            .timeout(ROW_LIMIT)
+            .timeout(RESPONSE_TIMEOUT)
             .content_type(BINCODE)
             .send_body(body);
         let (shared, member) = (self.shared.clone(), peer.member.clone());
@@ -145,7 +146,7 @@
 
     fn started(&mut self, context: &mut Self::Context) {
         context.run_interval(ROW_INTERVAL, |actor, context| {
-            actor.look(context.address());
+            actor.tick(context.address());
         });
     }
 }
@@ -154,7 +155,7 @@
     type Result = ();
 
     fn handle(&mut self, Unsupported(member): Unsupported, _: &mut Self::Context) {
-        let until = Instant::now() + UNSUPPORTED_FOR;
+        let until = Instant::now() + UNSUPPORTED_BACKOFF;
         let peers = self.peers.iter_mut().filter(|peer| peer.member == member);
         peers.for_each(|peer| peer.unsupported_until = Some(until));
     }
--- a/src/actors/metrics.rs
+++ b/src/actors/metrics.rs
@@ -1,5 +1,5 @@
-//! Writes all figures to the log now and then, at level debug: what a process that has since ended
-//! spent its time on can't be asked any more.
+//! Writes all counters and histograms to the log at regular intervals, at level debug: a process that
+//! has ended can't be queried any more.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -18,7 +18,7 @@
 }
 
 impl MetricsActor {
-    /// Logs the figures of this process.
+    /// Logs the counters and histograms of this process.
     pub fn new(shared: Arc<Shared>) -> Self {
         Self { shared }
     }
@@ -27,7 +27,7 @@
         let view = self.shared.metrics_view(Instant::now());
         match serde_json::to_string(&view) {
             Ok(metrics) => debug!(metrics, "metrics"),
-            Err(error) => debug!(%error, "cannot encode the metrics"),
+            Err(error) => debug!(%error, "encoding metrics failed"),
         }
     }
 }
--- a/src/actors/mod.rs
+++ b/src/actors/mod.rs
@@ -1,4 +1,4 @@
-//! The actors that own the loops. They hand decisions out; deciding is done by the pure parts.
+//! The actors that own the loops. They carry decisions out; the modules without I/O decide.
 
 pub mod election;
 pub mod fleet;
--- a/src/actors/scheduler.rs
+++ b/src/actors/scheduler.rs
@@ -118,7 +118,7 @@
                 due = Some((leadership.term, began + pause.max(ROUND_INTERVAL_MAX)));
             }
             actix::clock::sleep(pause).await;
-            let woken = self.shared.wake_scheduler.notified();
+            let woken = self.shared.wake_ups.scheduler.notified();
             let _ = actix::clock::timeout(ROUND_INTERVAL_MAX.saturating_sub(pause), woken).await;
         }
     }
@@ -232,7 +232,7 @@
                 cluster.written(&write.kind, &outcome);
             }
         }
-        self.shared.wake_scheduler.notify_one();
+        self.shared.wake_ups.scheduler.notify_one();
     }
 
     /// Sends stops straight to a worker. Late or repeated they do no harm, since no attempt
@@ -290,7 +290,7 @@
                 }
             }
         }
-        self.shared.wake_scheduler.notify_one();
+        self.shared.wake_ups.scheduler.notify_one();
     }
 }
 
--- /dev/null
+++ b/src/api/admin/views.rs
@@ -0,0 +1,161 @@
+//! What operators see of the cluster state, as JSON.
+
+use std::collections::BTreeMap;
+use std::time::Instant;
+
+use knotlanding_links::health::{HealthJudge, HealthState, LostDirection, WorkerHealth};
+use serde::Serialize;
+
+use crate::cluster::{Cluster, DrainReason, Job, Machine};
+use crate::leader::Role;
+use crate::service::Shared;
+
+/// A machine.
+#[derive(Debug, Serialize)]
+pub(super) struct MachineStatus {
+    #[serde(rename = "build")]
+    machine_type: String,
+    zone: String,
+    spot: bool,
+    tasks: usize,
+    reported_s_ago: Option<f64>,
+    drain: Option<&'static str>,
+    #[serde(rename = "returning")]
+    releasing: bool,
+    /// Why it gets no new tasks.
+    passed_over: Option<&'static str>,
+    health: MachineHealth,
+}
+
+/// A machine's health with the time of the evidence.
+#[derive(Debug, Serialize)]
+pub(super) struct MachineHealth {
+    state: HealthState,
+    /// What is lost, if it is unreachable.
+    #[serde(skip_serializing_if = "Option::is_none")]
+    lost: Option<LostDirection>,
+    evidence_s_ago: Option<f64>,
+}
+
+impl MachineHealth {
+    pub(super) fn of(health: WorkerHealth, now: Instant) -> Self {
+        let age = health.evidence_at;
+        let age = age.map(|at| now.saturating_duration_since(at).as_secs_f64());
+        Self {
+            state: health.state,
+            lost: health.lost,
+            evidence_s_ago: age,
+        }
+    }
+}
+
+impl MachineStatus {
+    pub(super) fn of(cluster: &Cluster, machine: &Machine, judge: &HealthJudge) -> Self {
+        let now = judge.now;
+        let reported = machine
+            .last_heartbeat
+            .map(|at| now.saturating_duration_since(at));
+        Self {
+            machine_type: machine.machine_type.clone(),
+            zone: machine.zone.clone(),
+            spot: machine.spot,
+            tasks: machine.instances.values().filter(|s| s.occupies()).count(),
+            reported_s_ago: reported.map(|d| d.as_secs_f64()),
+            drain: machine.drain.map(DrainReason::label),
+            releasing: machine.releasing,
+            passed_over: machine.passed_over(now, cluster.timing.suspect_after),
+            health: MachineHealth::of(judge.judge(&machine.evidence()), now),
+        }
+    }
+}
+
+/// A job that has no final verdict.
+#[derive(Debug, Serialize)]
+pub(super) struct JobStatus {
+    class: String,
+    team: String,
+    tasks: u32,
+    done: u32,
+    placed: usize,
+    age_s: f64,
+    /// Why tasks of it don't run.
+    #[serde(rename = "waits_for")]
+    pending_reason: Option<&'static str>,
+    /// Machines on which tasks of it failed.
+    failed_on: usize,
+    /// Whether it fails everywhere, as far as can be seen.
+    suspected: bool,
+}
+
+impl JobStatus {
+    pub(super) fn of(job: &Job, now: Instant) -> Self {
+        let waits = job.open() && job.pending_count() > 0;
+        Self {
+            class: job.spec.class.clone(),
+            team: job.spec.team.clone(),
+            tasks: job.spec.tasks,
+            done: job.done.len(),
+            placed: job.placements.len(),
+            age_s: now.saturating_duration_since(job.submitted).as_secs_f64(),
+            pending_reason: waits.then_some(job.pending_reason),
+            failed_on: job.failed_on.len(),
+            suspected: job.suspected(),
+        }
+    }
+}
+
+/// This node, and on the leader all machines and jobs.
+#[derive(Debug, Serialize)]
+pub(super) struct Status {
+    member: String,
+    leading: bool,
+    leader: Option<String>,
+    term: Option<u64>,
+    records_revision: u64,
+    state_service_answers: bool,
+    unsettled_machines: usize,
+    /// Machines by their health; none on a node that does not lead and can't tell.
+    worker_health: BTreeMap<HealthState, usize>,
+    machines: BTreeMap<String, MachineStatus>,
+    jobs: BTreeMap<String, JobStatus>,
+}
+
+/// The status of this node.
+pub(super) fn node_status(shared: &Shared) -> Status {
+    let now = Instant::now();
+    let role = shared.election.lock().role(now);
+    let leading = matches!(role, Role::Leader(_));
+    let me = shared.settings.member.clone();
+    let (leader, term) = match role {
+        Role::Leader(leadership) => (Some(me.clone()), Some(leadership.term.0)),
+        Role::KeepAlive(_) => (None, None),
+        Role::Follower(leader) => (leader.map(|leader| leader.member), None),
+    };
+    let mut status = Status {
+        member: me,
+        leading,
+        leader,
+        term,
+        records_revision: shared.replica.lock().revision,
+        state_service_answers: shared.links.contact().failing_since.is_none(),
+        unsettled_machines: 0,
+        worker_health: BTreeMap::new(),
+        machines: BTreeMap::new(),
+        jobs: BTreeMap::new(),
+    };
+    let guard = shared.cluster.lock();
+    let Some(cluster) = guard.as_ref() else {
+        return status;
+    };
+    status.unsettled_machines = cluster.unreconciled.len();
+    let judge = cluster.health_judge(now);
+    for (id, machine) in &cluster.machines {
+        let shown = MachineStatus::of(cluster, machine, &judge);
+        *status.worker_health.entry(shown.health.state).or_default() += 1;
+        status.machines.insert(id.to_string(), shown);
+    }
+    for (id, job) in &cluster.jobs {
+        status.jobs.insert(id.to_string(), JobStatus::of(job, now));
+    }
+    status
+}
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -1,5 +1,5 @@
-//! What users, workers, the load balancer and operators reach. Handlers decode, ask the
-//! parts that decide, and encode.
+//! What users, workers, the load balancer and operators reach. Handlers decode, call the
+//! modules that decide, and encode.
 
 pub mod admin;
 pub mod links;
@@ -34,7 +34,7 @@
     cbor(status, &Problem { error })
 }
 
-/// A refusal for the time being: said at once, with the time to come back.
+/// A temporary refusal, with the time after which the request may be repeated.
 pub fn later(status: StatusCode, error: &str) -> HttpResponse {
     let mut answer = problem(status, error);
     answer
@@ -44,13 +44,13 @@
 }
 
 /// Closes a user's connection after its answer when connections run short.
-async fn make_room(
+async fn close_when_scarce(
     request: ServiceRequest,
     next: Next<impl MessageBody>,
 ) -> Result<ServiceResponse<impl MessageBody>, actix_web::Error> {
     let shared = request.app_data::<web::Data<Shared>>().cloned();
     let mut answer = next.call(request).await?;
-    if shared.is_some_and(|shared| shared.open() > shared.sockets.users_close) {
+    if shared.is_some_and(|shared| shared.connections.open() > shared.sockets.users_close) {
         let head = answer.response_mut().head_mut();
         head.set_connection_type(ConnectionType::Close);
     }
@@ -61,13 +61,13 @@
 pub fn public(config: &mut web::ServiceConfig) {
     config
         .app_data(web::PayloadConfig::new(wire::BODY_LIMIT))
-        .route("/hello", web::post().to(workers::hello))
-        .route("/up", web::get().to(users::up))
+        .route("/hello", web::post().to(workers::heartbeat))
+        .route("/up", web::get().to(users::health))
         .service(
             web::scope("/api/jobs")
-                .wrap(from_fn(make_room))
+                .wrap(from_fn(close_when_scarce))
                 .route("", web::post().to(users::submit))
                 .route("/{id}", web::get().to(users::poll))
-                .route("/{id}/abort", web::post().to(users::abort)),
+                .route("/{id}/abort", web::post().to(users::cancel)),
         );
 }
--- a/src/api/workers.rs
+++ b/src/api/workers.rs
@@ -1,6 +1,5 @@
-//! Reports of workers.
+//! Heartbeats of the agents on machines.
 
-use std::sync::atomic::Ordering;
 use std::time::Instant;
 
 use actix_web::http::{ConnectionType, StatusCode};
@@ -8,27 +7,27 @@
 
 use super::{cbor, problem};
 use crate::forwarding::messages::ForwardedAnswer;
-use crate::forwarding::{PendingHeartbeat, QueueFull, Route, ANSWER_LIMIT};
+use crate::forwarding::{ForwardingRoute, PendingHeartbeat, QueueFull, ANSWER_LIMIT};
 use crate::leader::{LeaderHint, Role};
 use crate::model::FencingToken;
 use crate::service::heartbeats::{decide, HeartbeatDecision};
 use crate::service::{OpenConnection, Shared};
 use crate::wire::{self, Heartbeat, Redirect};
 
-/// What becomes of a report.
+/// How a heartbeat is answered.
 #[derive(Debug)]
-pub enum Reception {
-    /// This node answers it.
+pub enum HeartbeatOutcome {
+    /// By this node.
     Answered(HttpResponse),
-    /// It was queued for the leader.
-    Forwarded(PendingHeartbeat),
+    /// By the leader, for which it was queued.
+    Queued(PendingHeartbeat),
 }
 
 /// `POST /hello`
 ///
-/// Connections are closed after the answer where they run short, and wherever the worker is
-/// sent elsewhere: it would not come back to this one.
-pub async fn hello(
+/// The connection is closed after the response where connections are scarce, and where the agent has to
+/// go elsewhere: it would not use this one again.
+pub async fn heartbeat(
     shared: web::Data<Shared>,
     request: HttpRequest,
     body: Result<web::Bytes, actix_web::Error>,
@@ -37,147 +36,174 @@
         .conn_data::<OpenConnection>()
         .is_some_and(OpenConnection::first_request);
     let mut answer = match receive(&shared, body, &Instant::now) {
-        Reception::Answered(answer) => answer,
-        Reception::Forwarded(pending) => await_leader(&shared, pending).await,
+        HeartbeatOutcome::Answered(answer) => answer,
+        HeartbeatOutcome::Queued(pending) => await_leader(&shared, pending).await,
     };
     let status = answer.status().as_u16();
     shared.metrics.lock().heartbeats.answered(first, status);
     let stays = answer.status() == StatusCode::OK;
     if !stays {
-        shared.misdirected.fetch_add(1, Ordering::Relaxed);
+        shared.forwarding.count_misdirected();
     }
-    if !stays || shared.open() > shared.sockets.heartbeats_close {
+    if !stays || shared.connections.open() > shared.sockets.heartbeats_close {
         let head = answer.head_mut();
         head.set_connection_type(ConnectionType::Close);
     }
     answer
 }
 
-/// Answers a report, or queues it for the leader. `clock` is read again right before an answer is
-/// given: the process may have stood still since the first look.
+/// Answers a heartbeat, or queues it for the leader. `clock` is read again right before the response:
+/// the process may have been paused since the first reading.
 pub fn receive(
     shared: &Shared,
     body: Result<web::Bytes, actix_web::Error>,
     clock: &dyn Fn() -> Instant,
-) -> Reception {
+) -> HeartbeatOutcome {
     let Ok(body) = body else {
         let answer = problem(StatusCode::BAD_REQUEST, "body too large or cut off");
-        return Reception::Answered(answer);
+        return HeartbeatOutcome::Answered(answer);
     };
     let role = shared.election.lock().role(clock());
     let term = match role {
         Role::Leader(leadership) => leadership.term,
         Role::KeepAlive(term) => term,
         Role::Follower(Some(leader)) => return to_leader(shared, &leader, &body, clock()),
-        Role::Follower(None) => return Reception::Answered(unavailable("nobody leads")),
+        Role::Follower(None) => {
+            return HeartbeatOutcome::Answered(unavailable(Unavailable::NoLeader))
+        }
     };
     let heartbeat: Heartbeat = match wire::decode(&body) {
         Ok(heartbeat) => heartbeat,
-        Err(error) => return Reception::Answered(malformed(&error)),
+        Err(error) => return HeartbeatOutcome::Answered(malformed(&error)),
     };
     shared.links.worker_reported(&heartbeat, clock());
-    Reception::Answered(match decide(shared, &heartbeat, term, clock) {
+    HeartbeatOutcome::Answered(match decide(shared, &heartbeat, term, clock) {
         HeartbeatDecision::Accepted(answer) => {
             shared.links.worker_answered(&heartbeat.machine);
             cbor(StatusCode::OK, &answer)
         }
-        HeartbeatDecision::Unavailable(why) => unavailable(why),
+        HeartbeatDecision::NotLeading => unavailable(Unavailable::LeadershipChanging),
     })
 }
 
-fn unavailable(why: &str) -> HttpResponse {
-    problem(StatusCode::SERVICE_UNAVAILABLE, why)
+/// Why a heartbeat is answered with 503.
+#[derive(Debug, Clone, Copy)]
+enum Unavailable {
+    NoLeader,
+    LeadershipChanging,
+    LeaderUnreachable,
+    NewerLeaderKnown,
+    QueueFull,
+    RedirectLimit,
+    ResponseUnusable,
+    NoResponse,
+}
+
+impl Unavailable {
+    /// The text of the response; it is part of the interface.
+    fn text(self) -> &'static str {
+        match self {
+            Self::NoLeader => "nobody leads",
+            Self::LeadershipChanging => "the lead is passing on",
+            Self::LeaderUnreachable => "the leader is out of this node's reach",
+            Self::NewerLeaderKnown => "the worker knows a newer leader",
+            Self::QueueFull => "too many reports wait for the leader",
+            Self::RedirectLimit => "too many go to the leader",
+            Self::ResponseUnusable => "the leader's answer is of no use to the worker",
+            Self::NoResponse => "the leader did not answer",
+        }
+    }
+}
+
+fn unavailable(reason: Unavailable) -> HttpResponse {
+    problem(StatusCode::SERVICE_UNAVAILABLE, reason.text())
 }
 
 fn malformed(error: &wire::WireError) -> HttpResponse {
     problem(StatusCode::BAD_REQUEST, error.to_string())
 }
 
-/// Queues a report for the leader, or says at once why not.
-fn to_leader(shared: &Shared, leader: &LeaderHint, body: &[u8], now: Instant) -> Reception {
+/// Queues a heartbeat for the leader, or answers at once.
+fn to_leader(shared: &Shared, leader: &LeaderHint, body: &[u8], now: Instant) -> HeartbeatOutcome {
     let route = match shared.settings.peer_address(&leader.member) {
         Some(_) => shared.forwarding.lock().route(leader, now),
-        None => Route::Redirect,
+        None => ForwardingRoute::Redirect,
     };
     match route {
-        Route::Forward => {}
-        Route::Redirect => return Reception::Answered(redirect(shared, leader, now)),
-        Route::Refuse => {
-            let answer = unavailable("the leader is out of this node's reach");
-            return Reception::Answered(answer);
+        ForwardingRoute::Forward => {}
+        ForwardingRoute::Redirect => {
+            return HeartbeatOutcome::Answered(redirect(shared, leader, now))
+        }
+        ForwardingRoute::Reject => {
+            let answer = unavailable(Unavailable::LeaderUnreachable);
+            return HeartbeatOutcome::Answered(answer);
         }
     }
     let heartbeat: Heartbeat = match wire::decode(body) {
         Ok(heartbeat) => heartbeat,
-        Err(error) => return Reception::Answered(malformed(&error)),
+        Err(error) => return HeartbeatOutcome::Answered(malformed(&error)),
     };
     if FencingToken(heartbeat.token).term() > leader.term {
-        let answer = unavailable("the worker knows a newer leader");
-        return Reception::Answered(answer);
+        let answer = unavailable(Unavailable::NewerLeaderKnown);
+        return HeartbeatOutcome::Answered(answer);
     }
     shared.links.worker_reported(&heartbeat, now);
     let queued = shared.forwarding.lock().enqueue(heartbeat, body.len(), now);
     match queued {
         Ok(pending) => {
-            shared.wake_forwarding.notify_one();
-            Reception::Forwarded(pending)
+            shared.wake_ups.forwarding.notify_one();
+            HeartbeatOutcome::Queued(pending)
         }
-        Err(QueueFull) => Reception::Answered(unavailable("too many reports wait for the leader")),
+        Err(QueueFull) => HeartbeatOutcome::Answered(unavailable(Unavailable::QueueFull)),
     }
 }
 
-/// Names the leader to a worker, unless more go there than it can take in.
+/// Redirects an agent to the leader, unless the rate limit of redirects is reached.
 fn redirect(shared: &Shared, leader: &LeaderHint, now: Instant) -> HttpResponse {
-    if !may_redirect(shared, now) {
-        return unavailable("too many go to the leader");
+    if !shared.forwarding.try_redirect(now) {
+        return unavailable(Unavailable::RedirectLimit);
     }
     let report_to = Some(leader.member.clone());
     cbor(StatusCode::MISDIRECTED_REQUEST, &Redirect { report_to })
 }
 
-/// Whether another worker may be sent to the leader now.
-fn may_redirect(shared: &Shared, now: Instant) -> bool {
-    let mut redirects = shared.redirects.lock();
-    let may = redirects.level(now) >= 1.0;
-    if may {
-        redirects.take(1.0, now);
-    }
-    may
-}
-
 async fn await_leader(shared: &Shared, mut pending: PendingHeartbeat) -> HttpResponse {
     let answer = actix::clock::timeout(ANSWER_LIMIT, &mut pending.answer).await;
     let answer = answer.ok().and_then(Result::ok);
     let now = Instant::now();
     match answer {
         Some(answer) => {
-            let passed_on = pass_on(&pending, answer, now);
-            if passed_on.status() == StatusCode::OK {
+            let relayed = relay_response(&pending, answer, now);
+            if relayed.status() == StatusCode::OK {
                 shared.links.worker_answered(&pending.machine);
             }
-            passed_on
+            relayed
         }
-        None => no_answer(shared, now),
+        None => upstream_unavailable(shared, now),
     }
 }
 
-/// Passes the leader's answer on, or tells the worker to try another node.
-pub fn pass_on(pending: &PendingHeartbeat, answer: ForwardedAnswer, now: Instant) -> HttpResponse {
-    match pending.passed_on(answer, now) {
+/// Relays the leader's response, or answers with an error so that the agent tries another node.
+pub fn relay_response(
+    pending: &PendingHeartbeat,
+    answer: ForwardedAnswer,
+    now: Instant,
+) -> HttpResponse {
+    match pending.relayed_response(answer, now) {
         Some(answer) => cbor(StatusCode::OK, &answer),
-        None => unavailable("the leader's answer is of no use to the worker"),
+        None => unavailable(Unavailable::ResponseUnusable),
     }
 }
 
-/// The answer to a worker whose report the leader did not answer: where the nodes can't reach
-/// each other, the worker may reach the leader.
-pub fn no_answer(shared: &Shared, now: Instant) -> HttpResponse {
+/// The response where the leader did not answer: where the nodes can't reach each other, the agent may
+/// still reach the leader.
+pub fn upstream_unavailable(shared: &Shared, now: Instant) -> HttpResponse {
     let role = shared.election.lock().role(now);
     if let Role::Follower(Some(leader)) = role {
         let route = shared.forwarding.lock().route(&leader, now);
-        if route == Route::Redirect {
+        if route == ForwardingRoute::Redirect {
             return redirect(shared, &leader, now);
         }
     }
-    unavailable("the leader did not answer")
+    unavailable(Unavailable::NoResponse)
 }
--- a/src/cluster/commands.rs
+++ b/src/cluster/commands.rs
@@ -6,7 +6,7 @@
 use super::{Cluster, InstanceId, InstancePhase, Job, Machine, TaskInstance, WorkerTiming};
 use crate::model::{FencingToken, JobId, MachineId};
 use crate::rate_limit::TokenBucket;
-use crate::state_summary::{Counts, MachineHint, SummaryContents};
+use crate::state_summary::{Counts, MachineSummary, SummaryContents};
 use crate::wire::{DirectCommand, WorkerCommand};
 
 /// A stop is repeated in reports' answers; straight to the machine only after this long.
@@ -194,7 +194,7 @@
                 continue;
             };
             let images = machine.images.iter();
-            let hint = MachineHint {
+            let hint = MachineSummary {
                 address: machine.address.clone(),
                 epoch: machine.newest.0,
                 images: images
--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -36,7 +36,7 @@
 use self::sent::SentLists;
 use crate::config::Settings;
 use crate::model::{Attempt, JobId, MachineId, MachineType, Resources, TaskId, Term};
-use crate::state_summary::{MachineHint, SummaryCache};
+use crate::state_summary::{MachineSummary, SummaryCache};
 use crate::store::replica::Replica;
 use crate::timing::WorkerTiming;
 
@@ -87,7 +87,7 @@
     /// Machines whose images changed and jobs whose counts may have, since the others were
     /// last told.
     changed: Changed,
-    hints: HashMap<MachineId, MachineHint>,
+    hints: HashMap<MachineId, MachineSummary>,
     /// Run times over estimates of the last tasks anywhere: what the owners' errors and the
     /// day's mood amount to.
     slowdowns: VecDeque<f64>,
--- a/src/config.rs
+++ b/src/config.rs
@@ -49,12 +49,12 @@
     pub peer_addr: SocketAddrV4,
 }
 
-/// The systems outside.
+/// The external systems.
 #[derive(Debug, Clone, Deserialize)]
 pub struct External {
     /// The cloud's interface.
     pub cloud: SocketAddrV4,
-    /// The state service.
+    /// The key-value store.
     pub state: SocketAddrV4,
 }
 
@@ -77,12 +77,12 @@
     pub gpus_max: f64,
 }
 
-/// One of the operators' aims on starting and finishing.
+/// A service-level objective.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Objective {
-    /// `wait`, `finished`, `deadline` or `guarantee`; others are none of our business.
+    /// `wait`, `finished`, `deadline` or `guarantee`; others are ignored.
     pub kind: String,
-    /// The class of jobs it speaks of.
+    /// The job class that it applies to.
     #[serde(default)]
     pub class: String,
     /// The time allowed, where the kind has one.
@@ -94,19 +94,19 @@
 /// The workers' timing.
 #[derive(Debug, Clone, Deserialize)]
 pub struct WorkerSettings {
-    /// Time between two reports.
+    /// The heartbeat interval.
     pub report_s: f64,
-    /// A worker without an answered report for that long kills all.
+    /// The worker lease: an agent without an answered heartbeat for that long kills all tasks.
     pub lease_s: f64,
-    /// How long a gang's member waits for the others.
+    /// The gang barrier timeout.
     pub gang_wait_s: f64,
-    /// How soon members notice a missing one.
+    /// How soon the members of a gang detect a lost one.
     pub gang_peer_s: f64,
-    /// A cancelled job's tasks must be gone after that.
+    /// The cancellation deadline: the tasks of a cancelled job must have terminated by then.
     pub cancel_s: f64,
 }
 
-/// Limits of the state service.
+/// Limits of the key-value store.
 #[derive(Debug, Clone, Deserialize)]
 pub struct StateSettings {
     /// Requests a second, all nodes together.
@@ -128,7 +128,7 @@
     pub list_lag_s: f64,
 }
 
-/// What this process may use.
+/// The resources of this process.
 #[derive(Debug, Clone, Deserialize)]
 pub struct ProcessResources {
     /// Share of one core.
@@ -153,12 +153,12 @@
     /// The teams.
     #[serde(default)]
     pub teams: Vec<TeamSettings>,
-    /// The aims.
+    /// The service-level objectives.
     #[serde(default)]
     pub objectives: Vec<Objective>,
     /// Workers' timing.
     pub workers: WorkerSettings,
-    /// The state service's limits.
+    /// Limits of the key-value store.
     pub state: StateSettings,
     /// The cloud's limits.
     pub cloud: CloudSettings,
@@ -181,7 +181,7 @@
     /// The other controllers.
     #[serde(default)]
     pub known: Vec<Peer>,
-    /// The systems outside.
+    /// The external systems.
     pub external: External,
     /// The deployment.
     pub params: Params,
--- a/src/features.rs
+++ b/src/features.rs
@@ -16,7 +16,7 @@
     Unreadable {
         /// The path as it was given.
         path: String,
-        /// What the system said.
+        /// The error of the operating system.
         source: std::io::Error,
     },
     /// Not TOML.
@@ -37,7 +37,7 @@
         /// Names that are known there.
         allowed: String,
     },
-    /// A field whose value makes no sense.
+    /// A field whose value is out of range.
     #[error("features file {path}: field `{field}` is {value}; allowed is {allowed}")]
     WrongValue {
         /// The path as it was given.
@@ -54,22 +54,22 @@
 /// What is turned on.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Features {
-    /// Judgement of links, if it is on.
+    /// The judgement of links, if it is turned on.
     pub links: Option<LinkFeatures>,
 }
 
-/// How links are judged and what hangs on it; see docs/links.md.
+/// How links are judged and what depends on it; see docs/links.md.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LinkFeatures {
-    /// Whether a leader that can't read or write places nothing new.
+    /// Whether a leader that can't read or write suspends placements.
     pub placement_gate: bool,
     /// Whether links that flap count as down.
     pub damping: bool,
-    /// Whether the connectivity matrix decides on hand-overs.
+    /// Whether the connectivity matrix decides on handovers.
     pub leadership: bool,
-    /// SuspectedJob from which on a link is down.
+    /// Suspicion level (phi) from which on a link is down.
     pub detector_phi: f64,
-    /// Hand-overs of one controller within the window of the timing.
+    /// Handovers of one controller within the window of the timing.
     pub handovers_max: usize,
 }
 
--- a/src/forwarding/messages.rs
+++ b/src/forwarding/messages.rs
@@ -1,4 +1,4 @@
-//! Messages by which a follower forwards workers' reports to the leader.
+//! Messages by which a follower forwards heartbeats to the leader.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,10 +7,11 @@
 
 /// Version of [`HeartbeatBatch`] and [`BatchAnswer`].
 pub const BATCH_VERSION: u16 = 1;
-/// Largest body of a batch that is taken. Senders keep well below it, see
-/// [`super::forwarding::BATCH_BYTES_MAX`].
+/// Largest body of a batch that is accepted. Senders stay well below it, see
+/// [`crate::forwarding::BATCH_BYTES_MAX`].
 pub const BATCH_BODY_LIMIT: usize = 1024 * 1024;
-/// Reports that arrived at a follower at about the same time.
+
+/// Heartbeats that arrived at a follower at about the same time.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HeartbeatBatch {
     /// [`BATCH_VERSION`]; first, so that it can be read whatever follows.
@@ -21,11 +22,11 @@
     pub term: Term,
     /// Time of day at the sending, in milliseconds since 1970.
     pub sent_at_ms: u64,
-    /// The reports.
+    /// The heartbeats.
     pub heartbeats: Vec<ForwardedHeartbeat>,
 }
 
-/// A worker's report between nodes. [`Heartbeat`] itself takes numbers of any kind, which `bincode`
+/// A heartbeat between nodes. [`Heartbeat`] itself takes numbers of any kind, which `bincode`
 /// cannot express.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ForwardedHeartbeat {
@@ -86,14 +87,14 @@
     pub attempt: u64,
 }
 
-/// What a [`ForwardedCommand`] wants.
+/// The action of a [`ForwardedCommand`].
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub enum ForwardedAction {
     /// Start the task.
     Run,
     /// Stop it.
     Kill {
-        /// Time to save.
+        /// The grace period for its last checkpoint.
         grace_s: f64,
     },
     /// Forget it.
@@ -134,17 +135,17 @@
     }
 }
 
-/// The leader's decision on one report.
+/// The leader's decision on one heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum ForwardedAnswer {
-    /// The worker gets 200 with this token and these orders.
+    /// The agent gets 200 with this token and these commands.
     Accepted {
-        /// The token.
+        /// The fencing token.
         token: u64,
-        /// The orders.
+        /// The commands.
         commands: Vec<ForwardedCommand>,
     },
-    /// The worker gets 503.
+    /// The agent gets 503.
     Unavailable,
 }
 
@@ -161,7 +162,7 @@
     }
 }
 
-/// The leader's decisions, in the order of the reports.
+/// The leader's decisions, in the order of the heartbeats.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct BatchAnswer {
     /// [`BATCH_VERSION`].
--- a/src/forwarding/mod.rs
+++ b/src/forwarding/mod.rs
@@ -1,9 +1,9 @@
-//! The follower's side of forwarded reports: a bounded queue, and what is known of the path to the
+//! The follower's side of forwarded heartbeats: a bounded queue, and the state of the path to the
 //! leader.
 //!
-//! Pure state. The handler of reports queues into it, [`crate::actors::forward`] takes batches out
-//! of it and sends them. A follower decides nothing about a report: it passes an answer on, once,
-//! to the connection on which the report came, and only while the worker can still be waiting.
+//! Pure state. The handler of heartbeats enqueues, [`crate::actors::forward`] takes batches and sends
+//! them. A follower decides nothing about a heartbeat: it relays a response, once, to the connection
+//! on which the heartbeat arrived, and only while the agent can still be waiting.
 
 pub mod messages;
 
@@ -18,26 +18,26 @@
 use crate::model::FencingToken;
 use crate::wire::{Heartbeat, HeartbeatResponse, BODY_LIMIT};
 
-/// A worker drops an answer 4 s after it sent the report. Nothing is passed on later than this
-/// after the report came in: the rest is for its way here and back.
+/// An agent drops a response 4 s after it sent the heartbeat. No response is relayed later than this
+/// after the heartbeat arrived: the rest is for its way here and back.
 pub const ANSWER_LIMIT: Duration = Duration::from_millis(3500);
-/// Time for the leader's answer to a batch.
+/// Time for the leader's response to a batch.
 pub const BATCH_LIMIT: Duration = Duration::from_millis(2500);
-/// Batches under way at once: one that is answered late holds up only the next but one.
+/// Batches in flight at once: one that is answered late delays only the next but one.
 pub const BATCHES_IN_FLIGHT: usize = 2;
-/// Reports in a batch.
+/// Heartbeats in a batch.
 pub const BATCH_HEARTBEATS_MAX: usize = 128;
-/// Bytes of the workers' bodies in a batch. The largest single body always fits.
+/// Bytes of the agents' bodies in a batch. The largest single body always fits.
 pub const BATCH_BYTES_MAX: usize = 4 * BODY_LIMIT;
-/// Part of the memory that the bodies of waiting reports may take.
+/// Part of the memory for the bodies of queued heartbeats.
 const QUEUE_MEMORY_PART: f64 = 1.0 / 64.0;
-/// Least number of bytes that may wait.
+/// The queue may always hold this many bytes.
 const QUEUED_BYTES_MIN: usize = 16 * BODY_LIMIT;
 
-/// What may wait for a batch at once. Beyond it a worker is told at once to try the next node.
+/// Limits of the queue. Beyond them an agent is rejected at once, and tries the next node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QueueLimits {
-    /// Reports: each worker has one under way, on a public connection of its own.
+    /// Heartbeats: each agent has one in flight, on a public connection of its own.
     pub heartbeats: usize,
     /// Bytes of their bodies.
     pub bytes: usize,
@@ -54,79 +54,79 @@
     }
 }
 
-/// Processor time that a batch costs the leader besides its reports.
+/// Processor time that a batch costs the leader besides its heartbeats.
 const BATCH_CPU_S: f64 = 0.0002;
 /// Part of the leader's processor for that.
 const BATCH_CPU_PART: f64 = 0.1;
-/// Bounds on the time for which reports gather. It adds to the time until a start reaches its
+/// Bounds on the delay for which heartbeats are batched. It adds to the time until a start reaches its
 /// machine.
-const GATHER_MIN: Duration = Duration::from_millis(10);
-const GATHER_MAX: Duration = Duration::from_millis(250);
+const BATCH_DELAY_MIN: Duration = Duration::from_millis(10);
+const BATCH_DELAY_MAX: Duration = Duration::from_millis(250);
 
-/// How long a path on which a batch got no answer counts as silent.
-const SILENT_FOR: Duration = Duration::from_secs(1);
-/// How long a leader that refuses our connections, or a batch, is not asked again.
+/// How long a path counts as unresponsive after a batch without response.
+const UNRESPONSIVE_FOR: Duration = Duration::from_secs(1);
+/// Backoff after a leader refused a connection or a batch.
 const REFUSED_FOR: Duration = Duration::from_secs(2);
-/// How long a leader that does not know forwarded reports is not asked again.
+/// Backoff after a leader did not know forwarded heartbeats.
 const UNSUPPORTED_FOR: Duration = Duration::from_secs(30);
 
-/// How long reports gather before they are sent together: the batches of all followers are to cost
-/// the leader a small part of its processor.
-pub fn gather_time(settings: &Settings) -> Duration {
+/// How long heartbeats are collected into a batch: the batches of all followers are to cost the leader
+/// a small part of its processor.
+pub fn batch_delay(settings: &Settings) -> Duration {
     let followers = settings.params.count.saturating_sub(1).max(1);
     let cores = settings.params.resources.cores;
     let between_s = followers as f64 * BATCH_CPU_S / (cores * BATCH_CPU_PART);
-    let between = Duration::try_from_secs_f64(between_s).unwrap_or(GATHER_MAX);
-    between.clamp(GATHER_MIN, GATHER_MAX)
+    let between = Duration::try_from_secs_f64(between_s).unwrap_or(BATCH_DELAY_MAX);
+    between.clamp(BATCH_DELAY_MIN, BATCH_DELAY_MAX)
 }
 
-/// Why reports can't be forwarded to a leader just now.
+/// Why heartbeats can't be forwarded to a leader at present.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum PathFailure {
-    /// A batch got no answer in time.
-    Silent,
-    /// The leader's node takes no connection from us.
+pub enum UpstreamFailure {
+    /// A batch got no response in time.
+    Unresponsive,
+    /// The leader's node refuses connections.
     ConnectionRefused,
-    /// It does not lead the term that we believe in.
+    /// It does not lead the term that this node knows.
     NotLeading,
-    /// It does not know forwarded reports, or not our version of them.
+    /// It does not know forwarded heartbeats, or not this version of them.
     Unsupported,
 }
 
-impl PathFailure {
-    fn lasts(self) -> Duration {
+impl UpstreamFailure {
+    fn backoff(self) -> Duration {
         match self {
-            Self::Silent => SILENT_FOR,
+            Self::Unresponsive => UNRESPONSIVE_FOR,
             Self::ConnectionRefused | Self::NotLeading => REFUSED_FOR,
             Self::Unsupported => UNSUPPORTED_FOR,
         }
     }
 
-    /// Whether workers may get through where we don't.
+    /// Whether agents may reach the leader although this node does not.
     fn allows_redirect(self) -> bool {
         matches!(self, Self::ConnectionRefused | Self::Unsupported)
     }
 }
 
-/// What to do with a report that came to a follower.
+/// What to do with a heartbeat that arrived at a follower.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Route {
+pub enum ForwardingRoute {
     /// Queue it for the leader.
     Forward,
-    /// Name the leader to the worker.
+    /// Redirect the agent to the leader.
     Redirect,
-    /// Tell the worker to try another node.
-    Refuse,
+    /// Answer with an error, so that the agent tries another node.
+    Reject,
 }
 
 /// The queue is full.
 #[derive(Debug, PartialEq, Eq)]
 pub struct QueueFull;
 
-/// A report that waits for a batch or for its answer.
+/// A heartbeat that waits for a batch or for its response.
 #[derive(Debug)]
 pub struct QueuedHeartbeat {
-    /// The report.
+    /// The heartbeat.
     pub heartbeat: ForwardedHeartbeat,
     body_bytes: usize,
     received: Instant,
@@ -135,50 +135,62 @@
 }
 
 impl QueuedHeartbeat {
-    /// Hands the leader's answer to the worker's connection. If that is gone, nobody gets it.
+    /// Hands the leader's response to the agent's connection, if it is still open.
     pub fn answer(self, answer: ForwardedAnswer) {
         let _ = self.answer.send(answer);
     }
 
-    /// Whether the worker is still waiting, and would obey the leader of this term.
-    fn wanted(&self, leader: &LeaderHint, now: Instant) -> bool {
+    /// Whether the agent is still waiting, and accepts commands of this term.
+    fn is_deliverable(&self, leader: &LeaderHint, now: Instant) -> bool {
         let waited = now.saturating_duration_since(self.received);
         !self.answer.is_closed() && waited < ANSWER_LIMIT && self.token.term() <= leader.term
     }
 }
 
-/// The worker's connection, waiting for what the leader decides.
+/// The agent's connection, waiting for the leader's decision.
 #[derive(Debug)]
 pub struct PendingHeartbeat {
-    /// The worker.
+    /// The machine.
     pub machine: String,
-    /// When the report came.
+    /// When the heartbeat arrived.
     pub received: Instant,
-    /// The highest token that the worker had seen.
+    /// The highest fencing token that the agent had seen.
     token: u64,
-    /// Resolves to the leader's answer, or fails if there will be none.
+    /// Resolves to the leader's response, or fails if there will be none.
     pub answer: oneshot::Receiver<ForwardedAnswer>,
 }
 
 impl PendingHeartbeat {
-    /// The 200 to pass on, if it is one that the worker takes: in time, and under a token no
-    /// lower than the highest that it has seen.
-    pub fn passed_on(&self, answer: ForwardedAnswer, now: Instant) -> Option<HeartbeatResponse> {
+    /// The response to relay, if the agent accepts it: in time, and under a fencing token no lower than
+    /// the highest that it has seen.
+    pub fn relayed_response(
+        &self,
+        answer: ForwardedAnswer,
+        now: Instant,
+    ) -> Option<HeartbeatResponse> {
         let in_time = now.saturating_duration_since(self.received) < ANSWER_LIMIT;
         let answer = answer.accepted().filter(|_| in_time)?;
         (answer.token >= self.token).then_some(answer)
     }
 }
 
-/// Reports on their way to the leader.
+/// A path that failed: to which leader, how, and when.
+#[derive(Debug)]
+struct FailedPath {
+    leader: LeaderHint,
+    failure: UpstreamFailure,
+    at: Instant,
+}
+
+/// Heartbeats on their way to the leader.
 #[derive(Debug)]
 pub struct Forwarding {
     limits: QueueLimits,
     queue: VecDeque<QueuedHeartbeat>,
     queued_bytes: usize,
     in_flight: usize,
-    /// The leader whose path failed last, how, and when.
-    failure: Option<(LeaderHint, PathFailure, Instant)>,
+    /// The last failure on the path to a leader.
+    failure: Option<FailedPath>,
 }
 
 impl Forwarding {
@@ -193,27 +205,27 @@
         }
     }
 
-    /// What to do with a report for this leader. After a failure one batch tries the path again;
-    /// until it is answered no further report waits for it.
-    pub fn route(&self, leader: &LeaderHint, now: Instant) -> Route {
-        let Some((failed, failure, at)) = &self.failure else {
-            return Route::Forward;
+    /// What to do with a heartbeat for this leader. After a failure one batch tries the path again; until
+    /// it is answered no further heartbeat is queued.
+    pub fn route(&self, leader: &LeaderHint, now: Instant) -> ForwardingRoute {
+        let Some(failed) = &self.failure else {
+            return ForwardingRoute::Forward;
         };
-        if failed != leader {
-            return Route::Forward;
+        if failed.leader != *leader {
+            return ForwardingRoute::Forward;
         }
-        let over = now.saturating_duration_since(*at) >= failure.lasts();
+        let over = now.saturating_duration_since(failed.at) >= failed.failure.backoff();
         if over && self.in_flight == 0 {
-            return Route::Forward;
+            return ForwardingRoute::Forward;
         }
-        if failure.allows_redirect() {
-            Route::Redirect
+        if failed.failure.allows_redirect() {
+            ForwardingRoute::Redirect
         } else {
-            Route::Refuse
+            ForwardingRoute::Reject
         }
     }
 
-    /// Queues a report whose body had so many bytes.
+    /// Queues a heartbeat whose body had so many bytes.
     pub fn enqueue(
         &mut self,
         heartbeat: Heartbeat,
@@ -244,8 +256,8 @@
         })
     }
 
-    /// The next batch for this leader, counted as under way; reports that nobody waits for any
-    /// more are left out. `None` if there is nothing to send, or enough under way.
+    /// The next batch for this leader, counted as in flight; heartbeats whose agents no longer wait are
+    /// left out. `None` if there is nothing to send, or enough is in flight.
     pub fn next_batch(
         &mut self,
         leader: &LeaderHint,
@@ -264,7 +276,7 @@
             let Some(queued) = self.pop() else {
                 break;
             };
-            if queued.wanted(leader, now) {
+            if queued.is_deliverable(leader, now) {
                 bytes += queued.body_bytes;
                 batch.push(queued);
             }
@@ -282,14 +294,14 @@
         Some(queued)
     }
 
-    /// Whether reports wait for a batch.
+    /// Whether heartbeats wait for a batch.
     pub fn has_queued(&self) -> bool {
         !self.queue.is_empty()
     }
 
-    /// Gives up all that waits for a batch, as there is nobody to send it to. Its workers are told
-    /// to try another node.
-    pub fn give_up_queued(&mut self) {
+    /// Drops all that waits for a batch, as there is no leader to send it to. The agents get an error and
+    /// try another node.
+    pub fn drop_queued(&mut self) {
         self.queue.clear();
         self.queued_bytes = 0;
     }
@@ -297,17 +309,25 @@
     /// A batch to this leader was answered.
     pub fn succeeded(&mut self, leader: &LeaderHint) {
         self.in_flight = self.in_flight.saturating_sub(1);
-        if self.failure.as_ref().is_some_and(|(l, ..)| l == leader) {
+        if self
+            .failure
+            .as_ref()
+            .is_some_and(|failed| failed.leader == *leader)
+        {
             self.failure = None;
         }
     }
 
-    /// A batch to this leader was not answered. It is not repeated, since it may have been taken;
-    /// what waits behind it is given up as well.
-    pub fn failed(&mut self, leader: &LeaderHint, failure: PathFailure, now: Instant) {
+    /// A batch to this leader was not answered. It is not repeated, since it may have been accepted; what
+    /// waits behind it is dropped as well.
+    pub fn failed(&mut self, leader: &LeaderHint, failure: UpstreamFailure, now: Instant) {
         self.in_flight = self.in_flight.saturating_sub(1);
-        self.failure = Some((leader.clone(), failure, now));
-        self.give_up_queued();
+        self.failure = Some(FailedPath {
+            leader: leader.clone(),
+            failure,
+            at: now,
+        });
+        self.drop_queued();
     }
 }
 
--- a/src/forwarding/tests.rs
+++ b/src/forwarding/tests.rs
@@ -65,19 +65,19 @@
         self.forwarding.next_batch(&leader(term), now)
     }
 
-    fn fail(&mut self, failure: PathFailure, ms: u64) {
+    fn fail(&mut self, failure: UpstreamFailure, ms: u64) {
         let now = self.at(ms);
         self.forwarding.failed(&leader(3), failure, now);
     }
 
-    fn route(&self, term: u64, ms: u64) -> Route {
+    fn route(&self, term: u64, ms: u64) -> ForwardingRoute {
         self.forwarding.route(&leader(term), self.at(ms))
     }
 }
 
 /// Reports that arrive while batches are under way wait and go together: batches widen.
 #[test]
-fn batches_widen_while_two_are_under_way() {
+fn batches_grow_while_two_are_in_flight() {
     let mut follower = Follower::new();
     let mut pending = Vec::new();
     for (sequence, expected) in [(1, true), (2, true), (3, false), (4, false)] {
@@ -127,7 +127,7 @@
     let mut first = follower.queue(1, 0);
     let batch = follower.batch(3, 0).unwrap();
     let mut second = follower.queue(2, 100);
-    follower.fail(PathFailure::Silent, 2500);
+    follower.fail(UpstreamFailure::Unresponsive, 2500);
     drop(batch);
     assert!(first.answer.try_recv().is_err(), "nobody will answer it");
     assert!(second.answer.try_recv().is_err());
@@ -138,27 +138,35 @@
 /// time tries whether the path is there again.
 #[test]
 fn a_failed_path_is_tried_again_by_one_batch() {
-    use PathFailure::{ConnectionRefused, NotLeading, Silent, Unsupported};
+    use UpstreamFailure::{ConnectionRefused, NotLeading, Unresponsive, Unsupported};
     for (failure, told) in [
-        (Silent, Route::Refuse),
-        (NotLeading, Route::Refuse),
-        (ConnectionRefused, Route::Redirect),
-        (Unsupported, Route::Redirect),
+        (Unresponsive, ForwardingRoute::Reject),
+        (NotLeading, ForwardingRoute::Reject),
+        (ConnectionRefused, ForwardingRoute::Redirect),
+        (Unsupported, ForwardingRoute::Redirect),
     ] {
         let mut follower = Follower::new();
-        assert_eq!(follower.route(3, 0), Route::Forward);
+        assert_eq!(follower.route(3, 0), ForwardingRoute::Forward);
         let pending = follower.queue(1, 0);
         std::mem::forget(follower.batch(3, 0));
         follower.fail(failure, 10);
         assert_eq!(follower.route(3, 20), told, "{failure:?}");
-        assert_eq!(follower.route(4, 20), Route::Forward, "another leader");
-        let over = 10 + failure.lasts().as_millis() as u64;
-        assert_eq!(follower.route(3, over), Route::Forward, "{failure:?}");
+        assert_eq!(
+            follower.route(4, 20),
+            ForwardingRoute::Forward,
+            "another leader"
+        );
+        let over = 10 + failure.backoff().as_millis() as u64;
+        assert_eq!(
+            follower.route(3, over),
+            ForwardingRoute::Forward,
+            "{failure:?}"
+        );
         let probe = follower.queue(2, over);
         std::mem::forget(follower.batch(3, over));
         assert_eq!(follower.route(3, over), told, "one tries the path");
         follower.forwarding.succeeded(&leader(3));
-        assert_eq!(follower.route(3, over), Route::Forward);
+        assert_eq!(follower.route(3, over), ForwardingRoute::Forward);
         drop((pending, probe));
     }
 }
@@ -166,7 +174,7 @@
 /// What came for the former leader goes to the one that is known by then; reports whose worker
 /// has given up, or has seen a higher term, go to nobody.
 #[test]
-fn only_reports_that_somebody_waits_for_are_sent() {
+fn only_heartbeats_whose_agents_wait_are_sent() {
     let mut follower = Follower::new();
     let waits = follower.queue(1, 0);
     drop(follower.queue(2, 0));
@@ -186,39 +194,38 @@
 
 /// A 200 that the worker drops holds it at this node while its lease runs out.
 #[test]
-fn no_answer_is_passed_on_late_or_under_a_token_below_the_worker_s() {
+fn no_response_is_relayed_late_or_under_a_token_below_the_agent_s() {
     let mut follower = Follower::new();
     let seen = FencingToken::first(Term(3)).0 + 5;
     let now = follower.at(0);
     let heartbeat = heartbeat(1, FencingToken(seen));
     let pending = follower.forwarding.enqueue(heartbeat, 200, now).unwrap();
     let limit = ANSWER_LIMIT.as_millis() as u64;
-    let passed_on = |token, ms| pending.passed_on(accepted(token), follower.at(ms));
-    assert!(passed_on(seen, limit - 1).is_some());
-    assert!(passed_on(seen + 1, 10).is_some());
-    assert!(
-        passed_on(seen - 1, 10).is_none(),
-        "the worker would drop it"
-    );
-    assert!(passed_on(seen, limit).is_none(), "the worker has given up");
+    let relayed = |token, ms| pending.relayed_response(accepted(token), follower.at(ms));
+    assert!(relayed(seen, limit - 1).is_some());
+    assert!(relayed(seen + 1, 10).is_some());
+    assert!(relayed(seen - 1, 10).is_none(), "the worker would drop it");
+    assert!(relayed(seen, limit).is_none(), "the worker has given up");
     let unavailable = ForwardedAnswer::Unavailable;
-    assert!(pending.passed_on(unavailable, follower.at(10)).is_none());
+    assert!(pending
+        .relayed_response(unavailable, follower.at(10))
+        .is_none());
 }
 
 /// The batches of all followers take a bounded part of the leader's processor, and on a machine of
 /// usual size reports hardly wait.
 #[test]
-fn reports_gather_longer_where_the_processor_is_small() {
+fn heartbeats_are_batched_longer_where_the_processor_is_small() {
     let gather = |cores: f64, nodes: usize| {
         let text = include_str!("../../deploy/example.toml");
         let mut settings = Settings::parse(text, "a test").unwrap();
         settings.params.resources.cores = cores;
         settings.params.count = nodes;
-        gather_time(&settings)
+        batch_delay(&settings)
     };
-    assert_eq!(gather(1.0, 3), GATHER_MIN);
+    assert_eq!(gather(1.0, 3), BATCH_DELAY_MIN);
     assert!(gather(0.16, 3) < Duration::from_millis(50));
-    assert_eq!(gather(0.029, 7), GATHER_MAX);
+    assert_eq!(gather(0.029, 7), BATCH_DELAY_MAX);
     let (cores, nodes) = (0.1, 5);
     let a_second = (nodes - 1) as f64 / gather(cores, nodes).as_secs_f64();
     assert!(a_second * BATCH_CPU_S <= cores * BATCH_CPU_PART * 1.01);
--- a/src/http.rs
+++ b/src/http.rs
@@ -1,4 +1,4 @@
-//! The one way in which this process asks others over HTTP.
+//! The HTTP client for requests to the key-value store and the cloud.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -10,13 +10,13 @@
 
 use crate::wire;
 
-/// Why a request brought no answer that can be used.
+/// Why a request brought no usable response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum RequestFailure {
-    /// There was no whole answer in time.
+    /// There was no complete response in time.
     #[error("no answer")]
     NoAnswer,
-    /// The answer is larger than this process takes.
+    /// The response is larger than the limit.
     #[error("the answer is too large")]
     AnswerTooLarge,
 }
@@ -37,12 +37,12 @@
     pub path: &'a str,
     /// CBOR body.
     pub body: Option<Vec<u8>>,
-    /// How long to wait for the answer.
+    /// Time for the response.
     pub limit: Duration,
 }
 
 impl Remote {
-    /// The server at `address`, from which no body above `largest` is taken.
+    /// The server at `address`; response bodies above `largest` bytes are rejected.
     pub fn new(address: SocketAddrV4, http: Client, largest: usize) -> Self {
         Self {
             base: format!("http://{address}"),
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Sends a request. A failure says nothing of whether the request was carried out.
+    /// Sends a request. After a failure it is unknown whether the request was carried out.
     pub async fn send(
         &self,
         outgoing: OutgoingRequest<'_>,
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,14 +1,14 @@
-//! Figures for the operators: counters and histograms, cheap to keep.
+//! Counters and histograms for the operators.
 
 use std::time::{Duration, Instant};
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// Longest time a histogram tells apart; beyond it counts as this.
+/// Longest time that a histogram resolves; longer ones count as this.
 const HISTOGRAM_MAX_MS: u64 = 3_600_000;
-/// Two digits are plenty for an operator and keep a histogram at a few kilobytes.
-const DIGITS: u8 = 2;
+/// Two significant digits suffice for an operator and keep a histogram at a few kilobytes.
+const SIGNIFICANT_DIGITS: u8 = 2;
 
 /// A histogram of milliseconds.
 #[derive(Debug)]
@@ -16,11 +16,11 @@
 
 impl Default for Times {
     fn default() -> Self {
-        Self(Histogram::new_with_bounds(1, HISTOGRAM_MAX_MS, DIGITS).ok())
+        Self(Histogram::new_with_bounds(1, HISTOGRAM_MAX_MS, SIGNIFICANT_DIGITS).ok())
     }
 }
 
-/// What is shown of a histogram.
+/// A histogram as operators see it.
 #[derive(Debug, Serialize, PartialEq)]
 pub struct Summary {
     /// Number of values.
@@ -44,7 +44,7 @@
         }
     }
 
-    /// What is shown.
+    /// The histogram as operators see it.
     pub fn summary(&self) -> Summary {
         let at = |q: f64| self.0.as_ref().map_or(0, |h| h.value_at_quantile(q));
         Summary {
@@ -57,7 +57,7 @@
     }
 }
 
-/// Reports of workers that this node was asked to answer, and what became of them.
+/// Heartbeats that arrived at this node, and how they were answered.
 #[derive(Debug, Default, Clone, PartialEq, Serialize)]
 pub struct HeartbeatMetrics {
     /// First requests of their connections.
@@ -72,18 +72,18 @@
     pub unavailable: u64,
     /// Answered with any other status.
     pub rejected: u64,
-    /// Sent on to the leader.
+    /// Forwarded to the leader.
     pub forwarded: u64,
-    /// Batches in which they were sent on.
+    /// Batches in which they were forwarded.
     pub batches_sent: u64,
-    /// Batches of other nodes that were taken here.
+    /// Batches of followers that were accepted here.
     pub batches_taken: u64,
-    /// Reports in these batches.
+    /// Heartbeats in these batches.
     pub taken_from_batches: u64,
 }
 
 impl HeartbeatMetrics {
-    /// EventCounts an answer on a connection of which the report was the first request or not.
+    /// Counts a response; `first_request` if the heartbeat was the first on its connection.
     pub fn answered(&mut self, first_request: bool, status: u16) {
         if first_request {
             self.new_connection += 1;
@@ -104,7 +104,7 @@
 pub struct RequestMetrics {
     /// Submissions, repeated ones included.
     pub submissions: u64,
-    /// Questions about a job.
+    /// Polls of a job.
     pub polls: u64,
     /// Cancellations.
     pub cancellations: u64,
@@ -112,18 +112,18 @@
     pub health_checks: u64,
 }
 
-/// What this node, while it led, told the others.
+/// State summaries that this node published while it led.
 #[derive(Debug, Default, Clone, PartialEq, Serialize)]
 pub struct SummaryMetrics {
-    /// Digests of changes sent, one for each peer.
+    /// Summaries of changes sent, one for each peer.
     pub changes: u64,
-    /// Digests of everything sent, one for each peer that lacked it.
+    /// Full summaries sent, one for each peer that missed it.
     pub full: u64,
     /// Bytes of all of them.
     pub bytes: u64,
 }
 
-/// EventCounts of single things since the process started.
+/// Counts of events since the process started.
 #[derive(Debug, Default, Clone, PartialEq, Serialize)]
 pub struct EventCounts {
     /// Submissions accepted here.
@@ -132,15 +132,15 @@
     pub refused: u64,
     /// Terms led by this process.
     pub terms: u64,
-    /// Starts sent out by rounds.
+    /// Starts sent by scheduling cycles.
     pub starts: u64,
-    /// Tasks stopped by rounds, gangs counted once.
+    /// Tasks stopped by scheduling cycles; a gang counts once.
     pub stops: u64,
     /// Machines rented.
     pub rented: u64,
-    /// Machines returned.
+    /// Machines released.
     pub returned: u64,
-    /// AddressedCommand commands sent to workers.
+    /// Direct commands sent to agents.
     pub direct_commands: u64,
     /// Records written by the leader, one for each transaction that it asked for.
     pub records_written: u64,
@@ -148,27 +148,27 @@
     pub replica_events: u64,
 }
 
-/// All figures of this process.
+/// All counters and histograms of this process.
 #[derive(Debug)]
 pub struct Metrics {
     started: Instant,
-    /// Time a round took.
+    /// Duration of a scheduling cycle.
     pub rounds: Times,
-    /// Time that all rounds took together.
+    /// Duration of all scheduling cycles together.
     pub rounds_total: Duration,
     /// Time from submission to a job's first running task.
     pub waits: Times,
     /// Time this node took to answer a submission.
     pub submissions: Times,
-    /// Time from a take-over until all machines were settled.
+    /// Time from becoming leader until all machines were reconciled.
     pub failovers: Times,
-    /// EventCounts of single things.
+    /// Counts of events.
     pub counts: EventCounts,
-    /// Reports of workers.
+    /// Heartbeats.
     pub heartbeats: HeartbeatMetrics,
     /// Requests of users.
     pub requests: RequestMetrics,
-    /// Digests.
+    /// State summaries.
     pub summaries: SummaryMetrics,
 }
 
@@ -190,13 +190,13 @@
 }
 
 impl Metrics {
-    /// Adds a round that took so long.
+    /// Adds a scheduling cycle of this duration.
     pub fn add_round(&mut self, took: Duration) {
         self.rounds.add(took);
         self.rounds_total += took;
     }
 
-    /// All of them as they are now, but for the memory, which is asked of the system.
+    /// The present values, without the resident memory and the links.
     pub fn view(&self, now: Instant) -> MetricsView {
         MetricsView {
             round_time: self.rounds.summary(),
@@ -213,8 +213,8 @@
         }
     }
 
-    /// Part of the time since the start of the process that rounds took, waits for the processor
-    /// included.
+    /// Part of the time since the start of the process that scheduling cycles took, waits for the
+    /// processor included.
     pub fn rounds_part(&self, now: Instant) -> f64 {
         let up = now.saturating_duration_since(self.started).as_secs_f64();
         if up > 0.0 {
@@ -225,59 +225,59 @@
     }
 }
 
-/// All figures as operators see them.
+/// All counters and histograms as operators see them.
 #[derive(Debug, Serialize)]
 pub struct MetricsView {
-    /// Time a round took.
+    /// Duration of a scheduling cycle.
     pub round_time: Summary,
     /// Time from submission to a job's first running task.
     pub waiting: Summary,
     /// Time this node took to answer a submission.
     pub submission: Summary,
-    /// Part of the time since the start of the process that rounds took.
+    /// Part of the time since the start of the process that scheduling cycles took.
     pub rounds_part: f64,
-    /// Time from a take-over until all machines were settled.
+    /// Time from becoming leader until all machines were reconciled.
     #[serde(rename = "take_over")]
     pub take_over: Summary,
-    /// EventCounts of single things.
+    /// Counts of events.
     #[serde(flatten)]
     pub counts: EventCounts,
-    /// Reports of workers.
+    /// Heartbeats.
     #[serde(rename = "reports")]
     pub heartbeats: HeartbeatMetrics,
     /// Requests of users.
     pub requests: RequestMetrics,
-    /// Digests.
+    /// State summaries.
     #[serde(rename = "digests")]
     pub summaries: SummaryMetrics,
-    /// Resident memory, where the system tells it.
+    /// Resident memory, where the system provides it.
     pub resident_bytes: Option<u64>,
     /// Rows, gate and hand-overs, where links are turned on.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub links: Option<LinkMetrics>,
 }
 
-/// Where the system tells how much memory a process holds.
+/// Where the system provides the memory of a process.
 const STATM: &str = "/proc/self/statm";
 /// Size of a page on the platforms that this runs on.
 const PAGE_BYTES: u64 = 4096;
 
-/// EventCounts of what hangs on the links.
+/// Counters of the links and of what depends on them.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct LinkMetrics {
-    /// Rows of other controllers taken.
+    /// Rows of other controllers accepted.
     pub rows_taken: u64,
-    /// Rows refused, as they were old, repeated or wrong.
+    /// Rows rejected as stale, repeated or malformed.
     pub rows_refused: u64,
     /// Seconds for which the placement gate has refused.
     pub gate_refused_s: f64,
     /// Links suppressed now.
     pub suppressed: usize,
-    /// Leads handed over.
+    /// Handovers of leadership.
     pub handovers: u64,
 }
 
-/// Resident memory of this process in bytes; `None` where the system does not tell.
+/// Resident memory of this process in bytes; `None` where the system does not provide it.
 pub fn resident_bytes() -> Option<u64> {
     let text = std::fs::read_to_string(STATM).ok()?;
     let pages = text.split_whitespace().nth(1)?.parse::<u64>().ok()?;
--- a/src/peer/contact.rs
+++ b/src/peer/contact.rs
@@ -1,16 +1,16 @@
-//! Whether a node has the state service, asked by a peer that lost it.
+//! Answers a peer that lost the key-value store whether this node reaches it.
 
 use actix_web::{web, HttpResponse};
 
 use crate::service::Shared;
 use crate::timing::{WATCH_GRACE, WATCH_HOLD};
 
-/// Path of the question. Its name dates from 0.1.0 and stays for the sake of older nodes.
+/// Path of the query. Its name dates from 0.1.0 and stays for the sake of older nodes.
 pub const CONTACT: &str = "/peer/pulse";
 
 /// `GET /peer/pulse`
-pub async fn tell_contact(shared: web::Data<Shared>) -> HttpResponse {
-    // After standing still, no failure is known yet and no contact either.
+pub async fn store_contact(shared: web::Data<Shared>) -> HttpResponse {
+    // After a pause of the process, neither a failure nor a recent contact is known yet.
     let contact = shared.links.contact();
     let recent = contact
         .answered
--- a/src/peer/heartbeats.rs
+++ b/src/peer/heartbeats.rs
@@ -1,8 +1,8 @@
-//! Batches of workers' reports that a follower forwards to the leader.
+//! Batches of heartbeats that a follower forwards to the leader.
 //!
-//! The leader decides each report as it decides a direct one, see [`crate::service::heartbeats`].
-//! A batch that was sent to another term, that is old, or that comes twice grants nothing: the
-//! first two are refused whole, and the reports of the third are no newer than those taken.
+//! The leader decides each heartbeat as it decides a direct one, see [`crate::service::heartbeats`].
+//! A batch that was sent to another term, that is old, or that arrives twice grants nothing: the first
+//! two are rejected whole, and the heartbeats of the third are no newer than those applied.
 
 use std::time::{Duration, Instant, SystemTime};
 
@@ -19,10 +19,10 @@
 use crate::time::unix_ms;
 use crate::wire::Heartbeat;
 
-/// Path of forwarded reports.
+/// Path of forwarded heartbeats. The name on the wire stays.
 pub const HEARTBEATS: &str = "/peer/reports";
-/// A batch that was sent longer ago, by the time of day, is refused: no worker waits for its
-/// answers any more.
+/// A batch that was sent longer ago, by the time of day, is rejected: no agent waits for its responses
+/// any more.
 pub const BATCH_AGE_MAX: Duration = Duration::from_secs(4);
 
 impl From<HeartbeatDecision> for ForwardedAnswer {
@@ -32,22 +32,22 @@
                 token: answer.token,
                 commands: answer.commands.into_iter().map(Into::into).collect(),
             },
-            HeartbeatDecision::Unavailable(_) => Self::Unavailable,
+            HeartbeatDecision::NotLeading => Self::Unavailable,
         }
     }
 }
 
-/// Why a batch is refused whole.
+/// Why a batch is rejected whole.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum BatchError {
     /// The body is too large or was cut off.
     #[error("the body is too large or cut off")]
     Body,
     /// Another version of the messages.
-    #[error("unknown version {0} of forwarded reports")]
+    #[error("unknown version {0} of forwarded heartbeats")]
     UnknownVersion(u16),
     /// Not a batch.
-    #[error("malformed batch of reports")]
+    #[error("malformed batch of heartbeats")]
     Malformed,
     /// The sender is not among the known nodes.
     #[error("`{0}` is no known node")]
@@ -61,8 +61,8 @@
 }
 
 impl BatchError {
-    /// The status by which the follower tells what to do next: 400 and 403 end forwarding to this
-    /// leader for a while, 409 concerns this batch.
+    /// The status for the follower: 400 and 403 suspend forwarding to this leader for a while, 409
+    /// concerns this batch only.
     pub fn status(&self) -> StatusCode {
         match self {
             Self::Body | Self::UnknownVersion(_) | Self::Malformed => StatusCode::BAD_REQUEST,
@@ -80,7 +80,7 @@
     super::decode(bytes).ok_or(BatchError::Malformed)
 }
 
-/// Decodes a batch and decides its reports. `clock` and `wall` are the process's clocks.
+/// Decodes a batch and decides its heartbeats. `clock` and `wall` are the process's clocks.
 pub fn answer_batch(
     shared: &Shared,
     bytes: &[u8],
@@ -131,8 +131,8 @@
     Ok(())
 }
 
-/// `POST /peer/heartbeats`
-pub async fn heartbeats(
+/// `POST /peer/reports`
+pub async fn receive_batch(
     shared: web::Data<Shared>,
     body: Result<web::Bytes, actix_web::Error>,
 ) -> HttpResponse {
@@ -144,17 +144,17 @@
             Some(bytes) => HttpResponse::Ok().content_type(BINCODE).body(bytes),
             None => HttpResponse::InternalServerError().finish(),
         },
-        Err(error) => refuse(&error),
+        Err(error) => reject(&error),
     }
 }
 
-fn refuse(error: &BatchError) -> HttpResponse {
+fn reject(error: &BatchError) -> HttpResponse {
     match error {
         // Expected around every election.
         BatchError::OtherTerm(_) | BatchError::Stale(_) => {
-            debug!(%error, "forwarded reports refused");
+            debug!(reason = %error, "heartbeat batch rejected");
         }
-        _ => warn!(%error, "forwarded reports refused"),
+        _ => warn!(reason = %error, "heartbeat batch rejected"),
     }
     HttpResponse::build(error.status()).finish()
 }
--- a/src/peer/heartbeats/tests.rs
+++ b/src/peer/heartbeats/tests.rs
@@ -113,7 +113,7 @@
 /// What is cut off, malformed, of another version or from nobody known is refused with a reason;
 /// the process goes on.
 #[test]
-fn bad_batches_are_refused_with_their_reason() {
+fn malformed_batches_are_rejected_with_their_reason() {
     let now = Instant::now();
     let shared = leader(now);
     let refused = |bytes: &[u8]| answer_batch(&shared, bytes, &|| now, wall(NOW_MS)).unwrap_err();
@@ -148,7 +148,7 @@
 /// A batch held back for minutes, or one that reaches a former or later leader, grants nothing
 /// and proves nothing.
 #[test]
-fn old_batches_and_batches_for_other_terms_are_refused_whole() {
+fn old_batches_and_batches_for_other_terms_are_rejected_whole() {
     let now = Instant::now();
     let shared = leader(now);
     for term in [2, 4] {
@@ -168,7 +168,7 @@
 /// The same function decides as for a direct report, at its own time: no 200 once the lead and
 /// the time to keep leases alive are over, and the lease counts from the decision.
 #[test]
-fn a_forwarded_report_is_decided_at_the_time_of_the_decision() {
+fn a_forwarded_heartbeat_is_decided_at_the_time_of_the_decision() {
     let start = Instant::now();
     let shared = leader(start);
     let at = |s: u64| start + Duration::from_secs(s);
@@ -196,7 +196,7 @@
 
 /// A batch that comes twice: its reports are no newer, so the second time no orders go out.
 #[test]
-fn a_batch_that_comes_twice_gets_no_orders_the_second_time() {
+fn a_batch_that_arrives_twice_gets_no_commands_the_second_time() {
     let now = Instant::now();
     let shared = leader(now);
     // A task of a job that is not known is killed, in the answer to a newer report only.
--- a/src/peer/links.rs
+++ b/src/peer/links.rs
@@ -15,7 +15,7 @@
 /// Path of rows.
 pub const LINKS: &str = "/peer/links";
 
-/// Decodes a row; whatever comes after a version that is not known is not looked at.
+/// Decodes a row; what follows an unknown version is not decoded.
 pub fn decode_row(bytes: &[u8]) -> Result<RowMessage, RowRejection> {
     let version = decode_prefix::<u16>(bytes).ok_or(RowRejection::Malformed)?;
     if version != ROW_VERSION {
@@ -24,7 +24,7 @@
     decode(bytes).ok_or(RowRejection::Malformed)
 }
 
-/// Decodes a row and takes it. One that can't be decoded has no sender that could be believed.
+/// Decodes a row and applies it. The sender of one that can't be decoded is unknown.
 pub fn take_bytes(
     active: &ActiveLinks,
     bytes: &[u8],
@@ -53,7 +53,7 @@
 }
 
 /// `POST /peer/links`
-pub async fn take_row(
+pub async fn receive_row(
     shared: web::Data<Shared>,
     body: Result<web::Bytes, actix_web::Error>,
 ) -> HttpResponse {
--- a/src/peer/links/tests.rs
+++ b/src/peer/links/tests.rs
@@ -100,7 +100,7 @@
 /// The clock of the host went back between two lives of a process: without being told, its rows would be
 /// refused until the clock has caught up.
 #[test]
-fn a_process_whose_clock_went_back_takes_a_life_above_its_former_one() {
+fn a_process_whose_clock_went_back_takes_an_incarnation_above_its_former_one() {
     let shared = shared();
     let active = shared.links.active().unwrap();
     take(&shared, &encode(&message(2)).unwrap()).unwrap();
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -1,9 +1,9 @@
-//! What the nodes tell each other, as `bincode` over HTTP on `peer_bind`. Operators reach
+//! Messages between the nodes, as `bincode` over HTTP on `peer_bind`. Operators reach
 //! [`crate::api::admin`] on the same address.
 //!
-//! [`summary`] is what the leader tells the others once a second, [`cancelled`] what users called
-//! off, [`contact`] whether a node has the state service, [`heartbeats`] and [`crate::forwarding`] how
-//! workers' reports get from a follower to the leader, [`links`] how well the nodes are connected.
+//! [`summary`] takes the state summaries of the leader, [`cancelled`] notifications of cancellations,
+//! [`contact`] queries about the key-value store, [`heartbeats`] the heartbeats that followers forward
+//! (see also [`crate::forwarding`]), and [`links`] rows of the connectivity matrix.
 
 pub mod cancelled;
 pub mod contact;
@@ -19,8 +19,8 @@
 /// Content type between the nodes.
 pub const BINCODE: &str = "application/x-bincode";
 /// Most memory that a decoded message may take. `bincode` counts a list by the size of its items in
-/// memory, which is several times that of the message: with the limit of the body itself, a digest of
-/// 4,000 machines arrived whole and could not be decoded.
+/// memory, which is several times that of the message: with the limit of the body itself, a summary of
+/// 4,000 machines arrived complete and could not be decoded.
 const MESSAGE_LIMIT: usize = 8 * crate::state_summary::SUMMARY_BYTES_MAX;
 
 /// Encodes for a peer.
@@ -28,18 +28,18 @@
     bincode::serde::encode_to_vec(value, bincode::config::standard()).ok()
 }
 
-/// Decodes from a peer; never more than the body has.
+/// Decodes a message of a peer, which must fill the body.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Option<T> {
-    let (value, read) = decode_some(bytes)?;
+    let (value, read) = decode_front(bytes)?;
     (read == bytes.len()).then_some(value)
 }
 
-/// Decodes what a message begins with, such as its version.
+/// Decodes the beginning of a message, such as its version.
 pub fn decode_prefix<T: DeserializeOwned>(bytes: &[u8]) -> Option<T> {
-    decode_some(bytes).map(|(value, _)| value)
+    decode_front(bytes).map(|(value, _)| value)
 }
 
-fn decode_some<T: DeserializeOwned>(bytes: &[u8]) -> Option<(T, usize)> {
+fn decode_front<T: DeserializeOwned>(bytes: &[u8]) -> Option<(T, usize)> {
     let config = bincode::config::standard().with_limit::<MESSAGE_LIMIT>();
     bincode::serde::decode_from_slice(bytes, config).ok()
 }
@@ -52,24 +52,24 @@
                 .app_data(web::PayloadConfig::new(
                     crate::state_summary::SUMMARY_BYTES_MAX,
                 ))
-                .route(web::post().to(summary::take_summary)),
+                .route(web::post().to(summary::receive_summary)),
         )
         .service(
             web::resource(cancelled::CANCELLED)
                 .app_data(web::PayloadConfig::new(cancelled::CANCELLED_LIMIT))
-                .route(web::post().to(cancelled::take_cancelled)),
+                .route(web::post().to(cancelled::receive_cancelled)),
         )
         .service(
             web::resource(heartbeats::HEARTBEATS)
                 .app_data(web::PayloadConfig::new(
                     crate::forwarding::messages::BATCH_BODY_LIMIT,
                 ))
-                .route(web::post().to(heartbeats::heartbeats)),
+                .route(web::post().to(heartbeats::receive_batch)),
         )
         .service(
             web::resource(links::LINKS)
                 .app_data(web::PayloadConfig::new(ROW_BYTES_MAX))
-                .route(web::post().to(links::take_row)),
+                .route(web::post().to(links::receive_row)),
         )
-        .route(contact::CONTACT, web::get().to(contact::tell_contact));
+        .route(contact::CONTACT, web::get().to(contact::store_contact));
 }
--- a/src/peer/summary.rs
+++ b/src/peer/summary.rs
@@ -1,6 +1,5 @@
-//! Takes the leader's digests.
+//! Receives the leader's state summaries.
 
-use std::sync::atomic::Ordering;
 use std::time::Instant;
 
 use actix_web::{web, HttpResponse};
@@ -9,10 +8,11 @@
 use crate::service::Shared;
 use crate::state_summary::{StateSummary, SummaryReply};
 
-/// Path of the digest.
+/// Path of state summaries. The name on the wire stays.
 pub const SUMMARY: &str = "/peer/digest";
-/// `POST /peer/summary`
-pub async fn take_summary(shared: web::Data<Shared>, body: web::Bytes) -> HttpResponse {
+
+/// `POST /peer/digest`
+pub async fn receive_summary(shared: web::Data<Shared>, body: web::Bytes) -> HttpResponse {
     let Some(summary) = decode::<StateSummary>(&body) else {
         return HttpResponse::BadRequest().finish();
     };
@@ -21,12 +21,12 @@
     }
     shared.election.lock().hears(summary.term, &summary.member);
     shared.links.summary_received(Instant::now());
-    let misdirected = shared.misdirected.load(Ordering::Relaxed);
-    let heard = encode(&SummaryReply { misdirected }).unwrap_or_default();
-    let mut answer = if shared.summary_cache.lock().take(summary) {
+    let misdirected = shared.forwarding.misdirected();
+    let reply = encode(&SummaryReply { misdirected }).unwrap_or_default();
+    let mut response = if shared.summary_cache.lock().apply(summary) {
         HttpResponse::Ok()
     } else {
         HttpResponse::Conflict()
     };
-    answer.content_type(BINCODE).body(heard)
+    response.content_type(BINCODE).body(reply)
 }
--- a/src/service/heartbeats.rs
+++ b/src/service/heartbeats.rs
@@ -1,9 +1,9 @@
-//! Decides the answer to a worker's report.
+//! Decides the response to a heartbeat.
 //!
-//! [`decide`] is the only place that grants a 200, a token and orders, whether a report came to
-//! this node directly or was forwarded by another one. ReplicaFreshness, lease and the time up to which
-//! a machine's tasks may live all count from the moment of this decision, which is never earlier
-//! than the moment at which the worker sent the report.
+//! [`decide`] is the only place that grants a 200, a fencing token and commands, whether a heartbeat
+//! arrived at this node directly or was forwarded by another one. The staleness bound of the replica,
+//! the lease, and the time until which a machine's tasks may run all count from the moment of this
+//! decision, which is never earlier than the moment at which the agent sent the heartbeat.
 
 use std::time::Instant;
 
@@ -13,49 +13,49 @@
 use crate::model::{MachineId, Term};
 use crate::wire::{Heartbeat, HeartbeatResponse};
 
-/// What a worker is told.
+/// The response to a heartbeat.
 #[derive(Debug, Clone, PartialEq)]
 pub enum HeartbeatDecision {
     /// 200 with this body.
     Accepted(HeartbeatResponse),
     /// 503: this node does not, or no longer, act for the term.
-    Unavailable(&'static str),
+    NotLeading,
 }
 
-/// Decides under `term`, which this node led when the report came. `clock` is read again right
-/// before the answer is given: the process may have stood still since the first look, and its
-/// lead, or its time to keep leases alive, be over.
+/// Decides under `term`, which this node led when the heartbeat arrived. `clock` is read again right
+/// before the response: the process may have been paused since the first reading, and its leadership,
+/// or its time to keep leases alive, may be over.
 pub fn decide(
     shared: &Shared,
     heartbeat: &Heartbeat,
     term: Term,
     clock: &dyn Fn() -> Instant,
 ) -> HeartbeatDecision {
-    let passing_on = HeartbeatDecision::Unavailable("the lead is passing on");
+    let not_leading = HeartbeatDecision::NotLeading;
     let id = MachineId(heartbeat.machine.as_str().into());
     let mut guard = shared.cluster.lock();
     let Some(cluster) = guard.as_mut().filter(|cluster| cluster.term == term) else {
-        return passing_on;
+        return not_leading;
     };
     let verified = cluster.apply_heartbeat(heartbeat, HeartbeatSource::Worker, clock());
     if verified == Verified::Deposed {
-        return passing_on;
+        return not_leading;
     }
-    // Looked at under the lock and at the last moment: a lead that has just ended must not send
+    // Checked under the lock and at the last moment: a leadership that has just ended must not send
     // starts, and one whose time to keep leases alive is over must not renew them.
     let now = clock();
     let Some(starts) = starts_allowed(shared, term, now) else {
-        return passing_on;
+        return not_leading;
     };
     let token = cluster.mark_answered(&id, now);
-    // Stops and clears are safe from whoever holds a token that the worker still obeys. A copy or
-    // an older report gets none: its worker does not wait for them.
+    // Terminations and clears are safe under any token that the agent still accepts. A copy or an
+    // older heartbeat gets none: its agent does not wait for them.
     let commands = match verified {
         Verified::Newer => cluster.answer(&id, now, starts),
         Verified::Older | Verified::Deposed => Vec::new(),
     };
     if cluster.dirty {
-        shared.wake_scheduler.notify_one();
+        shared.wake_ups.scheduler.notify_one();
     }
     let token = token.0;
     HeartbeatDecision::Accepted(HeartbeatResponse { token, commands })
--- /dev/null
+++ b/src/service/links/snapshot.rs
@@ -0,0 +1,85 @@
+//! The decisions that follow from the links, kept for readers without a lock.
+
+use std::collections::VecDeque;
+use std::time::Instant;
+
+use arc_swap::ArcSwap;
+use knotlanding_links::gate::GateVerdict;
+use knotlanding_links::handover::Decision;
+use std::sync::Arc;
+
+/// Handover decisions that are kept for operators.
+const DECISIONS_KEPT: usize = 16;
+
+/// A handover decision with its time.
+#[derive(Debug, Clone)]
+pub struct DecisionEntry {
+    /// When it was made.
+    pub at: Instant,
+    /// The decision.
+    pub decision: Decision,
+}
+
+/// The latest decisions.
+#[derive(Debug, Clone)]
+pub struct LinkSnapshot {
+    /// The verdict of the placement gate.
+    pub gate: GateVerdict,
+    /// The latest handover decisions that differ from the one before, oldest first.
+    pub decisions: VecDeque<DecisionEntry>,
+}
+
+/// The published snapshot, which is replaced as a whole.
+#[derive(Debug)]
+pub(super) struct PublishedSnapshot(ArcSwap<LinkSnapshot>);
+
+impl PublishedSnapshot {
+    pub(super) fn new(gate: GateVerdict) -> Self {
+        Self(ArcSwap::from_pointee(LinkSnapshot {
+            gate,
+            decisions: VecDeque::new(),
+        }))
+    }
+
+    pub(super) fn load_full(&self) -> Arc<LinkSnapshot> {
+        self.0.load_full()
+    }
+
+    /// The verdict of the placement gate.
+    pub(super) fn gate(&self) -> GateVerdict {
+        self.0.load().gate
+    }
+
+    /// Replaces the verdict of the placement gate; whether it differs from the one before.
+    pub(super) fn set_gate(&self, gate: GateVerdict) -> bool {
+        if self.0.load().gate == gate {
+            return false;
+        }
+        self.0.rcu(|before| LinkSnapshot {
+            gate,
+            ..LinkSnapshot::clone(before)
+        });
+        true
+    }
+
+    /// Adds a decision if it is of another kind than the latest one; whether it was added.
+    pub(super) fn add_decision(&self, decision: &Decision, now: Instant) -> bool {
+        let kind = std::mem::discriminant(decision);
+        let latest = self.0.load().decisions.back().cloned();
+        if latest.is_some_and(|latest| std::mem::discriminant(&latest.decision) == kind) {
+            return false;
+        }
+        self.0.rcu(|before| {
+            let mut after = LinkSnapshot::clone(before);
+            after.decisions.push_back(DecisionEntry {
+                at: now,
+                decision: decision.clone(),
+            });
+            if after.decisions.len() > DECISIONS_KEPT {
+                after.decisions.pop_front();
+            }
+            after
+        });
+        true
+    }
+}
--- a/src/state_summary.rs
+++ b/src/state_summary.rs
@@ -1,60 +1,64 @@
-//! What a leader tells the others once a second, and what a node keeps of it.
+//! The state summary that a leader publishes to the other nodes, and the cache in which they keep it.
+//!
+//! [`recipient`] is the leader's side: which peer needs the full state. [`cache`] is the follower's.
 
-use std::collections::{HashMap, VecDeque};
-use std::time::{Duration, Instant};
+pub mod cache;
+pub mod recipient;
 
 use serde::{Deserialize, Serialize};
 
+pub use self::cache::{SummaryCache, GONE_MACHINES_KEPT};
+pub use self::recipient::SummaryRecipient;
 use crate::model::{JobId, MachineId, Term};
 
-/// Largest digest taken. Senders leave out what does not fit, see [`SummaryContents::shorten`]; the
+/// Largest summary accepted. Senders leave out what does not fit, see [`SummaryContents::shorten`]; the
 /// limit is the same in all versions since 0.3.0.
 pub const SUMMARY_BYTES_MAX: usize = 2 * 1024 * 1024;
-/// Bytes left for the head of a digest.
-const DIGEST_HEAD_BYTES: usize = 1024;
+/// Bytes reserved for the head of a summary.
+const HEAD_BYTES: usize = 1024;
 /// Most bytes that `bincode` takes for a number or the length of a text.
 const NUMBER_BYTES: usize = 9;
 /// Longest text whose length `bincode` puts into one byte.
 const SHORT_TEXT: usize = 250;
-/// Part of a digest's limit that jobs may take, the rest is the machines'.
-const DIGEST_JOBS_PART: f64 = 0.4;
+/// Part of a summary's limit for jobs; the rest is for machines.
+const JOBS_PART: f64 = 0.4;
 
-/// What a leader tells the others once a second. All of it is for display or a hint, and
-/// nothing that must be right hangs on it.
+/// What a leader publishes to the others once a second. It serves display and hints only; no decision
+/// that must be correct depends on it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct StateSummary {
-    /// Its term.
+    /// The leader's term.
     pub term: Term,
-    /// Its name.
+    /// The leader's name.
     pub member: String,
-    /// Counts the digests of a term.
+    /// The number of the summary within the term.
     pub number: u64,
-    /// Everything, not only what changed since the digest before.
+    /// Whether it holds the full state, not only the changes since the summary before.
     pub full: bool,
-    /// What there is to tell.
+    /// The state or the changes.
     pub contents: SummaryContents,
 }
 
-/// The contents of a digest.
+/// The contents of a summary.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct SummaryContents {
-    /// Jobs under way.
+    /// Unfinished jobs.
     pub counts: Vec<Counts>,
-    /// Jobs not under way any more.
+    /// Jobs that finished or were cancelled.
     pub over: Vec<JobId>,
-    /// Machines, for a leader to come.
-    pub hints: Vec<(MachineId, MachineHint)>,
-    /// Machines that are gone.
+    /// Machines, for the next leader.
+    pub hints: Vec<(MachineId, MachineSummary)>,
+    /// Machines that were released or terminated.
     pub gone: Vec<MachineId>,
 }
 
 impl SummaryContents {
-    /// Leaves out what would make a digest larger than peers take: counts of jobs first, which are
-    /// only shown, then images of machines, those used longest ago first. Without it a peer would
-    /// refuse the digest of a large fleet whole, again and again.
+    /// Leaves out what would make a summary larger than peers accept: counts of jobs first, which are
+    /// only displayed, then images of machines, the least recently used first. Otherwise a peer would
+    /// reject every summary of a large fleet.
     pub fn shorten(&mut self, limit: usize) {
-        let limit = limit.saturating_sub(DIGEST_HEAD_BYTES);
-        let jobs_limit = (limit as f64 * DIGEST_JOBS_PART) as usize;
+        let limit = limit.saturating_sub(HEAD_BYTES);
+        let jobs_limit = (limit as f64 * JOBS_PART) as usize;
         let over = truncate_to(&mut self.over, jobs_limit / 2, |id| text_bytes(id.as_str()));
         let counts = truncate_to(&mut self.counts, jobs_limit - over, |count| {
             text_bytes(count.id.as_str()) + 2 * NUMBER_BYTES
@@ -110,18 +114,18 @@
     pub running: u32,
 }
 
-/// What a new leader can't learn from reports, or can use before the first one.
+/// What a new leader can't learn from heartbeats, or can use before the first one.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct MachineHint {
-    /// Where the machine takes direct commands.
+pub struct MachineSummary {
+    /// The address that takes direct commands.
     pub address: String,
-    /// Its session.
+    /// Its agent epoch.
     pub epoch: u64,
     /// Images it has with their sizes in GB, most recently used last.
     pub images: Vec<(String, f32)>,
 }
 
-impl MachineHint {
+impl MachineSummary {
     fn bytes_without_images(&self) -> usize {
         text_bytes(&self.address) + 2 * NUMBER_BYTES
     }
@@ -138,95 +142,10 @@
     }
 }
 
-/// Time between two digests of everything to the same peer. Everything is large, and a peer that is
-/// as slow to answer as the leader is to hear it would be told it again and again.
-const FULL_DIGEST_INTERVAL: Duration = Duration::from_secs(5);
-
-/// A peer as the leader's digests see it: whether it lacks what the next changes build on.
-#[derive(Debug, Default)]
-pub struct SummaryRecipient {
-    lacks: bool,
-    /// The last digest of everything sent to it: its number, and when.
-    full: Option<(u64, Instant)>,
-}
-
-impl SummaryRecipient {
-    /// Whether the next digest to it should hold everything.
-    pub fn wants_full(&self, now: Instant) -> bool {
-        let rested = |(_, at)| now.saturating_duration_since(at) >= FULL_DIGEST_INTERVAL;
-        self.lacks && self.full.is_none_or(rested)
-    }
-
-    /// A digest of everything was sent to it. Should it not arrive, the answer to the next one of
-    /// changes says so.
-    pub fn full_sent(&mut self, number: u64, now: Instant) {
-        self.lacks = false;
-        self.full = Some((number, now));
-    }
-
-    /// It answered a digest. An answer to one from before the last of everything says nothing of
-    /// what the peer has now: taken as it stands, it cost another digest of everything.
-    pub fn answered(&mut self, number: u64, lacks: bool) {
-        let outdated = self.full.is_some_and(|(full, _)| number < full);
-        if !outdated {
-            self.lacks = lacks;
-        }
-    }
-}
-
-/// Machines remembered as gone: late copies of their reports come within minutes, in which a fleet of
-/// 4,000 may have been replaced more than once. Each takes some 60 bytes.
-pub const GONE_MACHINES_KEPT: usize = 12_288;
-
-/// What a node keeps of the digests.
-#[derive(Debug, Default)]
-pub struct SummaryCache {
-    term: Term,
-    number: u64,
-    /// Completed and running tasks.
-    pub counts: HashMap<JobId, (u32, u32)>,
-    /// Machines.
-    pub hints: HashMap<MachineId, MachineHint>,
-    /// Machines that are gone, newest last.
-    pub gone: VecDeque<MachineId>,
-}
-
-impl SummaryCache {
-    /// Takes a digest; whether it could be used. One that builds on another that did not
-    /// arrive can't.
-    pub fn take(&mut self, summary: StateSummary) -> bool {
-        let follows = summary.term == self.term && summary.number == self.number + 1;
-        if summary.term < self.term || !(summary.full || follows) {
-            return false;
-        }
-        if summary.full {
-            self.counts.clear();
-            self.hints.clear();
-        }
-        self.term = summary.term;
-        self.number = summary.number;
-        let counts = summary.contents.counts.into_iter();
-        self.counts
-            .extend(counts.map(|c| (c.id, (c.done, c.running))));
-        for id in &summary.contents.over {
-            self.counts.remove(id);
-        }
-        self.hints.extend(summary.contents.hints);
-        for id in summary.contents.gone {
-            self.hints.remove(&id);
-            self.gone.push_back(id);
-        }
-        while self.gone.len() > GONE_MACHINES_KEPT {
-            self.gone.pop_front();
-        }
-        true
-    }
-}
-
-/// What a node answers to a digest. Nodes of 0.2.0 answer without a body.
+/// A node's response to a summary. Nodes of 0.2.0 answer without a body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SummaryReply {
-    /// Reports of workers that this node has sent elsewhere since it started.
+    /// Misdirected heartbeats: those that this node neither decided nor forwarded since it started.
     pub misdirected: u64,
 }
 
--- a/tests/common/world.rs
+++ b/tests/common/world.rs
@@ -35,7 +35,7 @@
 
 use actix_web::HttpResponse;
 use futures_util::FutureExt;
-use knotlanding::api::workers::{receive, Reception};
+use knotlanding::api::workers::{receive, HeartbeatOutcome};
 use knotlanding::cluster::{
     AddressedCommand, Cluster, HeartbeatSource, Machine, RecordKind, Verified,
 };
--- a/tests/common/world/controllers.rs
+++ b/tests/common/world/controllers.rs
@@ -89,7 +89,7 @@
         match (&why, answered) {
             (RequestPurpose::Load, StoreResponse::Rows(rows, revision)) => {
                 let news = shared.replica.lock().load(rows, revision);
-                shared.tell_at(&news, now, wall);
+                shared.replica_changed_at(&news, now, wall);
                 shared.replica_complete(sent_at);
                 self.nodes[n].loaded = true;
             }
@@ -98,7 +98,7 @@
                 StoreResponse::Events(events, revision),
             ) => {
                 let news = shared.replica.lock().apply(&events, revision);
-                shared.tell_at(&news, now, wall);
+                shared.replica_changed_at(&news, now, wall);
                 shared.replica_complete(sent_at);
             }
             (RequestPurpose::Grant, StoreResponse::Lease(id)) => {
@@ -147,7 +147,7 @@
         let shared = self.nodes[n].shared.clone();
         let job = JobId::parse(id).unwrap();
         shared.cancellation_recorded(&job);
-        let jobs = std::mem::take(&mut *shared.cancelled.lock());
+        let jobs = shared.cancellations.take();
         let refuse = self.peers_refuse;
         for peer in (0..3).filter(|peer| *peer != n && !refuse) {
             self.send(Mail::Cancelled(peer, jobs.clone()));
--- a/tests/common/world/delivery.rs
+++ b/tests/common/world/delivery.rs
@@ -109,7 +109,7 @@
                 if self.at_node(n, Some(incarnation), || {
                     Mail::Returned(n, incarnation, ids.clone())
                 }) {
-                    self.nodes[n].shared.machine_gone(&ids);
+                    self.nodes[n].shared.machines_released(&ids);
                 }
             }
             Mail::Rent(n, incarnation, pool, count) => {
@@ -161,17 +161,17 @@
         let (name, epoch) = (heartbeat.machine.clone(), heartbeat.epoch);
         let answers = cut.mode.answers == Flow::Pass;
         match (received, number.filter(|_| answers)) {
-            (Reception::Answered(answer), Some(number)) => {
+            (HeartbeatOutcome::Answered(answer), Some(number)) => {
                 self.answer_worker(&name, (epoch, number), answer);
             }
-            (Reception::Forwarded(pending), Some(number)) => {
+            (HeartbeatOutcome::Queued(pending), Some(number)) => {
                 self.await_leader(n, pending, (name, epoch, number));
             }
             // A copy: it is forwarded as any report, and nobody waits for its answer.
-            (Reception::Forwarded(pending), None) => {
+            (HeartbeatOutcome::Queued(pending), None) => {
                 self.await_leader(n, pending, (name, epoch, 0));
             }
-            (Reception::Answered(_), None) => {}
+            (HeartbeatOutcome::Answered(_), None) => {}
         }
     }
 
--- a/tests/common/world/forwarding.rs
+++ b/tests/common/world/forwarding.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 
 use futures_util::FutureExt;
-use knotlanding::api::workers::{no_answer, pass_on};
+use knotlanding::api::workers::{relay_response, upstream_unavailable};
 use knotlanding::forwarding::messages::{BatchAnswer, HeartbeatBatch, BATCH_VERSION};
 use knotlanding::forwarding::{
-    gather_time, PathFailure, PendingHeartbeat, QueuedHeartbeat, ANSWER_LIMIT, BATCH_LIMIT,
+    batch_delay, PendingHeartbeat, QueuedHeartbeat, UpstreamFailure, ANSWER_LIMIT, BATCH_LIMIT,
 };
 use knotlanding::leader::Role;
 use knotlanding::peer::heartbeats::{answer_batch, BatchError};
@@ -77,7 +77,7 @@
     pub(super) fn forward(&mut self, n: usize) {
         self.give_up_batches(n);
         self.pass_answers_on(n);
-        let gather = gather_time(&self.settings).as_secs_f64();
+        let gather = batch_delay(&self.settings).as_secs_f64();
         if self.t < self.nodes[n].forwarded.batch_at + gather {
             return;
         }
@@ -86,7 +86,7 @@
         let shared = self.nodes[n].shared.clone();
         let role = shared.election.lock().role(now);
         let Role::Follower(Some(leader)) = role else {
-            return shared.forwarding.lock().give_up_queued();
+            return shared.forwarding.lock().drop_queued();
         };
         let to = self
             .nodes
@@ -98,7 +98,7 @@
                 return;
             };
             if self.peers_refuse {
-                let failure = PathFailure::ConnectionRefused;
+                let failure = UpstreamFailure::ConnectionRefused;
                 shared.forwarding.lock().failed(&leader, failure, now);
                 continue;
             }
@@ -204,7 +204,7 @@
             }
             Err(status) => {
                 assert_eq!(status, 409, "only the term or the age can be wrong");
-                let failure = PathFailure::NotLeading;
+                let failure = UpstreamFailure::NotLeading;
                 shared
                     .forwarding
                     .lock()
@@ -224,7 +224,7 @@
                 continue;
             };
             let mut forwarding = node.shared.forwarding.lock();
-            forwarding.failed(&underway.leader, PathFailure::Silent, now);
+            forwarding.failed(&underway.leader, UpstreamFailure::Unresponsive, now);
         }
     }
 
@@ -235,10 +235,10 @@
         for mut each in waiting {
             let waited = now.saturating_duration_since(each.pending.received);
             let answer = match (&mut each.pending.answer).now_or_never() {
-                Some(Ok(answer)) => pass_on(&each.pending, answer, now),
-                Some(Err(_)) => no_answer(&shared, now),
+                Some(Ok(answer)) => relay_response(&each.pending, answer, now),
+                Some(Err(_)) => upstream_unavailable(&shared, now),
                 None if waited >= ANSWER_LIMIT + Duration::from_millis(1) => {
-                    no_answer(&shared, now)
+                    upstream_unavailable(&shared, now)
                 }
                 None => {
                     self.nodes[n].forwarded.waiting.push(each);
--- a/tests/common/world/links.rs
+++ b/tests/common/world/links.rs
@@ -134,7 +134,7 @@
         }
         active.evaluate(now);
         let leads = shared.election.lock().leadership(now);
-        if active.wants_probe(leads.is_some(), now) {
+        if active.needs_write_probe(leads.is_some(), now) {
             self.probe_writes(n);
         }
         if self.peers_refuse {
--- a/tests/formats/peers.rs
+++ b/tests/formats/peers.rs
@@ -11,7 +11,7 @@
 use knotlanding::peer::summary::SUMMARY;
 use knotlanding::peer::{decode, encode, BINCODE};
 use knotlanding::state_summary::{
-    Counts, MachineHint, StateSummary, SummaryContents, SummaryReply,
+    Counts, MachineSummary, StateSummary, SummaryContents, SummaryReply,
 };
 use knotlanding::wire::{ExitCause, Heartbeat, TaskPhase, TaskStatus};
 use knotlanding_links::link::LinkState;
@@ -44,7 +44,7 @@
 
 #[test]
 fn digests_keep_their_form() {
-    let hint = MachineHint {
+    let hint = MachineSummary {
         address: "10.1.0.232:9000".to_owned(),
         epoch: 3,
         images: vec![("img-07".to_owned(), 6.25)],
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -139,7 +139,7 @@
         assert!(image.is_some_and(|(name, _)| name.ends_with("image-059")));
     }
     let mut view = SummaryCache::default();
-    assert!(view.take(knotlanding::peer::decode(&bytes).unwrap()));
+    assert!(view.apply(knotlanding::peer::decode(&bytes).unwrap()));
     assert_eq!(view.hints.len(), MACHINES, "every machine is told");
     assert_eq!(view.counts.len(), 20_000);
     assert!(view
--- a/tests/meetings.rs
+++ b/tests/meetings.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant, SystemTime};
 
 use ciborium::{cbor, Value};
-use knotlanding::api::workers::{receive, Reception};
+use knotlanding::api::workers::{receive, HeartbeatOutcome};
 use knotlanding::cluster::Cluster;
 use knotlanding::config::Settings;
 use knotlanding::leader::{HeldLease, Leadership};
@@ -25,10 +25,10 @@
 use scene::{accepted, array, machine_types};
 
 /// The answer of a node that has nobody to forward the report to.
-fn answered_here(reception: Reception) -> actix_web::HttpResponse {
+fn answered_here(reception: HeartbeatOutcome) -> actix_web::HttpResponse {
     match reception {
-        Reception::Answered(answer) => answer,
-        Reception::Forwarded(pending) => panic!("forwarded: {pending:?}"),
+        HeartbeatOutcome::Answered(answer) => answer,
+        HeartbeatOutcome::Queued(pending) => panic!("forwarded: {pending:?}"),
     }
 }
 
@@ -129,7 +129,7 @@
         };
         let news = self.shared.replica.lock().apply(&[event], 20);
         assert_eq!(news, [ReplicaChange::Job(id)]);
-        self.shared.tell(&news);
+        self.shared.replica_changed(&news);
         self.read();
     }
 
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -557,7 +557,7 @@
 /// with what, is judged on the clock as it is when the answer is given.
 #[test]
 fn a_report_is_answered_by_what_holds_after_a_pause_and_not_by_what_held_before() {
-    use knotlanding::api::workers::{receive, Reception};
+    use knotlanding::api::workers::{receive, HeartbeatOutcome};
     use knotlanding::leader::{HeldLease, Leadership};
     use knotlanding::model::Term;
     use knotlanding::timing::LEASE_TIME_MIN;
@@ -601,7 +601,7 @@
             "loaners" => false, "tenure" => 1, "tally" => 1, "baton" => 0, "strands" => [],
         });
         let body = encode(&heartbeat.unwrap()).into();
-        let Reception::Answered(answer) = receive(&shared, Ok(body), &clock) else {
+        let HeartbeatOutcome::Answered(answer) = receive(&shared, Ok(body), &clock) else {
             panic!("there is nobody to forward it to");
         };
         assert!(looks.get() > 1, "the clock is looked at again");
