--- a/src/actors/election.rs
+++ b/src/actors/election.rs
@@ -83,7 +83,7 @@
     async fn run(self) {
         loop {
             let wait = self.step().await;
-            let woken = self.shared.wake_election.notified();
+            let woken = self.shared.wake_ups.election.notified();
             let due = Instant::now() + wait;
             // Whether woken or not, the next step looks at everything again.
             let _ = actix::clock::timeout(wait, woken).await;
--- a/src/actors/election/recovery.rs
+++ b/src/actors/election/recovery.rs
@@ -52,6 +52,6 @@
         self.store.do_send(SetLeading(true));
         // Starts need a read that is newer than the election.
         self.shared.replica.request_read();
-        self.shared.wake_scheduler.notify_one();
+        self.shared.wake_ups.scheduler.notify_one();
     }
 }
--- a/src/actors/scheduler.rs
+++ b/src/actors/scheduler.rs
@@ -116,7 +116,7 @@
                 due = Some((leadership.term, began + pause.max(CYCLE_INTERVAL_MAX)));
             }
             actix::clock::sleep(pause).await;
-            let woken = self.shared.wake_scheduler.notified();
+            let woken = self.shared.wake_ups.scheduler.notified();
             let _ = actix::clock::timeout(CYCLE_INTERVAL_MAX.saturating_sub(pause), woken).await;
         }
     }
@@ -231,7 +231,7 @@
                 cluster.written(&write.kind, &outcome);
             }
         }
-        self.shared.wake_scheduler.notify_one();
+        self.shared.wake_ups.scheduler.notify_one();
     }
 
     /// Sends terminations directly to a worker. Late or repeated they do no harm, since no attempt is
@@ -289,7 +289,7 @@
                 }
             }
         }
-        self.shared.wake_scheduler.notify_one();
+        self.shared.wake_ups.scheduler.notify_one();
     }
 }
 
