--- a/src/actors/fleet.rs
+++ b/src/actors/fleet.rs
@@ -1,4 +1,5 @@
-//! Owner of the traffic with the cloud: machine types, the list, rentals, returns.
+//! The scaling actor, which has all exchanges with the cloud: the catalog of machine types, the list of
+//! machines, rentals and releases.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -7,39 +8,53 @@
 use tracing::{debug, info, warn};
 
 use super::scheduler::SharedDemand;
-use crate::cluster::{Catalog, Machine};
+use crate::cluster::{Catalog, Cluster, Machine};
 use crate::fleet::client::{CloudClient, CloudError};
 use crate::fleet::listing::MachineListing;
-use crate::fleet::{self, Action, FleetView, Market, ReleaseReason, RENTAL_SIZE_MAX};
+use crate::fleet::{self, Action, CapacityBackoff, FleetView, ReleaseReason, RENTAL_SIZE_MAX};
 use crate::model::{MachineId, MachinePool, Term};
 use crate::rate_limit::TokenBucket;
 use crate::service::Shared;
 use crate::time::secs;
 use crate::wire::RentalRequest;
 
-/// Time between two looks at the fleet.
-const LOOK_EVERY: Duration = Duration::from_secs(1);
-/// Time between two readings of the machine types, whose spot prices move.
-const CATALOG_EVERY: Duration = Duration::from_secs(60);
+/// Time between two scaling cycles.
+const SCALING_INTERVAL: Duration = Duration::from_secs(1);
+/// Time between two readings of the catalog, whose spot prices move.
+const CATALOG_INTERVAL: Duration = Duration::from_secs(60);
 /// Part of the cloud's request limit that the leader uses.
 const RATE_PART: f64 = 0.7;
-/// After taking over, demand is not judged before all machines that are up have reported, or
-/// for this long.
-const SETTLE: Duration = Duration::from_secs(5);
+/// After a failover, nothing is rented or released before all machines that are up have sent a
+/// heartbeat, or for this long.
+const RECONCILIATION_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Time until the next look where less was to be had than was wanted.
-const LOOK_AGAIN: Duration = Duration::from_millis(100);
+/// Time until the next scaling cycle after a rental for which there was too little capacity.
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What a rental brought.
+/// The outcome of a rental request.
 enum RentalOutcome {
-    /// All that was asked for.
-    All,
-    /// Less.
-    Fewer,
-    /// Nothing that is known.
+    /// All machines of the request were rented.
+    Complete,
+    /// Fewer machines, or none.
+    NoCapacity,
+    /// It is not known whether machines were rented, or the request was not sent.
     Unknown,
 }
 
+/// A rental request with an unknown outcome: repeated under the same idempotency key until the cloud
+/// answers.
+struct PendingRental {
+    request: RentalRequest,
+    pool: MachinePool,
+}
+
+/// A release with an unknown outcome: it may yet be carried out, so the machines take no tasks, and
+/// it is repeated until the cloud answers.
+struct PendingRelease {
+    machines: Vec<MachineId>,
+    reason: ReleaseReason,
+}
+
 /// The actor.
 pub struct FleetActor {
     shared: Arc<Shared>,
@@ -48,7 +63,7 @@
 }
 
 impl FleetActor {
-    /// A fleet rented through `cloud`.
+    /// An actor that rents machines through `cloud`.
     pub fn new(shared: Arc<Shared>, cloud: CloudClient, unmet_demand: SharedDemand) -> Self {
         Self {
             shared,
@@ -63,45 +78,46 @@
 
     fn started(&mut self, _: &mut Self::Context) {
         let rps = self.shared.settings.params.cloud.rps;
-        let fleet = Fleet {
+        let scaling = ScalingLoop {
             shared: self.shared.clone(),
             cloud: self.cloud.clone(),
             unmet_demand: self.unmet_demand.clone(),
-            market: Market::default(),
+            capacity_backoff: CapacityBackoff::default(),
             rental_requests: 0,
-            unanswered: Vec::new(),
-            unreturned: Vec::new(),
+            pending_rentals: Vec::new(),
+            pending_releases: Vec::new(),
             term: Term(0),
             catalog_at: None,
             listing: MachineListing::default(),
             calls: TokenBucket::new(rps * RATE_PART, Instant::now()),
         };
-        actix::spawn(fleet.run());
+        actix::spawn(scaling.run());
     }
 }
 
-struct Fleet {
+struct ScalingLoop {
     shared: Arc<Shared>,
     cloud: CloudClient,
     unmet_demand: SharedDemand,
-    market: Market,
+    capacity_backoff: CapacityBackoff,
     rental_requests: u64,
-    /// Rentals without an answer: repeated under the same name until there is one.
-    unanswered: Vec<(RentalRequest, MachinePool)>,
-    /// Returns without an answer: they may yet be carried out, so the machines take no tasks
-    /// and the return is repeated until there is one.
-    unreturned: Vec<(Vec<MachineId>, ReleaseReason)>,
+    pending_rentals: Vec<PendingRental>,
+    pending_releases: Vec<PendingRelease>,
     term: Term,
     catalog_at: Option<Instant>,
     listing: MachineListing,
     calls: TokenBucket,
 }
 
-impl Fleet {
+impl ScalingLoop {
     async fn run(mut self) {
         loop {
-            let more = self.look().await;
-            let pause = if more { LOOK_AGAIN } else { LOOK_EVERY };
+            let retry = self.scale().await;
+            let pause = if retry {
+                RETRY_INTERVAL
+            } else {
+                SCALING_INTERVAL
+            };
             actix::clock::sleep(pause).await;
         }
     }
@@ -110,8 +126,8 @@
         last.is_none_or(|at| at.elapsed() >= every)
     }
 
-    /// Keeps below the cloud's limit; a burst of a second's worth is fine.
-    async fn wait_for_limit(&mut self) {
+    /// Keeps below the cloud's rate limit; a burst of a second's worth is allowed.
+    async fn wait_for_rate_limit(&mut self) {
         loop {
             let wait = self.calls.wait(1.0, Instant::now());
             if wait.is_zero() {
@@ -122,65 +138,60 @@
         self.calls.take(1.0, Instant::now());
     }
 
-    /// One look; whether the next one should follow at once, since what was wanted has to be
-    /// rented elsewhere.
-    async fn look(&mut self) -> bool {
+    /// Runs one scaling cycle; whether the next one should follow at once, since demand has to be met
+    /// from other pools.
+    async fn scale(&mut self) -> bool {
         let leading = self.shared.election.lock().leadership(Instant::now());
         let known = self.shared.catalog.lock().is_some();
-        // Followers need the types too, to tell which jobs can never run, but not the prices.
-        let wanted = !known || leading.is_some();
-        if wanted && Self::due(self.catalog_at, CATALOG_EVERY) {
+        // Followers need the machine types, too, to reject jobs that can never run, but not the prices.
+        let needed = !known || leading.is_some();
+        if needed && Self::due(self.catalog_at, CATALOG_INTERVAL) {
             self.read_catalog().await;
         }
         let Some(leadership) = leading else {
-            self.unanswered.clear();
-            self.unreturned.clear();
+            self.pending_rentals.clear();
+            self.pending_releases.clear();
             return false;
         };
         if leadership.term != self.term {
             self.term = leadership.term;
-            self.unanswered.clear();
-            self.unreturned.clear();
+            self.pending_rentals.clear();
+            self.pending_releases.clear();
             self.listing.reset();
         }
         self.read_list().await;
-        for (request, pool) in std::mem::take(&mut self.unanswered) {
-            self.request_rental(request, pool).await;
+        for rental in std::mem::take(&mut self.pending_rentals) {
+            self.request_rental(rental).await;
         }
-        for (ids, reason) in std::mem::take(&mut self.unreturned) {
-            self.release(ids, reason).await;
+        for release in std::mem::take(&mut self.pending_releases) {
+            self.release(release).await;
         }
-        let mut more = false;
+        let mut retry = false;
         for action in self.plan() {
-            if self
-                .shared
-                .election
-                .lock()
-                .leadership(Instant::now())
-                .is_none()
-            {
+            if !self.is_leader() {
                 return false;
             }
             match action {
-                Action::Rent(pool, count) => more |= self.rent(pool, count).await,
-                Action::Return(ids, reason) => self.release(ids, reason).await,
+                Action::Rent(pool, count) => retry |= self.rent(pool, count).await,
+                Action::Release(machines, reason) => {
+                    self.release(PendingRelease { machines, reason }).await;
+                }
             }
         }
-        more
+        retry
     }
 
-    /// Rents, in as many requests as it takes while they are filled; whether there was less
-    /// to be had.
+    /// Whether this controller leads, in any term.
+    fn is_leader(&self) -> bool {
+        let leadership = self.shared.election.lock().leadership(Instant::now());
+        leadership.is_some()
+    }
+
+    /// Rents machines, in as many requests as it takes while they are fulfilled; whether the pool had
+    /// too little capacity.
     async fn rent(&mut self, pool: MachinePool, count: u32) -> bool {
         let mut left = count;
-        while left > 0
-            && self
-                .shared
-                .election
-                .lock()
-                .leadership(Instant::now())
-                .is_some()
-        {
+        while left > 0 && self.is_leader() {
             self.rental_requests += 1;
             let request = RentalRequest {
                 // A term has one leader, and a leader counts its rentals.
@@ -191,9 +202,10 @@
                 count: left.min(RENTAL_SIZE_MAX),
             };
             left -= request.count;
-            match self.request_rental(request, pool.clone()).await {
-                RentalOutcome::All => {}
-                RentalOutcome::Fewer => return true,
+            let pool = pool.clone();
+            match self.request_rental(PendingRental { request, pool }).await {
+                RentalOutcome::Complete => {}
+                RentalOutcome::NoCapacity => return true,
                 RentalOutcome::Unknown => return false,
             }
         }
@@ -201,7 +213,7 @@
     }
 
     async fn read_catalog(&mut self) {
-        self.wait_for_limit().await;
+        self.wait_for_rate_limit().await;
         match self.cloud.catalog().await {
             Ok(machine_types) => {
                 self.catalog_at = Some(Instant::now());
@@ -212,7 +224,7 @@
                 }
                 self.shared.wake_election.notify_one();
             }
-            Err(error) => debug!(%error, "cannot read the machine types"),
+            Err(error) => debug!(%error, "catalog not read"),
         }
     }
 
@@ -227,11 +239,11 @@
                 return;
             }
             first = false;
-            self.wait_for_limit().await;
+            self.wait_for_rate_limit().await;
             let page = match self.cloud.list_page(self.listing.after()).await {
                 Ok(page) => page,
                 Err(error) => {
-                    debug!(%error, "cannot read the machine list");
+                    debug!(%error, "machine list not read");
                     self.listing.abandon();
                     return;
                 }
@@ -255,104 +267,122 @@
             return Vec::new();
         };
         let unheard = cluster.machines.values().any(Machine::expected);
-        if unheard && now.saturating_duration_since(cluster.since) < SETTLE {
+        if unheard && now.saturating_duration_since(cluster.since) < RECONCILIATION_TIMEOUT {
             return Vec::new();
         }
-        fleet::see_cuts(cluster, now);
+        fleet::detect_partitions(cluster, now);
         let policy = &self.shared.policy;
         let actions = fleet::plan(&FleetView {
             cluster,
             policy,
             unmet_demand: &unmet_demand,
-            market: &self.market,
+            capacity_backoff: &self.capacity_backoff,
             idle_policy,
             now,
         });
         for action in &actions {
-            if let Action::Return(ids, _) = action {
-                for id in ids {
-                    if let Some(machine) = cluster.machines.get_mut(id) {
-                        machine.releasing = true;
-                    }
-                }
+            if let Action::Release(machines, _) = action {
+                set_releasing(cluster, machines, true);
             }
         }
         actions
     }
 
-    /// Whether the term for which this was decided still lasts. Asked right before each request:
-    /// the pace, the one before, or standing still may have taken longer than the lead lasts.
+    /// Whether the term for which this was decided still lasts. Checked right before each request: the
+    /// rate limit, the request before, or a pause of the process may have outlasted the leadership.
     fn leads(&self) -> bool {
         let leadership = self.shared.election.lock().leadership(Instant::now());
         leadership.is_some_and(|leadership| leadership.term == self.term)
     }
 
-    async fn request_rental(&mut self, request: RentalRequest, pool: MachinePool) -> RentalOutcome {
-        self.wait_for_limit().await;
+    async fn request_rental(&mut self, rental: PendingRental) -> RentalOutcome {
+        self.wait_for_rate_limit().await;
         if !self.leads() {
             return RentalOutcome::Unknown;
         }
-        let outcome = self.cloud.rent(&request).await;
+        let PendingRental { request, pool } = &rental;
+        let outcome = self.cloud.rent(request).await;
         let now = Instant::now();
         match outcome {
-            Ok(names) => {
-                info!(request = %request.request, machine_type = %request.machine_type, zone = %request.zone,
-                    spot = request.spot, wanted = request.count, got = names.len(), "rented");
-                let fewer = (names.len() as u32) < request.count;
-                if fewer {
-                    self.market.exhausted(&pool, now);
-                }
-                self.shared.metrics.lock().counts.rented += names.len() as u64;
-                if let Some(cluster) = self.shared.cluster.lock().as_mut() {
-                    cluster.machines_rented(&names, &pool, now);
-                }
-                if fewer {
-                    RentalOutcome::Fewer
-                } else {
-                    RentalOutcome::All
-                }
-            }
+            Ok(names) => self.machines_rented(&names, &rental, now),
             Err(CloudError::NoCapacity) => {
-                info!(machine_type = %request.machine_type, zone = %request.zone, spot = request.spot, "no capacity");
-                self.market.exhausted(&pool, now);
-                RentalOutcome::Fewer
+                info!(machine_type = %pool.machine_type, zone = %pool.zone, spot = pool.spot, "no capacity in pool");
+                self.capacity_backoff.exhausted(pool, now);
+                RentalOutcome::NoCapacity
             }
             Err(CloudError::Unknown) => {
-                warn!(request = %request.request, "no answer to a rental; it will be repeated");
-                self.unanswered.push((request, pool));
+                warn!(request = %request.request, "rental outcome unknown");
+                self.pending_rentals.push(rental);
                 RentalOutcome::Unknown
             }
             Err(error) => {
-                debug!(%error, "rental failed");
+                debug!(%error, request = %request.request, "rental failed");
                 RentalOutcome::Unknown
             }
         }
     }
 
-    async fn release(&mut self, ids: Vec<MachineId>, reason: ReleaseReason) {
-        self.wait_for_limit().await;
+    fn machines_rented(
+        &mut self,
+        names: &[String],
+        rental: &PendingRental,
+        now: Instant,
+    ) -> RentalOutcome {
+        let PendingRental { request, pool } = rental;
+        info!(
+            request = %request.request,
+            machine_type = %request.machine_type,
+            zone = %request.zone,
+            spot = request.spot,
+            requested = request.count,
+            rented = names.len(),
+            "machines rented"
+        );
+        let complete = names.len() as u32 >= request.count;
+        if !complete {
+            self.capacity_backoff.exhausted(pool, now);
+        }
+        self.shared.metrics.lock().counts.rented += names.len() as u64;
+        if let Some(cluster) = self.shared.cluster.lock().as_mut() {
+            cluster.machines_rented(names, pool, now);
+        }
+        if complete {
+            RentalOutcome::Complete
+        } else {
+            RentalOutcome::NoCapacity
+        }
+    }
+
+    async fn release(&mut self, release: PendingRelease) {
+        self.wait_for_rate_limit().await;
         if !self.leads() {
-            // Should we lead again in this term, it is still to be done.
-            self.unreturned.push((ids, reason));
+            // Should this controller lead again in this term, the release is still due.
+            self.pending_releases.push(release);
             return;
         }
-        match self.cloud.release(&ids).await {
+        let PendingRelease { machines, reason } = &release;
+        match self.cloud.release(machines).await {
             Ok(()) => {
-                info!(machines = ?ids, %reason, "machines released");
-                self.shared.metrics.lock().counts.returned += ids.len() as u64;
-                self.shared.machine_gone(&ids);
+                info!(?machines, %reason, "machines released");
+                self.shared.metrics.lock().counts.returned += machines.len() as u64;
+                self.shared.machine_gone(machines);
             }
-            Err(CloudError::Unknown) => self.unreturned.push((ids, reason)),
+            Err(CloudError::Unknown) => self.pending_releases.push(release),
             Err(error) => {
-                debug!(%error, machines = ?ids, "release failed");
+                debug!(%error, ?machines, "release failed");
                 if let Some(cluster) = self.shared.cluster.lock().as_mut() {
-                    for id in &ids {
-                        if let Some(machine) = cluster.machines.get_mut(id) {
-                            machine.releasing = false;
-                        }
-                    }
+                    set_releasing(cluster, machines, false);
                 }
             }
         }
     }
 }
+
+/// Marks machines as being released, or ends that.
+fn set_releasing(cluster: &mut Cluster, machines: &[MachineId], releasing: bool) {
+    for id in machines {
+        if let Some(machine) = cluster.machines.get_mut(id) {
+            machine.releasing = releasing;
+        }
+    }
+}
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,74 +1,49 @@
-//! The fleet: what to rent, what to return. Pure decisions here, the cloud's protocol in
-//! [`client`].
+//! Scaling of the fleet: which machines to rent for demand, and which to release. Pure decisions
+//! here, the cloud's protocol in [`client`].
 
+pub mod capacity_backoff;
 pub mod client;
-mod idle;
+mod demand;
 pub mod listing;
-mod lost;
-mod planner;
+mod partition;
 mod release_reason;
+mod scale_in;
+mod scale_out;
 
-use std::collections::{BTreeMap, HashMap, HashSet};
-use std::time::{Duration, Instant};
+use std::collections::{BTreeMap, HashSet};
+use std::time::Instant;
 
+pub use capacity_backoff::CapacityBackoff;
+pub use partition::detect_partitions;
+pub use release_reason::ReleaseReason;
+
+use self::demand::ArrivalTrend;
+use self::scale_out::ScaleOutPlanner;
 use crate::cluster::Cluster;
 use crate::demand::UnmetDemand;
 use crate::model::{MachineId, MachinePool};
 use crate::policy::SchedulingPolicy;
-pub use lost::see_cuts;
-use planner::Planner;
-pub use release_reason::ReleaseReason;
 
 /// Most machines in one rental request, by the cloud's protocol.
 pub const RENTAL_SIZE_MAX: u32 = 50;
-/// Most names in one return, by the cloud's protocol.
-pub const RETURN_SIZE_MAX: usize = 100;
-/// How long a type, zone and kind that had nothing to give is not asked again.
-const NO_CAPACITY_RETRY_DELAY: Duration = Duration::from_secs(15);
-/// How long a refusal counts against the hope to get such a machine again.
-const REFUSAL_REMEMBERED: Duration = Duration::from_secs(120);
+/// Most machines in one release request, by the cloud's protocol.
+pub const RELEASE_SIZE_MAX: usize = 100;
 
 /// What the fleet decides.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Rent so many.
+    /// Rent so many machines of a pool.
     Rent(MachinePool, u32),
-    /// Return these, with the reason.
-    Return(Vec<MachineId>, ReleaseReason),
-}
-
-/// What is known of the market: who had nothing to give, and until when not to ask again.
-#[derive(Debug, Default)]
-pub struct Market {
-    empty_until: HashMap<MachinePool, Instant>,
-    refused: HashMap<MachinePool, Instant>,
-}
-
-impl Market {
-    /// The offer had nothing, or less than asked for.
-    pub fn exhausted(&mut self, pool: &MachinePool, now: Instant) {
-        let until = now + NO_CAPACITY_RETRY_DELAY;
-        self.empty_until.insert(pool.clone(), until);
-        self.refused.insert(pool.clone(), now);
-    }
-
-    /// Whether it had something the last time, as far as is remembered.
-    fn likely(&self, pool: &MachinePool, now: Instant) -> bool {
-        let at = self.refused.get(pool);
-        at.is_none_or(|at| now.saturating_duration_since(*at) > REFUSAL_REMEMBERED)
-    }
-
-    fn asks(&self, pool: &MachinePool, now: Instant) -> bool {
-        self.empty_until.get(pool).is_none_or(|until| now >= *until)
-    }
+    /// Release these machines.
+    Release(Vec<MachineId>, ReleaseReason),
 }
 
-/// Operators' say in the fleet.
+/// Operators' settings of how long idle machines and how much spare capacity are kept.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct IdlePolicy {
     /// Idle machines are kept for this many times what a new one would take to be as useful.
     pub idle_factor: f64,
-    /// Spare room kept for classes that have to start soon, as a part of what may arrive.
+    /// Spare capacity kept for urgent classes, as a part of what may arrive.
     pub spare_factor: f64,
 }
 
@@ -81,67 +56,76 @@
     }
 }
 
-/// What one decision about the fleet is made from.
+/// What a scaling decision is made from.
 #[derive(Debug, Clone, Copy)]
 pub struct FleetView<'a> {
     /// The cluster state.
     pub cluster: &'a Cluster,
-    /// What of the settings matters.
+    /// The scheduling policy.
     pub policy: &'a SchedulingPolicy,
-    /// What the last round was short of.
+    /// The unmet demand of the last scheduling cycle.
     pub unmet_demand: &'a [UnmetDemand],
-    /// What is known of the market.
-    pub market: &'a Market,
-    /// Operators' say.
+    /// Pools that had no capacity lately.
+    pub capacity_backoff: &'a CapacityBackoff,
+    /// Operators' settings.
     pub idle_policy: IdlePolicy,
     /// The time.
     pub now: Instant,
 }
 
-/// What to rent and return now.
+/// A machine to be released.
+#[derive(Debug, Clone, PartialEq, Eq)]
+struct Release {
+    machine: MachineId,
+    reason: ReleaseReason,
+}
+
+/// The machines to rent and to release now.
 pub fn plan(fleet_view: &FleetView) -> Vec<Action> {
+    let FleetView { cluster, now, .. } = *fleet_view;
+    let failed = scale_in::failed::machines(cluster, now);
+    let releasing: HashSet<MachineId> = failed.iter().map(|r| r.machine.clone()).collect();
+    let trend = ArrivalTrend::of(cluster, now);
+    let mut planner = ScaleOutPlanner::new(fleet_view, &releasing);
+    place_demand(fleet_view, &mut planner);
+    planner.reserve_spare_capacity(&trend, fleet_view.idle_policy);
+    let (rentals, mut kept) = planner.into_plan();
+    kept.extend(releasing);
+    let idle = scale_in::idle::machines(fleet_view, &trend, &kept);
+    let mut by_reason: BTreeMap<ReleaseReason, Vec<MachineId>> = BTreeMap::new();
+    for Release { machine, reason } in failed.into_iter().chain(idle) {
+        by_reason.entry(reason).or_default().push(machine);
+    }
+    let mut actions: Vec<Action> = rentals
+        .into_iter()
+        .map(|(pool, count)| Action::Rent(pool, count))
+        .collect();
+    for (reason, machines) in by_reason {
+        let chunks = machines.chunks(RELEASE_SIZE_MAX);
+        actions.extend(chunks.map(|chunk| Action::Release(chunk.to_vec(), reason)));
+    }
+    actions
+}
+
+/// Places the unmet demand on capacity that is free or will be. Urgent jobs do not wait for
+/// running tasks to complete.
+fn place_demand(fleet_view: &FleetView, planner: &mut ScaleOutPlanner) {
     let FleetView {
-        cluster,
         policy,
         unmet_demand,
-        idle_policy,
-        now,
         ..
     } = *fleet_view;
-    let mut actions = Vec::new();
-    let lost = lost::machines(cluster, now);
-    let leaving: HashSet<MachineId> = lost.iter().map(|(id, _)| id.clone()).collect();
-    let mut by_reason: BTreeMap<ReleaseReason, Vec<MachineId>> = BTreeMap::new();
-    for (id, why) in lost {
-        by_reason.entry(why).or_default().push(id);
+    let (urgent, patient): (Vec<&UnmetDemand>, Vec<&UnmetDemand>) =
+        unmet_demand.iter().partition(|demand| {
+            let spec = &demand.spec;
+            policy.is_urgent(&spec.class, planner.quickest_boot(spec))
+        });
+    for demand in urgent {
+        planner.place(demand);
     }
-    let mut planner = Planner::new(fleet_view, &leaving);
-    // Who has to start soon is not made to wait for others to finish.
-    let (prompt, patient): (Vec<&UnmetDemand>, Vec<&UnmetDemand>) = unmet_demand
-        .iter()
-        .partition(|want| policy.is_urgent(&want.spec.class, planner.quickest_boot(&want.spec)));
-    for want in prompt {
-        planner.place_want(want);
+    planner.include_releases();
+    for demand in patient {
+        planner.place(demand);
     }
-    planner.count_on_departures();
-    for want in patient {
-        planner.place_want(want);
-    }
-    planner.forget_departures();
-    let demand = idle::Demand::of(cluster, now);
-    let kept = planner.keep_spare(&demand, idle_policy);
-    let rents = planner.rents();
-    let idle = idle::machines(fleet_view, &demand, &kept, &leaving);
-    for (id, why) in idle {
-        by_reason.entry(why).or_default().push(id);
-    }
-    for (pool, count) in rents {
-        actions.push(Action::Rent(pool, count));
-    }
-    for (why, ids) in by_reason {
-        for chunk in ids.chunks(RETURN_SIZE_MAX) {
-            actions.push(Action::Return(chunk.to_vec(), why));
-        }
-    }
-    actions
+    planner.exclude_releases();
 }
--- a/tests/common/scene.rs
+++ b/tests/common/scene.rs
@@ -10,7 +10,7 @@
     AddressedCommand, Cluster, HeartbeatSource, RecordKind, Sent, Verified,
 };
 use knotlanding::config::Settings;
-use knotlanding::fleet::{self, Action, FleetView, IdlePolicy, Market};
+use knotlanding::fleet::{self, Action, CapacityBackoff, FleetView, IdlePolicy};
 use knotlanding::model::{
     FencingToken, JobId, JobKind, JobSpec, MachineId, MachineType, Priority, Resources, Term,
     Verdict,
@@ -395,21 +395,21 @@
     }
 
     pub fn fleet(&mut self, decisions: &Decisions) {
-        fleet::see_cuts(&mut self.cluster, self.now);
-        let market = Market::default();
+        fleet::detect_partitions(&mut self.cluster, self.now);
+        let market = CapacityBackoff::default();
         let idle_policy = IdlePolicy::default();
         let actions = fleet::plan(&FleetView {
             cluster: &self.cluster,
             policy: &self.policy,
             unmet_demand: &decisions.unmet_demand,
-            market: &market,
+            capacity_backoff: &market,
             idle_policy,
             now: self.now,
         });
         for action in actions {
             let shown = match action {
                 Action::Rent(pool, count) => format!("Rent({pool:?}, {count})"),
-                Action::Return(ids, reason) => format!("Return({ids:?}, {:?})", reason.as_str()),
+                Action::Release(ids, reason) => format!("Return({ids:?}, {:?})", reason.as_str()),
             };
             self.note(&format!("fleet: {shown}"));
         }
--- a/tests/common/world.rs
+++ b/tests/common/world.rs
@@ -41,7 +41,7 @@
 };
 use knotlanding::config::{Peer, Settings, WorkerSettings};
 use knotlanding::demand::UnmetDemand;
-use knotlanding::fleet::{self, Action, FleetView, IdlePolicy, Market};
+use knotlanding::fleet::{self, Action, CapacityBackoff, FleetView, IdlePolicy};
 use knotlanding::leader::{HeldLease, Leadership};
 use knotlanding::model::{
     FencingToken, JobId, JobKind, JobSpec, MachineId, MachinePool, Resources, Term, Verdict,
--- a/tests/common/world/controllers.rs
+++ b/tests/common/world/controllers.rs
@@ -20,7 +20,7 @@
     pub(super) rest_until: f64,
     pub(super) fleet_at: f64,
     pub(super) unmet_demand: Vec<UnmetDemand>,
-    pub(super) market: Market,
+    pub(super) market: CapacityBackoff,
     pub(super) held: Vec<Mail>,
     pub(super) forwarded: Forwarded,
     pub(super) links: NodeLinks,
@@ -58,7 +58,7 @@
             rest_until: 0.0,
             fleet_at: self.t + 1.0,
             unmet_demand: Vec::new(),
-            market: Market::default(),
+            market: CapacityBackoff::default(),
             held: Vec::new(),
             forwarded: Forwarded::default(),
             links: NodeLinks::default(),
@@ -431,17 +431,17 @@
             if unheard && now.saturating_duration_since(cluster.since) < Duration::from_secs(5) {
                 return;
             }
-            fleet::see_cuts(cluster, now);
+            fleet::detect_partitions(cluster, now);
             let actions = fleet::plan(&FleetView {
                 cluster,
                 policy: &self.policy,
                 unmet_demand: &self.nodes[n].unmet_demand,
-                market: &self.nodes[n].market,
+                capacity_backoff: &self.nodes[n].market,
                 idle_policy: IdlePolicy::default(),
                 now,
             });
             for action in &actions {
-                if let Action::Return(ids, _) = action {
+                if let Action::Release(ids, _) = action {
                     for id in ids {
                         if let Some(machine) = cluster.machines.get_mut(id) {
                             machine.releasing = true;
@@ -454,7 +454,7 @@
         for action in actions {
             match action {
                 Action::Rent(pool, count) => self.send(Mail::Rent(n, incarnation, pool, count)),
-                Action::Return(ids, _) => self.send(Mail::Return(n, incarnation, ids)),
+                Action::Release(ids, _) => self.send(Mail::Return(n, incarnation, ids)),
             }
         }
     }
