--- a/src/actors/scheduler.rs
+++ b/src/actors/scheduler.rs
@@ -11,10 +11,10 @@
 use tokio::sync::Semaphore;
 use tracing::{debug, info};
 
-use crate::cluster::{AddressedCommand, HeartbeatSource, RecordWrite, Verified};
+use crate::cluster::{AddressedCommand, Cluster, HeartbeatSource, RecordWrite, Verified};
 use crate::demand::UnmetDemand;
 use crate::leader::Leadership;
-use crate::model::{FencingToken, Term};
+use crate::model::{FencingToken, MachineId, Term};
 use crate::pending_reason::PendingReason;
 use crate::sched::{self, Decisions};
 use crate::service::Shared;
@@ -98,6 +98,15 @@
     direct_commands: Semaphore,
 }
 
+/// What a scheduling cycle leaves to be done without the cluster state.
+struct CycleOutcome {
+    direct_commands: Vec<AddressedCommand>,
+    /// How long jobs were pending whose first start was seen since the last cycle.
+    start_waits: Vec<Duration>,
+    /// How long it took to reconcile all machines after a failover, if that has just ended.
+    reconciled_after: Option<Duration>,
+}
+
 impl SchedulerLoop {
     async fn run(self: Rc<Self>) {
         // The term of the cycle before and when the next one was due.
@@ -135,78 +144,89 @@
         }
     }
 
+    /// Runs one scheduling cycle, writes the records it needs and sends its direct commands.
     fn run_cycle(self: &Rc<Self>, leadership: &Leadership, now: Instant) {
-        let refusal = self.shared.links.placement_refusal();
-        let starting = refusal.is_none()
-            && self
-                .shared
-                .election
-                .lock()
-                .leadership_for_starts(now)
-                .is_some();
-        let (direct, waits, settled) = {
-            let mut guard = self.shared.cluster.lock();
-            let Some(cluster) = guard.as_mut().filter(|c| c.term == leadership.term) else {
-                return;
-            };
-            self.shared.drain_by_operator(cluster);
-            cluster.expire(now);
-            // Nothing is decided of jobs that may have been cancelled unseen; what was decided
-            // before goes on.
-            let decisions = if starting {
-                sched::run_cycle(cluster, &self.shared.policy, now)
-            } else {
-                let reason = refusal.map_or(PendingReason::StaleReplica, PendingReason::Gate);
-                cluster.set_pending_reason(reason);
-                Decisions::default()
-            };
-            sched::apply(cluster, &decisions, now);
-            cluster.dirty = false;
-            let starts: usize = decisions.starts.iter().map(|s| s.members.len()).sum();
-            let stops = decisions.terminations.len() + decisions.gang_restarts.len();
-            if starts + stops > 0 {
-                let unreconciled = cluster.unreconciled.len();
-                info!(
-                    starts,
-                    stops,
-                    unmet_demand = decisions.unmet_demand.len(),
-                    unreconciled,
-                    "scheduling cycle"
-                );
-                let mut metrics = self.shared.metrics.lock();
-                metrics.counts.starts += starts as u64;
-                metrics.counts.stops += stops as u64;
-            }
-            if starting {
-                *self.unmet_demand.lock() = decisions.unmet_demand;
-            }
-            let direct = cluster.direct_commands(now);
-            let waits = std::mem::take(&mut cluster.waits);
-            (direct, waits, cluster.take_settled_after(now))
+        let Some(outcome) = self.decide(leadership, now) else {
+            return;
         };
         let writes = self.due_writes(leadership, now);
-        let (commands, records) = (direct.len() as u64, writes.len() as u64);
+        let commands = outcome.direct_commands;
+        let (commands_sent, records_written) = (commands.len() as u64, writes.len() as u64);
         for write in writes {
             actix::spawn(self.clone().write(leadership.clone(), write));
         }
-        for command in direct {
+        for command in commands {
             actix::spawn(self.clone().command(command));
         }
         let mut metrics = self.shared.metrics.lock();
         metrics.add_round(now.elapsed());
-        metrics.counts.direct_commands += commands;
-        metrics.counts.records_written += records;
-        if let Some(settled) = settled {
-            metrics.failovers.add(settled);
+        metrics.counts.direct_commands += commands_sent;
+        metrics.counts.records_written += records_written;
+        if let Some(reconciled_after) = outcome.reconciled_after {
+            metrics.failovers.add(reconciled_after);
         }
-        for wait in waits {
+        for wait in outcome.start_waits {
             metrics.waits.add(wait);
         }
     }
 
+    /// Decides and applies the decisions to the cluster state, if that is of the present term.
+    fn decide(&self, leadership: &Leadership, now: Instant) -> Option<CycleOutcome> {
+        let refusal = self.shared.links.placement_refusal();
+        let starting = refusal.is_none()
+            && self
+                .shared
+                .election
+                .lock()
+                .leadership_for_starts(now)
+                .is_some();
+        let mut guard = self.shared.cluster.lock();
+        let cluster = guard.as_mut().filter(|c| c.term == leadership.term)?;
+        self.shared.drain_by_operator(cluster);
+        cluster.expire(now);
+        // Nothing is decided of jobs that may have been cancelled unseen; what was decided
+        // before goes on.
+        let decisions = if starting {
+            sched::run_cycle(cluster, &self.shared.policy, now)
+        } else {
+            let reason = refusal.map_or(PendingReason::StaleReplica, PendingReason::Gate);
+            cluster.set_pending_reason(reason);
+            Decisions::default()
+        };
+        sched::apply(cluster, &decisions, now);
+        cluster.dirty = false;
+        self.count(&decisions, cluster);
+        if starting {
+            *self.unmet_demand.lock() = decisions.unmet_demand;
+        }
+        Some(CycleOutcome {
+            direct_commands: cluster.direct_commands(now),
+            start_waits: std::mem::take(&mut cluster.waits),
+            reconciled_after: cluster.take_settled_after(now),
+        })
+    }
+
+    fn count(&self, decisions: &Decisions, cluster: &Cluster) {
+        let starts: usize = decisions.starts.iter().map(|s| s.members.len()).sum();
+        let stops = decisions.terminations.len() + decisions.gang_restarts.len();
+        if starts + stops == 0 {
+            return;
+        }
+        info!(
+            starts,
+            stops,
+            unmet_demand = decisions.unmet_demand.len(),
+            unreconciled = cluster.unreconciled.len(),
+            "scheduling cycle"
+        );
+        let mut metrics = self.shared.metrics.lock();
+        metrics.counts.starts += starts as u64;
+        metrics.counts.stops += stops as u64;
+    }
+
     fn due_writes(&self, leadership: &Leadership, now: Instant) -> Vec<RecordWrite> {
-        let rest = *self.writes_backoff_until.lock();
-        if rest.is_some_and(|until| now < until) {
+        let backoff = *self.writes_backoff_until.lock();
+        if backoff.is_some_and(|until| now < until) {
             return Vec::new();
         }
         let replica = self.shared.replica.lock();
@@ -234,8 +254,8 @@
         self.shared.wake_scheduler.notify_one();
     }
 
-    /// Sends terminations directly to a worker. Late or repeated they do no harm, since no attempt is
-    /// ever used twice.
+    /// Sends a direct command to a worker: terminations, or a raised token that makes it send a
+    /// heartbeat. Late or repeated it does no harm, since no attempt is ever used twice.
     async fn command(self: Rc<Self>, direct: AddressedCommand) {
         let AddressedCommand {
             machine,
@@ -247,8 +267,9 @@
             return;
         };
         // Waiting for a permit, or a pause of the process, may have outlasted the leadership.
+        let term = FencingToken(body.token).term();
         let leading = self.shared.election.lock().leadership(Instant::now());
-        if leading.is_none_or(|leadership| leadership.term != FencingToken(body.token).term()) {
+        if leading.is_none_or(|leadership| leadership.term != term) {
             return;
         }
         let sent_at = Instant::now();
@@ -278,11 +299,22 @@
         let Ok(heartbeat) = wire::decode::<Heartbeat>(&bytes) else {
             return;
         };
+        self.command_answered(&machine, term, &heartbeat, sent_at);
+    }
+
+    /// Takes the heartbeat with which a worker answers a direct command.
+    fn command_answered(
+        &self,
+        machine: &MachineId,
+        term: Term,
+        heartbeat: &Heartbeat,
+        sent_at: Instant,
+    ) {
         let now = Instant::now();
         if let Some(cluster) = self.shared.cluster.lock().as_mut() {
-            if cluster.term == FencingToken(body.token).term() {
-                let verified =
-                    cluster.apply_heartbeat(&heartbeat, HeartbeatSource::Command(sent_at), now);
+            if cluster.term == term {
+                let source = HeartbeatSource::Command(sent_at);
+                let verified = cluster.apply_heartbeat(heartbeat, source, now);
                 debug!(%machine, ?verified, "direct command answered");
                 if verified == Verified::Deposed {
                     return;
--- a/src/model.rs
+++ b/src/model.rs
@@ -1,4 +1,4 @@
-//! The field's terms: job, task, gang, team, machine, attempt.
+//! The model of the cluster: jobs, tasks, gangs, teams, machines and attempts.
 
 use std::fmt;
 use std::sync::Arc;
@@ -12,10 +12,10 @@
 
 impl JobId {
     const PREFIX: &'static str = "wk-";
-    /// Longest run of digits taken: more would not fit any counter.
+    /// Most digits accepted: more would not fit any counter.
     const ID_DIGITS_MAX: usize = 19;
 
-    /// Reads an id, refusing every other form.
+    /// Parses an id; rejects every other form.
     pub fn parse(text: &str) -> Option<Self> {
         let digits = text.strip_prefix(Self::PREFIX)?;
         let fits = !digits.is_empty() && digits.len() <= Self::ID_DIGITS_MAX;
@@ -50,7 +50,7 @@
 }
 
 impl TaskId {
-    /// Reads `job/number`.
+    /// Parses `job/number`.
     pub fn parse(text: &str) -> Option<Self> {
         let (job, index) = text.split_once('/')?;
         Some(Self {
@@ -88,13 +88,12 @@
     }
 }
 
-/// Tells one start of a task, or of a whole gang, from every other: the term, then a counter.
+/// An attempt to run a task or a whole gang, unique among all attempts: the term, then a counter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Attempt(pub u64);
 
 impl Attempt {
-    /// Bits left to the counter; a term would have to start four thousand million tasks to
-    /// run out of them.
+    /// Bits of the counter; a term would have to start four thousand million tasks to run out of them.
     const COUNTER_BITS: u32 = 32;
 
     /// The `count`th attempt of a term. No two terms share an attempt, so none is stored.
@@ -103,15 +102,15 @@
     }
 }
 
-/// The leader's term; workers know it as their token.
+/// The term of a leader.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Term(pub u64);
 
-/// What workers compare to tell who may command them: a term, and a count within it. A leader
-/// may raise the count for one machine, which makes the worker report at once; another term's
-/// tokens are all lower or all higher.
+/// The fencing token by which workers reject commands of deposed leaders: a term, and a count within
+/// it. A leader may raise the count for one machine, which makes the worker send a heartbeat at
+/// once; another term's tokens are all lower or all higher.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FencingToken(pub u64);
 
@@ -136,18 +135,18 @@
     }
 }
 
-/// How tasks of a job belong together.
+/// The kind of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobKind {
     /// Independent tasks, each a gang of one.
     Array,
-    /// All at once or none.
+    /// Tasks that run all at the same time or not at all.
     Gang,
     /// Independent tasks that run until their user cancels the job.
     Service,
 }
 
-/// Priority, lowest first so that the derived order is the field's.
+/// Priority class, lowest first so that the derived order is that of priorities.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Priority {
     /// `best_effort`
@@ -160,7 +159,7 @@
     Production,
 }
 
-/// An amount of a machine.
+/// Amounts of the resources of a machine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Resources {
     /// Processors.
@@ -182,21 +181,21 @@
             && self.memory <= free.memory + ROUNDING
     }
 
-    /// Adds.
+    /// Adds other amounts.
     pub fn add(&mut self, other: &Resources) {
         self.cpus += other.cpus;
         self.gpus += other.gpus;
         self.memory += other.memory;
     }
 
-    /// Takes away.
+    /// Subtracts other amounts.
     pub fn sub(&mut self, other: &Resources) {
         self.cpus -= other.cpus;
         self.gpus -= other.gpus;
         self.memory -= other.memory;
     }
 
-    /// The amount of `n` alike.
+    /// These amounts `n` times.
     pub fn times(&self, n: u32) -> Resources {
         let n = f64::from(n);
         Resources {
@@ -227,11 +226,11 @@
 pub struct JobSpec {
     /// Its id.
     pub id: JobId,
-    /// Class of jobs.
+    /// Its job class.
     pub class: String,
-    /// Whose guarantee and limit apply.
+    /// The team whose quota applies.
     pub team: String,
-    /// Array or gang.
+    /// Array, gang or service.
     #[serde(rename = "shape")]
     pub kind: JobKind,
     /// Priority.
@@ -239,7 +238,7 @@
     pub priority: Priority,
     /// Number of tasks.
     pub tasks: u32,
-    /// What each task takes.
+    /// What each task needs.
     #[serde(rename = "need")]
     pub task_resources: Resources,
     /// Machine types allowed; `None`: any.
@@ -255,19 +254,19 @@
     pub zone_spread: bool,
     /// May use spot machines.
     pub spot: bool,
-    /// Image to be fetched first.
+    /// Its image, pulled before a task runs.
     pub image: String,
     /// Its size in GB.
     pub image_gb: f64,
     /// The owner's estimate of a task's run time, in seconds.
     pub estimate_s: f64,
-    /// Progress between two checkpoints; 0: never saves.
+    /// Seconds of progress between two checkpoints; 0: no checkpoints.
     #[serde(rename = "checkpoint_s")]
     pub checkpoint_interval_s: f64,
-    /// Time to save when stopped.
+    /// Seconds that a checkpoint takes.
     #[serde(rename = "save_s")]
     pub checkpoint_cost_s: f64,
-    /// When it should be complete after its submission.
+    /// Seconds from its submission to its deadline.
     #[serde(rename = "due_s")]
     pub deadline_s: Option<f64>,
 }
@@ -281,12 +280,12 @@
         }
     }
 
-    /// Whether a stopped task can keep its progress.
+    /// Whether a terminated task can save its progress.
     pub fn can_checkpoint(&self) -> bool {
         self.checkpoint_interval_s > 0.0
     }
 
-    /// The grace a stop needs so that progress is saved.
+    /// The grace period in which a checkpoint is saved, in seconds.
     pub fn grace(&self) -> f64 {
         // One second on top, so that rounding on the way never makes it too little.
         self.checkpoint_cost_s + 1.0
@@ -297,7 +296,7 @@
         crate::time::secs(self.estimate_s)
     }
 
-    /// Most tasks in one zone, where the job asks for spread.
+    /// Most tasks in one zone, by the zone spread constraint if the job has it.
     pub fn zone_cap(&self) -> u32 {
         if self.zone_spread {
             self.tasks.div_ceil(2)
@@ -306,7 +305,7 @@
         }
     }
 
-    /// Whether a machine of this type, zone and kind is allowed at all.
+    /// Whether the job may use machines of this type, zone and kind at all.
     pub fn allows(&self, machine_type: &str, zone: &str, spot: bool) -> bool {
         (self.spot || !spot)
             && self.zone.as_deref().is_none_or(|z| z == zone)
@@ -317,12 +316,12 @@
     }
 }
 
-/// A type of machine the cloud rents.
+/// A machine type of the cloud's catalog.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MachineType {
     /// Its name.
     pub name: String,
-    /// What an empty machine offers.
+    /// Its capacity.
     pub capacity: Resources,
     /// Price an hour.
     pub price: f64,
@@ -332,14 +331,14 @@
     pub boot: Duration,
     /// Image cache in GB.
     pub cache_gb: f64,
-    /// Fetch rate in GB a second.
+    /// The rate of image pulls in GB a second.
     pub fetch_rate: f64,
     /// Zones that have it.
     pub zones: Vec<String>,
 }
 
 impl MachineType {
-    /// Price an hour of the ordinary or the spot kind.
+    /// Price an hour, on demand or spot.
     pub fn price_of(&self, spot: bool) -> f64 {
         if spot {
             self.spot_price
@@ -349,21 +348,21 @@
     }
 }
 
-/// A kind of machine that can be asked for.
+/// A pool of machines that can be rented: one type, in one zone, spot or on demand.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct MachinePool {
     /// Type.
     pub machine_type: String,
     /// Zone.
     pub zone: String,
-    /// Spot or ordinary.
+    /// Spot or on demand.
     pub spot: bool,
 }
 
-/// What is known for good of a job.
+/// What the records say of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
-    /// Taken; it has to run.
+    /// Accepted; it has to run.
     Accepted,
     /// All tasks completed.
     Done,
