--- a/src/peer/heartbeats/tests.rs
+++ b/src/peer/heartbeats/tests.rs
@@ -162,7 +162,7 @@
     assert!(answer(&shared, &recent, now).is_ok());
 }
 
-/// The same function decides as for a direct report, at its own time: no 200 once the lead and
+/// The same function decides as for a direct report, at its own time: no 200 once leadership and
 /// the time to keep leases alive are over, and the lease counts from the decision.
 #[test]
 fn a_forwarded_heartbeat_is_decided_at_the_time_of_the_decision() {
