--- a/crates/links/src/health/tests.rs
+++ b/crates/links/src/health/tests.rs
@@ -25,67 +25,44 @@
         confirmed: true,
         ..WorkerEvidence::default()
     };
-    let doubted = |s| WorkerEvidence {
+    let unconfirmed = WorkerEvidence {
         confirmed: false,
+        ..good
+    };
+    let unacknowledged = |s| WorkerEvidence {
         unacknowledged_since: ago(s),
+        ..unconfirmed
+    };
+    let silent = |s| WorkerEvidence {
+        last_heartbeat: ago(s),
         ..good
     };
+    let unanswered = |count, evidence| WorkerEvidence {
+        unanswered_commands: count,
+        ..evidence
+    };
+    let unreachable = HealthState::Unreachable;
+    // Where commands are lost, heartbeats arrive all the while, and are no evidence for the other direction.
     let cases = [
         (good, HealthState::Healthy, None),
+        (silent(6), HealthState::Suspect, None),
+        (unconfirmed, HealthState::Suspect, None),
+        (unanswered(1, good), HealthState::Suspect, None),
+        (unacknowledged(1), HealthState::Suspect, None),
         (
-            WorkerEvidence {
-                last_heartbeat: ago(6),
-                ..good
-            },
-            HealthState::Suspect,
-            None,
-        ),
-        (
-            WorkerEvidence {
-                confirmed: false,
-                ..good
-            },
-            HealthState::Suspect,
-            None,
-        ),
-        (
-            WorkerEvidence {
-                unanswered_commands: 1,
-                ..good
-            },
-            HealthState::Suspect,
-            None,
-        ),
-        (doubted(1), HealthState::Suspect, None),
-        // Reports arrive all the while, and are no evidence for the other direction.
-        (
-            doubted(10),
-            HealthState::Unreachable,
+            unacknowledged(10),
+            unreachable,
             Some(LostDirection::ToWorker),
         ),
         (
-            WorkerEvidence {
-                unanswered_commands: 2,
-                ..good
-            },
-            HealthState::Unreachable,
+            unanswered(2, good),
+            unreachable,
             Some(LostDirection::ToWorker),
         ),
+        (silent(10), unreachable, Some(LostDirection::FromWorker)),
         (
-            WorkerEvidence {
-                last_heartbeat: ago(10),
-                ..good
-            },
-            HealthState::Unreachable,
-            Some(LostDirection::FromWorker),
-        ),
-        (
-            WorkerEvidence {
-                last_heartbeat: ago(10),
-                unanswered_commands: 2,
-                ..good
-            },
-            HealthState::Unreachable,
+            unanswered(2, silent(10)),
+            unreachable,
             Some(LostDirection::Both),
         ),
         (WorkerEvidence::default(), HealthState::Unknown, None),
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -203,7 +203,7 @@
             waiting: self.waits.summary(),
             submission: self.submissions.summary(),
             rounds_part: self.rounds_part(now),
-            take_over: self.failovers.summary(),
+            failover: self.failovers.summary(),
             counts: self.counts.clone(),
             heartbeats: self.heartbeats.clone(),
             requests: self.requests.clone(),
@@ -238,7 +238,7 @@
     pub rounds_part: f64,
     /// Time from becoming leader until all machines were reconciled.
     #[serde(rename = "take_over")]
-    pub take_over: Summary,
+    pub failover: Summary,
     /// Counts of events.
     #[serde(flatten)]
     pub counts: EventCounts,
--- a/tests/common/world.rs
+++ b/tests/common/world.rs
@@ -42,6 +42,7 @@
 use knotlanding::config::{Peer, Settings, WorkerSettings};
 use knotlanding::demand::UnmetDemand;
 use knotlanding::fleet::{self, Action, CapacityBackoff, FleetView, IdlePolicy};
+use knotlanding::leader::Leadership;
 use knotlanding::model::{
     FencingToken, JobId, JobKind, JobSpec, MachineId, MachinePool, Resources, Term, Verdict,
 };
