--- a/crates/links/src/link/tests.rs
+++ b/crates/links/src/link/tests.rs
@@ -4,12 +4,12 @@
 use crate::test_support::{timing, DETECTION_PARAMS};
 
 /// A link with a clock in milliseconds.
-struct Played {
+struct ObservedLink {
     link: Link,
     start: Instant,
 }
 
-impl Played {
+impl ObservedLink {
     fn new(regular: Option<Duration>) -> Self {
         let start = Instant::now();
         let link = Link::new(DETECTION_PARAMS, &timing(), regular, start);
@@ -41,34 +41,34 @@
 
 #[test]
 fn two_consecutive_failures_take_a_link_down_and_a_later_success_restores_it() {
-    let mut played = Played::new(None);
-    assert_eq!(played.look(0), LinkState::Unknown);
-    assert_eq!(played.success(0, 10), LinkState::Up);
-    assert_eq!(played.failure(100, 1_600), LinkState::Suspect);
-    assert_eq!(played.failure(200, 1_700), LinkState::Down);
+    let mut observed = ObservedLink::new(None);
+    assert_eq!(observed.look(0), LinkState::Unknown);
+    assert_eq!(observed.success(0, 10), LinkState::Up);
+    assert_eq!(observed.failure(100, 1_600), LinkState::Suspect);
+    assert_eq!(observed.failure(200, 1_700), LinkState::Down);
     // Sent before the failures, and only its answer was late.
-    assert_eq!(played.success(50, 1_800), LinkState::Down);
-    assert_eq!(played.success(1_750, 1_900), LinkState::Up);
-    assert!(played.link.usable());
+    assert_eq!(observed.success(50, 1_800), LinkState::Down);
+    assert_eq!(observed.success(1_750, 1_900), LinkState::Up);
+    assert!(observed.link.usable());
 }
 
 /// Of requests side by side some are lost; the others show that the link is there.
 #[test]
 fn a_failure_is_ignored_if_a_request_sent_later_succeeded() {
-    let mut played = Played::new(None);
-    played.success(0, 10);
+    let mut observed = ObservedLink::new(None);
+    observed.success(0, 10);
     for n in 0..20 {
         let sent = 1_000 * n;
-        played.success(sent + 500, sent + 510);
-        assert_eq!(played.failure(sent, sent + 1_500), LinkState::Up);
+        observed.success(sent + 500, sent + 510);
+        assert_eq!(observed.failure(sent, sent + 1_500), LinkState::Up);
     }
-    assert!(!played.link.suppressed());
+    assert!(!observed.link.suppressed());
 }
 
 #[test]
 fn silence_takes_a_link_down_only_if_it_is_used_regularly() {
-    let mut regular = Played::new(Some(Duration::from_secs(1)));
-    let mut on_demand = Played::new(None);
+    let mut regular = ObservedLink::new(Some(Duration::from_secs(1)));
+    let mut on_demand = ObservedLink::new(None);
     for second in 0..10 {
         regular.success(second * 1_000, second * 1_000);
         on_demand.success(second * 1_000, second * 1_000);
@@ -80,11 +80,11 @@
 
 #[test]
 fn a_link_is_suspect_before_it_is_down() {
-    let mut played = Played::new(Some(Duration::from_secs(1)));
+    let mut observed = ObservedLink::new(Some(Duration::from_secs(1)));
     for second in 0..10 {
-        played.success(second * 1_000, second * 1_000);
+        observed.success(second * 1_000, second * 1_000);
     }
-    let states: Vec<LinkState> = (0..60).map(|t| played.look(9_000 + t * 100)).collect();
+    let states: Vec<LinkState> = (0..60).map(|t| observed.look(9_000 + t * 100)).collect();
     let mut seen = states.clone();
     seen.dedup();
     let expected = [LinkState::Up, LinkState::Suspect, LinkState::Down];
@@ -94,20 +94,23 @@
 /// Up for three seconds and down for three, again and again.
 #[test]
 fn a_flapping_link_counts_as_down_until_it_is_stable() {
-    let mut played = Played::new(None);
+    let mut observed = ObservedLink::new(None);
     let mut up_and_suppressed = 0;
     for round in 0..10 {
         let base = round * 6_000;
-        assert_eq!(played.success(base, base + 10), LinkState::Up);
-        up_and_suppressed += u32::from(played.link.suppressed());
-        played.failure(base + 3_000, base + 4_500);
-        assert_eq!(played.failure(base + 3_500, base + 5_000), LinkState::Down);
+        assert_eq!(observed.success(base, base + 10), LinkState::Up);
+        up_and_suppressed += u32::from(observed.link.suppressed());
+        observed.failure(base + 3_000, base + 4_500);
+        assert_eq!(
+            observed.failure(base + 3_500, base + 5_000),
+            LinkState::Down
+        );
     }
     assert!(up_and_suppressed >= 6, "{up_and_suppressed}");
-    assert_eq!(played.success(60_000, 60_010), LinkState::Up);
-    assert!(played.link.counts_as_down() && !played.link.usable());
-    played.look(60_000 + 36_000);
-    assert!(played.link.usable(), "quiet for long enough");
+    assert_eq!(observed.success(60_000, 60_010), LinkState::Up);
+    assert!(observed.link.counts_as_down() && !observed.link.usable());
+    observed.look(60_000 + 36_000);
+    assert!(observed.link.usable(), "quiet for long enough");
 }
 
 #[test]
@@ -130,9 +133,9 @@
 
 #[test]
 fn a_transition_is_returned_once() {
-    let mut played = Played::new(None);
-    let (a, b) = (played.at(0), played.at(10));
-    let first = played.link.success(a, b);
+    let mut observed = ObservedLink::new(None);
+    let (a, b) = (observed.at(0), observed.at(10));
+    let first = observed.link.success(a, b);
     let up = Transition {
         from: LinkState::Unknown,
         to: LinkState::Up,
@@ -140,25 +143,25 @@
     };
     assert_eq!(first, Some(up));
     for ms in 1..100 {
-        let at = played.at(ms * 10);
-        assert_eq!(played.link.success(at, at), None);
+        let at = observed.at(ms * 10);
+        assert_eq!(observed.link.success(at, at), None);
     }
 }
 
 /// A controller that stood still was not there to hear anybody.
 #[test]
 fn a_pause_of_the_process_is_no_evidence() {
-    let mut played = Played::new(Some(Duration::from_secs(1)));
+    let mut observed = ObservedLink::new(Some(Duration::from_secs(1)));
     for second in 0..10 {
-        played.success(second * 1_000, second * 1_000);
+        observed.success(second * 1_000, second * 1_000);
     }
-    let now = played.at(70_000);
-    played.link.forget(now);
-    assert_eq!(played.link.state(), LinkState::Up);
+    let now = observed.at(70_000);
+    observed.link.forget(now);
+    assert_eq!(observed.link.state(), LinkState::Up);
     assert_eq!(
-        played.link.evidence_at(),
-        Some(played.at(9_000)),
+        observed.link.evidence_at(),
+        Some(observed.at(9_000)),
         "its age is kept"
     );
-    assert_eq!(played.look(90_000), LinkState::Down);
+    assert_eq!(observed.look(90_000), LinkState::Down);
 }
--- a/src/actors/election/renewal.rs
+++ b/src/actors/election/renewal.rs
@@ -106,14 +106,14 @@
                 end_leadership(shared);
                 store.do_send(SetLeading(false));
             }
-            shared.wake_election.notify_one();
+            shared.wake_ups.election.notify_one();
         }
         Err(error) => {
             debug!(%error, "lease renewal failed");
             if error.contact_lost() {
                 shared.store_failed(StoreOperation::Lease, sent);
             }
-            shared.wake_election.notify_one();
+            shared.wake_ups.election.notify_one();
         }
     }
 }
--- a/src/api/links.rs
+++ b/src/api/links.rs
@@ -1,4 +1,4 @@
-//! `GET /admin/links`: the connectivity matrix, suppressed links and the last decisions on the lead.
+//! `GET /admin/links`: the connectivity matrix, suppressed links and the last decisions on leadership.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::Ordering;
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -58,7 +58,7 @@
     },
     /// Counters and histograms.
     Metrics,
-    /// The connectivity matrix, suppressed links and the last decisions on the lead.
+    /// The connectivity matrix, suppressed links and the last decisions on leadership.
     Links,
     /// The operators' settings with their version.
     Settings,
--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -43,7 +43,7 @@
 use self::dispatch_log::DispatchLog;
 use crate::model::{JobId, MachineId, MachineType, Term};
 use crate::pending_reason::PendingReason;
-use crate::state_summary::MachineHint;
+use crate::state_summary::MachineSummary;
 use crate::timing::WorkerTiming;
 
 /// The machine types as last read, shared read-only.
@@ -88,7 +88,7 @@
     /// Machines whose images changed and jobs whose counts may have, since the summary was last
     /// published.
     unpublished: UnpublishedChanges,
-    hints: HashMap<MachineId, MachineHint>,
+    hints: HashMap<MachineId, MachineSummary>,
     /// Run times over estimates of the last tasks anywhere: the usual error of the estimates.
     slowdowns: VecDeque<f64>,
     /// Machines of which late heartbeats must not be taken for those of new machines.
--- a/tests/common/world.rs
+++ b/tests/common/world.rs
@@ -35,13 +35,13 @@
 
 use actix_web::HttpResponse;
 use futures_util::FutureExt;
-use knotlanding::api::workers::{receive, Reception};
+use knotlanding::api::workers::{receive, HeartbeatOutcome};
 use knotlanding::cluster::{
     AddressedCommand, Cluster, HeartbeatOrdering, HeartbeatSource, Machine, RecordKind,
 };
 use knotlanding::config::{Peer, Settings, WorkerSettings};
 use knotlanding::demand::UnmetDemand;
-use knotlanding::fleet::{self, Action, FleetView, IdlePolicy, Market};
+use knotlanding::fleet::{self, Action, CapacityBackoff, FleetView, IdlePolicy};
 use knotlanding::leader::Leadership;
 use knotlanding::model::{
     FencingToken, JobId, JobKind, JobSpec, MachineId, MachinePool, Resources, Term, Verdict,
