--- a/tests/common/world/controllers.rs
+++ b/tests/common/world/controllers.rs
@@ -75,13 +75,7 @@
         let (now, wall) = (self.instant(), self.wall_of(n));
         let sent_at = self.start + Duration::from_secs_f64(sent);
         let shared = self.nodes[n].shared.clone();
-        let failed = match &answered {
-            StoreResponse::Failed(error) => Some(error.clone()),
-            StoreResponse::TransactionOutcome(TransactionOutcome::Failed(error)) => {
-                Some(error.clone())
-            }
-            _ => None,
-        };
+        let failed = answered.failure().cloned();
         if failed.as_ref().is_some_and(StoreError::contact_lost) {
             shared.election.lock().freshness().invalidate(now);
         }
@@ -379,18 +373,30 @@
             cluster.direct_commands(now)
         };
         if self.t >= self.nodes[n].rest_until {
-            let writes = {
-                let replica = shared.replica.lock();
-                let mut guard = shared.cluster.lock();
-                guard.as_mut().unwrap().due_writes(&replica, now)
-            };
-            for mut write in writes {
-                let condition = Condition::new(keys::LEADER, leadership.version);
-                write.group.conditions.push(condition);
-                let why = RequestPurpose::Write(write.kind, leadership.term);
-                self.ask(n, StoreRequest::Multi(write.group), why);
-            }
+            self.write_due_records(n, &leadership);
         }
+        self.send_direct_commands(n, direct);
+    }
+
+    /// Writes the records that are due, on condition that the node still leads.
+    fn write_due_records(&mut self, n: usize, leadership: &Leadership) {
+        let now = self.instant();
+        let shared = self.nodes[n].shared.clone();
+        let writes = {
+            let replica = shared.replica.lock();
+            let mut guard = shared.cluster.lock();
+            guard.as_mut().unwrap().due_writes(&replica, now)
+        };
+        for mut write in writes {
+            let condition = Condition::new(keys::LEADER, leadership.version);
+            write.group.conditions.push(condition);
+            let why = RequestPurpose::Write(write.kind, leadership.term);
+            self.ask(n, StoreRequest::Multi(write.group), why);
+        }
+    }
+
+    fn send_direct_commands(&mut self, n: usize, direct: Vec<AddressedCommand>) {
+        let now = self.instant();
         for AddressedCommand { machine, body, .. } in direct {
             let incarnation = self.nodes[n].incarnation;
             let machine = machine.0.to_string();
--- a/tests/common/world/delivery.rs
+++ b/tests/common/world/delivery.rs
@@ -98,6 +98,16 @@
             Mail::DirectReply(n, incarnation, heartbeat, token, asked) => {
                 self.command_answered(n, incarnation, heartbeat, token, asked)
             }
+            Mail::Return(..) | Mail::Returned(..) | Mail::Rent(..) | Mail::Rented(..) => {
+                self.deliver_cloud(mail)
+            }
+            Mail::Boot(name, pool) => self.boot(name, pool),
+        }
+    }
+
+    /// A request reaches the cloud, or its answer a node.
+    fn deliver_cloud(&mut self, mail: Mail) {
+        match mail {
             Mail::Return(n, incarnation, ids) => {
                 for id in &ids {
                     self.workers.remove(&*id.0);
@@ -106,9 +116,8 @@
                 self.send(Mail::Returned(n, incarnation, ids));
             }
             Mail::Returned(n, incarnation, ids) => {
-                if self.at_node(n, Some(incarnation), || {
-                    Mail::Returned(n, incarnation, ids.clone())
-                }) {
+                let again = || Mail::Returned(n, incarnation, ids.clone());
+                if self.at_node(n, Some(incarnation), again) {
                     self.nodes[n].shared.machines_released(&ids);
                 }
             }
@@ -119,7 +128,7 @@
             Mail::Rented(n, incarnation, pool, names) => {
                 self.rental_answered(n, incarnation, pool, names)
             }
-            Mail::Boot(name, pool) => self.boot(name, pool),
+            _ => {}
         }
     }
 
--- a/tests/common/world/faults.rs
+++ b/tests/common/world/faults.rs
@@ -81,41 +81,22 @@
             Fault::StoreSlow(most) => self.slow = (most, until),
             Fault::LateWrites { share, at_once } => self.late_writes = (share, at_once, until),
             Fault::LateReports { share, for_next } => self.late_reports = (share, for_next, until),
-            Fault::Deaf(share) => {
-                for name in self.some_workers(share) {
-                    self.workers.get_mut(&name).unwrap().deaf_until = until;
-                }
-            }
-            Fault::Mute(share) => {
-                for name in self.some_workers(share) {
-                    self.workers.get_mut(&name).unwrap().mute_until = until;
-                }
-            }
-            Fault::Hang(share) => {
-                for name in self.some_workers(share) {
-                    self.workers.get_mut(&name).unwrap().hung_until = until;
-                }
-            }
+            Fault::Deaf(share) => self.affect_workers(share, |w| w.deaf_until = until),
+            Fault::Mute(share) => self.affect_workers(share, |w| w.mute_until = until),
+            Fault::Hang(share) => self.affect_workers(share, |w| w.hung_until = until),
             Fault::Die(count) => self.machines_die(count),
             Fault::CrashLeader(away) => {
                 if let Some(n) = self.leader() {
-                    self.nodes[n].up = false;
-                    self.nodes[n].back_at = self.t + away;
+                    self.crash(n, away);
                 }
             }
             Fault::CrashFollower(away) => {
                 let leader = self.leader();
                 if let Some(n) = (0..3).find(|n| Some(*n) != leader) {
-                    self.nodes[n].up = false;
-                    self.nodes[n].back_at = self.t + away;
-                }
-            }
-            Fault::CrashAll(away) => {
-                for node in &mut self.nodes {
-                    node.up = false;
-                    node.back_at = self.t + away;
+                    self.crash(n, away);
                 }
             }
+            Fault::CrashAll(away) => (0..3).for_each(|n| self.crash(n, away)),
             Fault::FreezeLeader => {
                 if let Some(n) = self.leader() {
                     self.nodes[n].frozen_until = until;
@@ -128,10 +109,7 @@
                 self.cut_follower = follower.map(|n| (n, until));
             }
             Fault::Link(link, mode) => self.cut_links.push(CutLink { link, mode, until }),
-            Fault::Restart(n) => {
-                self.nodes[n].up = false;
-                self.nodes[n].back_at = self.t + 0.2;
-            }
+            Fault::Restart(n) => self.crash(n, 0.2),
             Fault::WritesFail => self.writes_fail_until = until,
             Fault::CutFromWorkers => self.cut = self.leader().map(|n| (n, until)),
             Fault::CancelNow(count) => self.cancel_some(count),
@@ -146,6 +124,19 @@
         }
     }
 
+    /// A controller ends, and is back after that time.
+    fn crash(&mut self, n: usize, away: f64) {
+        self.nodes[n].up = false;
+        self.nodes[n].back_at = self.t + away;
+    }
+
+    /// Changes a drawn share of the workers.
+    fn affect_workers(&mut self, share: f64, change: impl Fn(&mut Worker)) {
+        for name in self.some_workers(share) {
+            change(self.workers.get_mut(&name).unwrap());
+        }
+    }
+
     /// So many machines die; the list shows them for a while.
     fn machines_die(&mut self, count: usize) {
         for _ in 0..count {
--- a/tests/common/world/state_service.rs
+++ b/tests/common/world/state_service.rs
@@ -40,6 +40,18 @@
     Failed(StoreError),
 }
 
+impl StoreResponse {
+    /// Why the request failed, if it did.
+    pub(super) fn failure(&self) -> Option<&StoreError> {
+        match self {
+            Self::Failed(error) | Self::TransactionOutcome(TransactionOutcome::Failed(error)) => {
+                Some(error)
+            }
+            _ => None,
+        }
+    }
+}
+
 #[derive(Default)]
 pub(super) struct Store {
     pub(super) revision: u64,
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -309,13 +309,8 @@
         .filter(|start| start.job == first)
         .collect();
     assert_eq!(trials.len(), 1);
-    let place = s.cluster.jobs[&first]
-        .placements
-        .values()
-        .flatten()
-        .next()
-        .unwrap()
-        .clone();
+    let mut placements = s.cluster.jobs[&first].placements.values().flatten();
+    let place = placements.next().unwrap().clone();
     let (on, attempt) = (place.machine.to_string(), place.attempt.0);
     s.heartbeat(&on, &[]);
     s.heartbeat(&on, &[failed("wk-000001/0", attempt)]);
