--- a/crates/links/src/contact.rs
+++ b/crates/links/src/contact.rs
@@ -3,13 +3,13 @@
 use std::time::{Duration, Instant};
 
 /// A controller whose last contact is older than this, while a peer's is not, refuses client requests.
-pub const CONTACT_LOST: Duration = Duration::from_secs(4);
+pub const CONTACT_LOST_AFTER: Duration = Duration::from_secs(4);
 
 /// The last successful contact with the state service, and since when requests fail.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Contact {
+pub struct StoreContact {
     /// Sending time of the last request that was answered.
-    pub answered: Option<Instant>,
+    pub answered_request_sent_at: Option<Instant>,
     /// Since when requests fail.
     pub failing_since: Option<Instant>,
 }
@@ -36,12 +36,12 @@
 
 impl PeerContacts {
     /// The peers were probed; only the first time counts.
-    pub fn probed(&mut self, now: Instant) {
+    pub fn record_probe(&mut self, now: Instant) {
         self.first_probe.get_or_insert(now);
     }
 
     /// Records the answer of a peer.
-    pub fn record(&mut self, answer: PeerContactAnswer, now: Instant) {
+    pub fn record_answer(&mut self, answer: PeerContactAnswer, now: Instant) {
         match answer {
             PeerContactAnswer::Connected => self.connected = Some(now),
             PeerContactAnswer::Disconnected => self.disconnected = Some(now),
@@ -51,16 +51,16 @@
 
     /// Whether this controller alone is disconnected: a peer has contact, or no peer was reachable for
     /// [`CONTACT_LOST`]. In an outage that all controllers share, none is isolated.
-    pub fn isolated(&self, now: Instant) -> bool {
+    pub fn is_isolated(&self, now: Instant) -> bool {
         let recent = |at: Option<Instant>| {
-            at.is_some_and(|at| now.saturating_duration_since(at) < CONTACT_LOST)
+            at.is_some_and(|at| now.saturating_duration_since(at) < CONTACT_LOST_AFTER)
         };
         if recent(self.connected) {
             return true;
         }
         let waited = self
             .first_probe
-            .is_some_and(|at| now.saturating_duration_since(at) >= CONTACT_LOST);
+            .is_some_and(|at| now.saturating_duration_since(at) >= CONTACT_LOST_AFTER);
         waited && !recent(self.disconnected) && !recent(self.refused)
     }
 }
--- a/crates/links/src/contact/tests.rs
+++ b/crates/links/src/contact/tests.rs
@@ -9,19 +9,22 @@
     let start = Instant::now();
     let at = |s: u64| start + Duration::from_secs(s);
     let mut shared = PeerContacts::default();
-    shared.probed(start);
-    shared.record(PeerContactAnswer::Disconnected, at(5));
-    assert!(!shared.isolated(at(6)), "all have lost the state service");
-    shared.record(PeerContactAnswer::Connected, at(7));
-    assert!(shared.isolated(at(8)), "another one has it");
+    shared.record_probe(start);
+    shared.record_answer(PeerContactAnswer::Disconnected, at(5));
+    assert!(
+        !shared.is_isolated(at(6)),
+        "all have lost the state service"
+    );
+    shared.record_answer(PeerContactAnswer::Connected, at(7));
+    assert!(shared.is_isolated(at(8)), "another one has it");
     let mut unanswered = PeerContacts::default();
-    assert!(!unanswered.isolated(at(100)), "no peer was probed");
-    unanswered.probed(start);
-    assert!(!unanswered.isolated(at(1)), "answers may be in flight");
-    assert!(unanswered.isolated(at(5)), "no peer was reachable");
-    unanswered.record(PeerContactAnswer::Refused, at(5));
+    assert!(!unanswered.is_isolated(at(100)), "no peer was probed");
+    unanswered.record_probe(start);
+    assert!(!unanswered.is_isolated(at(1)), "answers may be in flight");
+    assert!(unanswered.is_isolated(at(5)), "no peer was reachable");
+    unanswered.record_answer(PeerContactAnswer::Refused, at(5));
     assert!(
-        !unanswered.isolated(at(6)),
+        !unanswered.is_isolated(at(6)),
         "a packet filter between controllers is no evidence"
     );
 }
--- a/crates/links/src/gate.rs
+++ b/crates/links/src/gate.rs
@@ -38,17 +38,17 @@
 
 /// The decision of the gate, and since when it stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct GateVerdict {
+pub struct GateDecision {
     /// Why placements are refused, if they are.
     pub refusal: Option<GateRefusal>,
     /// Since when.
-    pub since: Instant,
+    pub changed_at: Instant,
 }
 
 /// The gate with its last decision.
 #[derive(Debug)]
 pub struct PlacementGate {
-    verdict: GateVerdict,
+    verdict: GateDecision,
     refused_for: Duration,
 }
 
@@ -56,9 +56,9 @@
     /// An open gate.
     pub fn new(now: Instant) -> Self {
         Self {
-            verdict: GateVerdict {
+            verdict: GateDecision {
                 refusal: None,
-                since: now,
+                changed_at: now,
             },
             refused_for: Duration::ZERO,
         }
@@ -71,24 +71,24 @@
             return false;
         }
         if self.verdict.refusal.is_some() {
-            self.refused_for += now.saturating_duration_since(self.verdict.since);
+            self.refused_for += now.saturating_duration_since(self.verdict.changed_at);
         }
-        self.verdict = GateVerdict {
+        self.verdict = GateDecision {
             refusal,
-            since: now,
+            changed_at: now,
         };
         true
     }
 
     /// The decision of the last evaluation.
-    pub fn verdict(&self) -> GateVerdict {
+    pub fn verdict(&self) -> GateDecision {
         self.verdict
     }
 
     /// Total time of refusal.
     pub fn refused_for(&self, now: Instant) -> Duration {
         match self.verdict.refusal {
-            Some(_) => self.refused_for + now.saturating_duration_since(self.verdict.since),
+            Some(_) => self.refused_for + now.saturating_duration_since(self.verdict.changed_at),
             None => self.refused_for,
         }
     }
--- a/crates/links/src/handover.rs
+++ b/crates/links/src/handover.rs
@@ -10,7 +10,7 @@
 
 use serde::Serialize;
 
-use crate::matrix::Matrix;
+use crate::matrix::ConnectivityMatrix;
 use crate::row::Row;
 use crate::timing::LinkTiming;
 
@@ -46,7 +46,7 @@
 /// Whether leadership is handed over, and why.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case", tag = "decision")]
-pub enum Decision {
+pub enum HandoverDecision {
     /// No other controller is much better connected.
     StayNobodyBetter,
     /// One is, but not yet for the minimum time.
@@ -93,24 +93,29 @@
     }
 
     /// Decides by the matrix while this controller is the leader.
-    pub fn decide(&mut self, own: &Row, matrix: &Matrix, now: Instant) -> Decision {
+    pub fn decide(
+        &mut self,
+        own: &Row,
+        matrix: &ConnectivityMatrix,
+        now: Instant,
+    ) -> HandoverDecision {
         let ours = connectivity(own, own, matrix, now);
         let Some((candidate, theirs)) = best_other(own, matrix, now) else {
             self.better_since = None;
-            return Decision::StayNobodyBetter;
+            return HandoverDecision::StayNobodyBetter;
         };
         if !theirs.much_better_than(&ours) {
             self.better_since = None;
-            return Decision::StayNobodyBetter;
+            return HandoverDecision::StayNobodyBetter;
         }
         let since = *self.better_since.get_or_insert(now);
         if now.saturating_duration_since(since) < self.better_for_min {
-            return Decision::StayHolding { candidate };
+            return HandoverDecision::StayHolding { candidate };
         }
-        if self.exhausted(now) {
-            return Decision::StayLimited { candidate };
+        if self.limit_reached(now) {
+            return HandoverDecision::StayLimited { candidate };
         }
-        Decision::HandOver {
+        HandoverDecision::HandOver {
             candidate,
             own: ours,
             theirs,
@@ -118,7 +123,7 @@
     }
 
     /// Records a hand-over.
-    pub fn handed_over(&mut self, now: Instant) {
+    pub fn record_handover(&mut self, now: Instant) {
         self.better_since = None;
         self.handovers.push_back(now);
     }
@@ -129,7 +134,7 @@
     }
 
     /// Whether the limit of hand-overs within the window is reached.
-    pub fn exhausted(&mut self, now: Instant) -> bool {
+    pub fn limit_reached(&mut self, now: Instant) -> bool {
         while let Some(first) = self.handovers.front() {
             if now.saturating_duration_since(*first) < self.window {
                 break;
@@ -140,14 +145,19 @@
     }
 
     /// Whether a follower should delay its campaign in favour of a much better connected controller.
-    pub fn should_yield(own: &Row, matrix: &Matrix, now: Instant) -> bool {
+    pub fn should_yield(own: &Row, matrix: &ConnectivityMatrix, now: Instant) -> bool {
         let ours = connectivity(own, own, matrix, now);
         best_other(own, matrix, now).is_some_and(|(_, theirs)| theirs.much_better_than(&ours))
     }
 }
 
 /// Connectivity of the sender of `row`.
-pub fn connectivity(row: &Row, own: &Row, matrix: &Matrix, now: Instant) -> Connectivity {
+pub fn connectivity(
+    row: &Row,
+    own: &Row,
+    matrix: &ConnectivityMatrix,
+    now: Instant,
+) -> Connectivity {
     let workers = matrix.workers_served_by(&row.message.member, own, now);
     Connectivity {
         store: row.store_usable(),
@@ -157,7 +167,11 @@
 }
 
 /// The best connected other controller; the first by name among equals, so that all choose the same.
-fn best_other(own: &Row, matrix: &Matrix, now: Instant) -> Option<(String, Connectivity)> {
+fn best_other(
+    own: &Row,
+    matrix: &ConnectivityMatrix,
+    now: Instant,
+) -> Option<(String, Connectivity)> {
     let mut best: Option<(String, Connectivity)> = None;
     for (member, row, _) in matrix.rows(now) {
         let theirs = connectivity(row, own, matrix, now);
--- a/crates/links/src/handover/tests.rs
+++ b/crates/links/src/handover/tests.rs
@@ -2,7 +2,7 @@
 //! decisions, under links that a schedule cuts.
 
 use super::*;
-use crate::table::{LinkTable, RowStamp, StoreOperation};
+use crate::table::{LinkTable, RowHeader, StoreOperation};
 use crate::test_support::{timing, DETECTION_PARAMS};
 
 const WALL_MS: u64 = 1_800_000_000_000;
@@ -11,7 +11,7 @@
 
 struct Controller {
     table: LinkTable,
-    matrix: Matrix,
+    matrix: ConnectivityMatrix,
     leadership: HandoverPolicy,
     /// Numbers of the workers that report here.
     workers: std::ops::Range<u32>,
@@ -54,7 +54,7 @@
             };
             Controller {
                 table: LinkTable::new(MEMBERS[at], others(), DETECTION_PARAMS, timing(), start),
-                matrix: Matrix::new(others(), timing()),
+                matrix: ConnectivityMatrix::new(others(), timing()),
                 leadership: HandoverPolicy::new(&timing(), HANDOVERS_MAX),
                 workers,
                 frozen: false,
@@ -74,10 +74,10 @@
     }
 
     fn row(&self, at: usize) -> Row {
-        let stamp = RowStamp {
+        let stamp = RowHeader {
             incarnation: 1,
             sequence: self.second,
-            wall_ms: WALL_MS + self.second * 1_000,
+            sent_at_ms: WALL_MS + self.second * 1_000,
             leads_term: (at == self.leader).then_some(1),
         };
         self.controllers[at].table.row(stamp, self.now())
@@ -97,19 +97,19 @@
                 let works = links.store[at];
                 controller
                     .table
-                    .store(StoreOperation::Read, now, works, now);
+                    .record_store_request(StoreOperation::Read, now, works, now);
                 if writes {
                     let works = works && links.writes[at];
                     controller
                         .table
-                        .store(StoreOperation::Write, now, works, now);
+                        .record_store_request(StoreOperation::Write, now, works, now);
                 }
             }
             if links.workers[at] && self.second.is_multiple_of(3) {
                 for worker in controller.workers.clone() {
                     controller
                         .table
-                        .worker_heartbeat(worker, (1, self.second), now);
+                        .record_worker_heartbeat(worker, (1, self.second), now);
                 }
             }
             controller.table.evaluate(now);
@@ -129,12 +129,12 @@
             if arrives {
                 let wall = WALL_MS + self.second * 1_000;
                 let receiver = &mut self.controllers[to];
-                receiver.matrix.take(row, now, wall).unwrap();
-                receiver.table.peer_row(MEMBERS[from], now);
+                receiver.matrix.accept_row(row, now, wall).unwrap();
+                receiver.table.record_peer_row(MEMBERS[from], now);
             }
             let answered = arrives && links.peers[to][from];
             let sender = &mut self.controllers[from].table;
-            sender.peer_request(MEMBERS[to], now, answered, now);
+            sender.record_peer_request(MEMBERS[to], now, answered, now);
         }
     }
 
@@ -144,10 +144,10 @@
         if leader.frozen {
             return;
         }
-        if let Decision::HandOver { candidate, .. } =
+        if let HandoverDecision::HandOver { candidate, .. } =
             leader.leadership.decide(&own, &leader.matrix, now)
         {
-            leader.leadership.handed_over(now);
+            leader.leadership.record_handover(now);
             self.leader = MEMBERS.iter().position(|m| *m == candidate).unwrap();
             self.handovers.push((self.second, candidate));
         }
@@ -349,11 +349,11 @@
     let now = cluster.now();
     let woken = &mut cluster.controllers[0];
     assert_eq!(woken.matrix.rows(now).count(), 0);
-    woken.table.resume(now);
+    woken.table.resume_after_pause(now);
     let own = cluster.row(0);
     let woken = &mut cluster.controllers[0];
     let decision = woken.leadership.decide(&own, &woken.matrix, now);
-    assert_eq!(decision, Decision::StayNobodyBetter);
+    assert_eq!(decision, HandoverDecision::StayNobodyBetter);
     cluster.seconds(60, |_| ALL);
     assert_eq!(cluster.handovers, vec![]);
 }
--- a/crates/links/src/health.rs
+++ b/crates/links/src/health.rs
@@ -38,9 +38,9 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct WorkerEvidence {
     /// When its newest heartbeat arrived.
-    pub last_heartbeat: Option<Instant>,
+    pub last_heartbeat_at: Option<Instant>,
     /// It has confirmed this controller's term and owes no acknowledgement.
-    pub confirmed: bool,
+    pub is_confirmed: bool,
     /// Since when an acknowledgement is pending.
     pub unacknowledged_since: Option<Instant>,
     /// Commands without a response since its last heartbeat.
@@ -51,9 +51,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HealthLimits {
     /// Time without a heartbeat from which on a worker is suspect.
-    pub suspect: Duration,
+    pub suspect_after: Duration,
     /// Time without a heartbeat, or without an acknowledgement, from which on a direction counts as lost.
-    pub lost: Duration,
+    pub lost_after: Duration,
 }
 
 /// A worker's health at one moment.
@@ -62,14 +62,14 @@
     /// The health state.
     pub state: HealthState,
     /// The lost direction, if the worker is unreachable.
-    pub lost: Option<LostDirection>,
+    pub lost_direction: Option<LostDirection>,
     /// Arrival of the newest evidence.
     pub evidence_at: Option<Instant>,
 }
 
 /// Evaluates the health of workers at one moment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct HealthJudge {
+pub struct HealthEvaluator {
     /// The limits.
     pub limits: HealthLimits,
     /// Whether heartbeats of enough workers arrive. A controller without them cannot tell failed workers
@@ -79,10 +79,10 @@
     pub now: Instant,
 }
 
-impl HealthJudge {
+impl HealthEvaluator {
     /// The health of one worker.
-    pub fn judge(&self, evidence: &WorkerEvidence) -> WorkerHealth {
-        let (state, lost) = match evidence.last_heartbeat {
+    pub fn evaluate(&self, evidence: &WorkerEvidence) -> WorkerHealth {
+        let (state, lost) = match evidence.last_heartbeat_at {
             Some(last_heartbeat) if self.receives_heartbeats => {
                 judge_by_evidence(evidence, last_heartbeat, &self.limits, self.now)
             }
@@ -90,8 +90,8 @@
         };
         WorkerHealth {
             state,
-            lost,
-            evidence_at: evidence.last_heartbeat,
+            lost_direction: lost,
+            evidence_at: evidence.last_heartbeat_at,
         }
     }
 }
@@ -106,8 +106,8 @@
     let unacknowledged_for = evidence
         .unacknowledged_since
         .map(|since| now.saturating_duration_since(since));
-    let no_heartbeats = silent_for > limits.lost;
-    let no_commands = unacknowledged_for.is_some_and(|pending| pending > limits.lost)
+    let no_heartbeats = silent_for > limits.lost_after;
+    let no_commands = unacknowledged_for.is_some_and(|pending| pending > limits.lost_after)
         || evidence.unanswered_commands >= UNANSWERED_COMMANDS_LOST;
     let lost = match (no_heartbeats, no_commands) {
         (true, true) => Some(LostDirection::Both),
@@ -118,9 +118,9 @@
     if lost.is_some() {
         return (HealthState::Unreachable, lost);
     }
-    let suspect = silent_for > limits.suspect
+    let suspect = silent_for > limits.suspect_after
         || evidence.unacknowledged_since.is_some()
-        || !evidence.confirmed
+        || !evidence.is_confirmed
         || evidence.unanswered_commands > 0;
     if suspect {
         (HealthState::Suspect, None)
--- a/crates/links/src/health/tests.rs
+++ b/crates/links/src/health/tests.rs
@@ -5,15 +5,15 @@
 const NOW_S: u64 = 1_000;
 
 fn judge(evidence: WorkerEvidence, receives_heartbeats: bool, start: Instant) -> WorkerHealth {
-    let judge = HealthJudge {
+    let judge = HealthEvaluator {
         limits: HealthLimits {
-            suspect: Duration::from_secs(5),
-            lost: Duration::from_secs(9),
+            suspect_after: Duration::from_secs(5),
+            lost_after: Duration::from_secs(9),
         },
         receives_heartbeats,
         now: start + Duration::from_secs(NOW_S),
     };
-    judge.judge(&evidence)
+    judge.evaluate(&evidence)
 }
 
 #[test]
@@ -21,12 +21,12 @@
     let start = Instant::now();
     let ago = |s: u64| Some(start + Duration::from_secs(NOW_S - s));
     let good = WorkerEvidence {
-        last_heartbeat: ago(2),
-        confirmed: true,
+        last_heartbeat_at: ago(2),
+        is_confirmed: true,
         ..WorkerEvidence::default()
     };
     let unconfirmed = WorkerEvidence {
-        confirmed: false,
+        is_confirmed: false,
         ..good
     };
     let unacknowledged = |s| WorkerEvidence {
@@ -34,7 +34,7 @@
         ..unconfirmed
     };
     let silent = |s| WorkerEvidence {
-        last_heartbeat: ago(s),
+        last_heartbeat_at: ago(s),
         ..good
     };
     let unanswered = |count, evidence| WorkerEvidence {
@@ -69,8 +69,12 @@
     ];
     for (evidence, state, lost) in cases {
         let health = judge(evidence, true, start);
-        assert_eq!((health.state, health.lost), (state, lost), "{evidence:?}");
-        assert_eq!(health.evidence_at, evidence.last_heartbeat);
+        assert_eq!(
+            (health.state, health.lost_direction),
+            (state, lost),
+            "{evidence:?}"
+        );
+        assert_eq!(health.evidence_at, evidence.last_heartbeat_at);
     }
 }
 
@@ -80,11 +84,14 @@
     let start = Instant::now();
     let reported = Some(start + Duration::from_secs(NOW_S - 1));
     let evidence = WorkerEvidence {
-        last_heartbeat: reported,
-        confirmed: true,
+        last_heartbeat_at: reported,
+        is_confirmed: true,
         ..WorkerEvidence::default()
     };
     let health = judge(evidence, false, start);
-    assert_eq!((health.state, health.lost), (HealthState::Unknown, None));
+    assert_eq!(
+        (health.state, health.lost_direction),
+        (HealthState::Unknown, None)
+    );
     assert_eq!(health.evidence_at, reported);
 }
--- a/crates/links/src/link.rs
+++ b/crates/links/src/link.rs
@@ -43,9 +43,9 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct DetectionParams {
     /// Phi threshold from which on a link is down.
-    pub phi_down: f64,
+    pub phi_down_threshold: f64,
     /// Whether flapping links are suppressed.
-    pub damping: bool,
+    pub damping_enabled: bool,
 }
 
 /// One directed link.
@@ -115,7 +115,7 @@
         if state == LinkState::Down && self.state != LinkState::Down {
             self.damping.record_loss(now);
         }
-        let suppressed = self.params.damping && self.damping.suppressed(now);
+        let suppressed = self.params.damping_enabled && self.damping.suppressed(now);
         if state == self.state && suppressed == self.suppressed {
             return None;
         }
@@ -137,7 +137,7 @@
             .detector
             .as_ref()
             .map_or(0.0, |detector| detector.phi(now));
-        if self.failures >= FAILURES_DOWN || phi >= self.params.phi_down {
+        if self.failures >= FAILURES_DOWN || phi >= self.params.phi_down_threshold {
             return LinkState::Down;
         }
         if self.failures > 0 {
@@ -150,7 +150,7 @@
         if self.succeeded.is_none() {
             return LinkState::Unknown;
         }
-        if phi >= self.params.phi_down * SUSPECT_FRACTION {
+        if phi >= self.params.phi_down_threshold * SUSPECT_FRACTION {
             return LinkState::Suspect;
         }
         LinkState::Up
@@ -192,7 +192,7 @@
     }
 
     /// Sending time of the newest success.
-    pub fn evidence_at(&self) -> Option<Instant> {
+    pub fn last_success_sent_at(&self) -> Option<Instant> {
         self.succeeded
     }
 }
--- a/crates/links/src/link/tests.rs
+++ b/crates/links/src/link/tests.rs
@@ -117,7 +117,7 @@
 fn without_damping_a_flapping_link_is_usable_while_up() {
     let start = Instant::now();
     let judgement = DetectionParams {
-        damping: false,
+        damping_enabled: false,
         ..DETECTION_PARAMS
     };
     let mut link = Link::new(judgement, &timing(), None, start);
@@ -159,7 +159,7 @@
     observed.link.forget(now);
     assert_eq!(observed.link.state(), LinkState::Up);
     assert_eq!(
-        observed.link.evidence_at(),
+        observed.link.last_success_sent_at(),
         Some(observed.at(9_000)),
         "its age is kept"
     );
--- a/crates/links/src/matrix.rs
+++ b/crates/links/src/matrix.rs
@@ -16,14 +16,14 @@
 
 /// The rows of the other controllers.
 #[derive(Debug)]
-pub struct Matrix {
+pub struct ConnectivityMatrix {
     timing: LinkTiming,
     rows: BTreeMap<String, Option<Received>>,
     /// Rejections logged since the sender's last accepted row.
     logged_rejections: HashSet<(String, RowRejection)>,
 }
 
-impl Matrix {
+impl ConnectivityMatrix {
     /// A matrix without any row, for these other controllers.
     pub fn new(members: impl Iterator<Item = String>, timing: LinkTiming) -> Self {
         Self {
@@ -34,7 +34,7 @@
     }
 
     /// Accepts a row that arrived at `now`, at the time of day `wall_ms`. A rejected row changes nothing.
-    pub fn take(&mut self, row: Row, now: Instant, wall_ms: u64) -> Result<(), RowRejection> {
+    pub fn accept_row(&mut self, row: Row, now: Instant, wall_ms: u64) -> Result<(), RowRejection> {
         let message = &row.message;
         let Some(slot) = self.rows.get_mut(&message.member) else {
             return Err(RowRejection::UnknownMember);
@@ -116,7 +116,7 @@
         let mut served = WorkerSet::default();
         for row in others.chain(std::iter::once(own)) {
             if row.message.member == member || row.reaches(member) {
-                served.union_with(&row.heard);
+                served.union_with(&row.reporting_workers);
             }
         }
         served
--- a/crates/links/src/misdirected.rs
+++ b/crates/links/src/misdirected.rs
@@ -6,7 +6,7 @@
 
 /// Misdirected heartbeats at one controller between two state summaries that are significant: a worker
 /// that has just started sends one to any controller.
-pub const MANY_MISDIRECTED: u64 = 5;
+pub const SIGNIFICANT_MISDIRECTED_INCREASE: u64 = 5;
 /// How long the evidence counts: workers that get no response of the leader send the next misdirected
 /// heartbeat at most a second later.
 const MISDIRECTED_TTL: Duration = Duration::from_secs(6);
@@ -25,13 +25,13 @@
         let before = self.counts.insert(member.to_owned(), count);
         // A lower count comes from a new incarnation of the controller.
         let increase = before.map_or(0, |before| count.saturating_sub(before));
-        if increase >= MANY_MISDIRECTED {
+        if increase >= SIGNIFICANT_MISDIRECTED_INCREASE {
             self.last = Some(now);
         }
     }
 
     /// Whether many were counted recently.
-    pub fn many_recently(&self, now: Instant) -> bool {
+    pub fn has_recent_increase(&self, now: Instant) -> bool {
         self.last
             .is_some_and(|at| now.saturating_duration_since(at) < MISDIRECTED_TTL)
     }
--- a/crates/links/src/misdirected/tests.rs
+++ b/crates/links/src/misdirected/tests.rs
@@ -12,18 +12,18 @@
     let mut misdirected = MisdirectedHeartbeats::default();
     misdirected.record_count(&node(1), 900, at(0));
     assert!(
-        !misdirected.many_recently(at(0)),
+        !misdirected.has_recent_increase(at(0)),
         "no earlier count to compare with"
     );
     misdirected.record_count(&node(1), 902, at(1));
     misdirected.record_count(&node(2), 3, at(1));
-    assert!(!misdirected.many_recently(at(1)), "too few");
+    assert!(!misdirected.has_recent_increase(at(1)), "too few");
     misdirected.record_count(&node(2), 0, at(2));
     assert!(
-        !misdirected.many_recently(at(2)),
+        !misdirected.has_recent_increase(at(2)),
         "a new incarnation counts from zero"
     );
-    misdirected.record_count(&node(1), 902 + MANY_MISDIRECTED, at(3));
-    assert!(misdirected.many_recently(at(4)));
-    assert!(!misdirected.many_recently(at(3) + MISDIRECTED_TTL));
+    misdirected.record_count(&node(1), 902 + SIGNIFICANT_MISDIRECTED_INCREASE, at(3));
+    assert!(misdirected.has_recent_increase(at(4)));
+    assert!(!misdirected.has_recent_increase(at(3) + MISDIRECTED_TTL));
 }
--- a/crates/links/src/reachability.rs
+++ b/crates/links/src/reachability.rs
@@ -21,7 +21,7 @@
 
 impl Reachability {
     /// Whether no acknowledgement is pending.
-    pub fn confirmed(&self) -> bool {
+    pub fn is_confirmed(&self) -> bool {
         self.pending.is_none()
     }
 
@@ -33,14 +33,14 @@
     }
 
     /// A heartbeat carried this token. The required token, or a higher one, ends the wait.
-    pub fn acknowledge(&mut self, token: u64) {
+    pub fn record_token(&mut self, token: u64) {
         if self.pending.is_some_and(|pending| token >= pending.token) {
             self.pending = None;
         }
     }
 
     /// Extends the wait by a period in which no acknowledgement could have arrived.
-    pub fn extend(&mut self, missed: Duration) {
+    pub fn extend_wait(&mut self, missed: Duration) {
         if let Some(pending) = &mut self.pending {
             pending.since += missed;
         }
@@ -52,7 +52,7 @@
     }
 
     /// Whether an acknowledgement has been pending for longer than `limit`.
-    pub fn overdue(&self, now: Instant, limit: Duration) -> bool {
+    pub fn acknowledgement_overdue(&self, now: Instant, limit: Duration) -> bool {
         self.pending
             .is_some_and(|pending| now.saturating_duration_since(pending.since) > limit)
     }
--- a/crates/links/src/reachability/tests.rs
+++ b/crates/links/src/reachability/tests.rs
@@ -9,16 +9,16 @@
     let mut worker = Reachability::default();
     worker.require_acknowledgement(7, at(0));
     worker.require_acknowledgement(9, at(5));
-    worker.acknowledge(6);
-    assert!(!worker.confirmed() && worker.pending_since() == Some(at(0)));
-    assert!(worker.overdue(at(10), Duration::from_secs(9)));
-    worker.extend(Duration::from_secs(4));
+    worker.record_token(6);
+    assert!(!worker.is_confirmed() && worker.pending_since() == Some(at(0)));
+    assert!(worker.acknowledgement_overdue(at(10), Duration::from_secs(9)));
+    worker.extend_wait(Duration::from_secs(4));
     assert!(
-        !worker.overdue(at(10), Duration::from_secs(9)),
+        !worker.acknowledgement_overdue(at(10), Duration::from_secs(9)),
         "no acknowledgement could have arrived"
     );
-    worker.acknowledge(7);
-    assert!(worker.confirmed() && !worker.overdue(at(100), Duration::ZERO));
+    worker.record_token(7);
+    assert!(worker.is_confirmed() && !worker.acknowledgement_overdue(at(100), Duration::ZERO));
 }
 
 #[test]
--- a/crates/links/src/row.rs
+++ b/crates/links/src/row.rs
@@ -77,9 +77,9 @@
     /// The other controllers.
     pub peers: Vec<PeerLinks>,
     /// Workers whose heartbeats arrive at the sender itself, as [`WorkerSet::to_bytes`] has them.
-    pub workers_heard: Vec<u8>,
+    pub reporting_workers: Vec<u8>,
     /// Of these, those that confirm that the sender's responses arrive.
-    pub workers_reached: Vec<u8>,
+    pub reachable_workers: Vec<u8>,
 }
 
 /// The answer to a row.
@@ -95,7 +95,7 @@
 pub enum RowRejection {
     /// The body is larger than [`ROW_BYTES_MAX`], or truncated.
     #[error("the row is too large or truncated")]
-    Body,
+    InvalidBody,
     /// Not a row.
     #[error("malformed row")]
     Malformed,
@@ -122,23 +122,23 @@
     /// The message without its sets of workers.
     pub message: RowMessage,
     /// Workers heard.
-    pub heard: WorkerSet,
+    pub reporting_workers: WorkerSet,
     /// Workers reached.
-    pub reached: WorkerSet,
+    pub reachable_workers: WorkerSet,
 }
 
 impl Row {
     /// Validates a message.
-    pub fn check(mut message: RowMessage) -> Result<Self, RowRejection> {
+    pub fn from_message(mut message: RowMessage) -> Result<Self, RowRejection> {
         if message.version != ROW_VERSION {
             return Err(RowRejection::UnknownVersion(message.version));
         }
-        let heard = std::mem::take(&mut message.workers_heard);
-        let reached = std::mem::take(&mut message.workers_reached);
+        let reporting_workers = std::mem::take(&mut message.reporting_workers);
+        let reachable_workers = std::mem::take(&mut message.reachable_workers);
         let set = |bytes: &[u8]| WorkerSet::from_bytes(bytes).map_err(|_| RowRejection::Malformed);
         Ok(Self {
-            heard: set(&heard)?,
-            reached: set(&reached)?,
+            reporting_workers: set(&reporting_workers)?,
+            reachable_workers: set(&reachable_workers)?,
             message,
         })
     }
--- a/crates/links/src/row/tests.rs
+++ b/crates/links/src/row/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 fn message() -> RowMessage {
-    let set = |names: &[&str]| WorkerSet::of(names.iter().copied()).to_bytes();
+    let set = |names: &[&str]| WorkerSet::from_names(names.iter().copied()).to_bytes();
     let up = LinkStatus {
         state: LinkState::Up,
         suppressed: false,
@@ -24,15 +24,18 @@
         store_read: up,
         store_write: LinkStatus::UNKNOWN,
         peers: vec![peer("knot-0", up), peer("knot-2", LinkStatus::UNKNOWN)],
-        workers_heard: set(&["m-000001", "m-000002"]),
-        workers_reached: set(&["m-000001"]),
+        reporting_workers: set(&["m-000001", "m-000002"]),
+        reachable_workers: set(&["m-000001"]),
     }
 }
 
 #[test]
 fn a_row_survives_a_round_trip() {
-    let row = Row::check(message()).unwrap();
-    assert_eq!((row.heard.len(), row.reached.len()), (2, 1));
+    let row = Row::from_message(message()).unwrap();
+    assert_eq!(
+        (row.reporting_workers.len(), row.reachable_workers.len()),
+        (2, 1)
+    );
     assert_eq!(row.to_message(), message());
     assert!(row.reaches("knot-0") && !row.reaches("knot-2") && !row.reaches("knot-9"));
 }
@@ -42,7 +45,7 @@
     let usable = |change: fn(&mut RowMessage)| {
         let mut message = message();
         change(&mut message);
-        Row::check(message).unwrap().store_usable()
+        Row::from_message(message).unwrap().store_usable()
     };
     assert!(usable(|_| ()));
     assert!(!usable(|m| m.store_read = LinkStatus::UNKNOWN));
@@ -56,8 +59,11 @@
 fn other_versions_and_malformed_sets_are_rejected() {
     let mut other = message();
     other.version = ROW_VERSION + 1;
-    assert_eq!(Row::check(other), Err(RowRejection::UnknownVersion(2)));
+    assert_eq!(
+        Row::from_message(other),
+        Err(RowRejection::UnknownVersion(2))
+    );
     let mut broken = message();
-    broken.workers_reached.pop();
-    assert_eq!(Row::check(broken), Err(RowRejection::Malformed));
+    broken.reachable_workers.pop();
+    assert_eq!(Row::from_message(broken), Err(RowRejection::Malformed));
 }
--- a/crates/links/src/table.rs
+++ b/crates/links/src/table.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use crate::gate::{GateVerdict, PlacementGate};
+use crate::gate::{GateDecision, PlacementGate};
 use crate::link::{DetectionParams, Link, LinkState, Transition};
 use crate::row::{LinkStatus, PeerLinks, Row, RowMessage, ROW_VERSION};
 use crate::timing::LinkTiming;
@@ -23,13 +23,13 @@
 
 /// Identifies a row: its sender and time.
 #[derive(Debug, Clone, Copy)]
-pub struct RowStamp {
+pub struct RowHeader {
     /// Incarnation of this process.
     pub incarnation: u64,
     /// Sequence number of the row.
     pub sequence: u64,
     /// Time of day in milliseconds.
-    pub wall_ms: u64,
+    pub sent_at_ms: u64,
     /// The term in which this controller is the leader.
     pub leads_term: Option<u64>,
 }
@@ -74,7 +74,7 @@
     }
 
     /// Records the outcome of a request to the state service sent at `sent`.
-    pub fn store(
+    pub fn record_store_request(
         &mut self,
         operation: StoreOperation,
         sent: Instant,
@@ -96,7 +96,7 @@
     }
 
     /// Records whether a request to another controller, sent at `sent`, was answered.
-    pub fn peer_request(
+    pub fn record_peer_request(
         &mut self,
         member: &str,
         sent: Instant,
@@ -113,7 +113,7 @@
     }
 
     /// Records the arrival of an accepted row of another controller.
-    pub fn peer_row(&mut self, member: &str, now: Instant) -> Option<LinkChange> {
+    pub fn record_peer_row(&mut self, member: &str, now: Instant) -> Option<LinkChange> {
         let link = &mut self.peers.get_mut(member)?.inbound;
         let transition = link.success(now, now);
         change(LinkName::PeerInbound(member.to_owned()), transition)
@@ -121,12 +121,12 @@
 
     /// Records the arrival of a worker's heartbeat, with its epoch and sequence number. A copy of an older
     /// one is no evidence.
-    pub fn worker_heartbeat(&mut self, worker: u32, newest: (u64, u64), now: Instant) {
+    pub fn record_worker_heartbeat(&mut self, worker: u32, newest: (u64, u64), now: Instant) {
         self.workers.heartbeat(worker, newest, now);
     }
 
     /// Records that the worker's newest heartbeat was answered with 200.
-    pub fn worker_answered(&mut self, worker: u32) {
+    pub fn record_worker_response(&mut self, worker: u32) {
         self.workers.answered(worker);
     }
 
@@ -159,7 +159,7 @@
     }
 
     /// This process was paused: silence meanwhile is no evidence against a peer or a worker.
-    pub fn resume(&mut self, now: Instant) {
+    pub fn resume_after_pause(&mut self, now: Instant) {
         for pair in self.peers.values_mut() {
             pair.outbound.forget(now);
             pair.inbound.forget(now);
@@ -168,7 +168,7 @@
     }
 
     /// The decision of the placement gate.
-    pub fn gate(&self) -> GateVerdict {
+    pub fn gate(&self) -> GateDecision {
         self.gate.verdict()
     }
 
@@ -183,7 +183,7 @@
     }
 
     /// The links that are suppressed at present.
-    pub fn suppressed(&self) -> Vec<LinkName> {
+    pub fn suppressed_links(&self) -> Vec<LinkName> {
         let links = self.named_links();
         let suppressed = links.filter(|(_, link)| link.suppressed());
         suppressed.map(|(name, _)| name).collect()
@@ -206,8 +206,8 @@
     }
 
     /// The row that this controller publishes.
-    pub fn row(&self, stamp: RowStamp, now: Instant) -> Row {
-        let workers = self.workers.sets(self.params.phi_down, now);
+    pub fn row(&self, stamp: RowHeader, now: Instant) -> Row {
+        let workers = self.workers.sets(self.params.phi_down_threshold, now);
         let peers = self.peers.iter().map(|(member, pair)| PeerLinks {
             member: member.clone(),
             outbound: status(&pair.outbound, now),
@@ -219,16 +219,16 @@
                 member: self.member.clone(),
                 incarnation: stamp.incarnation,
                 sequence: stamp.sequence,
-                sent_at_ms: stamp.wall_ms,
+                sent_at_ms: stamp.sent_at_ms,
                 leads_term: stamp.leads_term,
                 store_read: status(&self.store_read, now),
                 store_write: status(&self.store_write, now),
                 peers: peers.collect(),
-                workers_heard: Vec::new(),
-                workers_reached: Vec::new(),
+                reporting_workers: Vec::new(),
+                reachable_workers: Vec::new(),
             },
-            heard: workers.heard,
-            reached: workers.reached,
+            reporting_workers: workers.heard,
+            reachable_workers: workers.reached,
         }
     }
 }
@@ -237,8 +237,8 @@
     /// The message with its sets of workers.
     pub fn to_message(&self) -> RowMessage {
         RowMessage {
-            workers_heard: self.heard.to_bytes(),
-            workers_reached: self.reached.to_bytes(),
+            reporting_workers: self.reporting_workers.to_bytes(),
+            reachable_workers: self.reachable_workers.to_bytes(),
             ..self.message.clone()
         }
     }
@@ -249,7 +249,7 @@
 }
 
 fn status(link: &Link, now: Instant) -> LinkStatus {
-    let age = link.evidence_at();
+    let age = link.last_success_sent_at();
     let age = age.map(|at| now.saturating_duration_since(at).as_millis() as u64);
     LinkStatus {
         state: link.state(),
--- a/crates/links/src/test_support.rs
+++ b/crates/links/src/test_support.rs
@@ -17,6 +17,6 @@
 
 /// The defaults of the service.
 pub const DETECTION_PARAMS: DetectionParams = DetectionParams {
-    phi_down: 8.0,
-    damping: true,
+    phi_down_threshold: 8.0,
+    damping_enabled: true,
 };
--- a/crates/links/src/workers.rs
+++ b/crates/links/src/workers.rs
@@ -37,7 +37,7 @@
 
 impl WorkerSet {
     /// The workers with these names.
-    pub fn of<'a>(names: impl Iterator<Item = &'a str>) -> Self {
+    pub fn from_names<'a>(names: impl Iterator<Item = &'a str>) -> Self {
         Self(names.map(worker_number).collect())
     }
 
--- a/crates/links/src/workers/tests.rs
+++ b/crates/links/src/workers/tests.rs
@@ -17,12 +17,12 @@
 #[test]
 fn a_set_of_4000_workers_is_small_and_read_back_as_it_was() {
     let names: Vec<String> = (0..4_000).map(|n| format!("m-{n:06}")).collect();
-    let set = WorkerSet::of(names.iter().map(String::as_str));
+    let set = WorkerSet::from_names(names.iter().map(String::as_str));
     let bytes = set.to_bytes();
     assert!(bytes.len() < 100, "a run: {}", bytes.len());
     assert_eq!(WorkerSet::from_bytes(&bytes).unwrap(), set);
     // Every other one is gone.
-    let set = WorkerSet::of(names.iter().step_by(2).map(String::as_str));
+    let set = WorkerSet::from_names(names.iter().step_by(2).map(String::as_str));
     let bytes = set.to_bytes();
     assert!(bytes.len() < 9_000, "{}", bytes.len());
     let read = WorkerSet::from_bytes(&bytes).unwrap();
@@ -32,7 +32,7 @@
 
 #[test]
 fn malformed_bytes_are_rejected() {
-    let set = WorkerSet::of(["m-000001", "m-000900"].into_iter());
+    let set = WorkerSet::from_names(["m-000001", "m-000900"].into_iter());
     let bytes = set.to_bytes();
     for end in 0..bytes.len() {
         assert_eq!(WorkerSet::from_bytes(&bytes[..end]), Err(MalformedSet));
--- a/src/actors/election/handover.rs
+++ b/src/actors/election/handover.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use knotlanding_links::handover::Decision;
+use knotlanding_links::handover::HandoverDecision;
 use tracing::{debug, warn};
 
 use super::Election;
@@ -68,7 +68,10 @@
         if !links.features.leadership || self.shared.election.lock().leadership(now).is_none() {
             return false;
         }
-        matches!(links.decide_handover(now), Decision::HandOver { .. })
+        matches!(
+            links.decide_handover(now),
+            HandoverDecision::HandOver { .. }
+        )
     }
 
     /// Steps down and revokes the lease, so that another controller is elected at once.
--- a/src/actors/peers/misdirected.rs
+++ b/src/actors/peers/misdirected.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use actix::Addr;
-use knotlanding_links::misdirected::MANY_MISDIRECTED;
+use knotlanding_links::misdirected::SIGNIFICANT_MISDIRECTED_INCREASE;
 
 use crate::service::Shared;
 use crate::store::actor::{Commit, StoreActor};
@@ -61,7 +61,7 @@
     fn is_due(&self, count: u64, now: Instant) -> bool {
         let leads = self.shared.election.lock().own_term().is_some();
         let leader_known = self.shared.replica.lock().leader.is_some();
-        let many = count >= self.recorded + MANY_MISDIRECTED;
+        let many = count >= self.recorded + SIGNIFICANT_MISDIRECTED_INCREASE;
         let elapsed = now.saturating_duration_since(self.recorded_at) >= RECORD_INTERVAL;
         !leads && leader_known && many && elapsed
     }
--- a/src/api/admin/views.rs
+++ b/src/api/admin/views.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-use knotlanding_links::health::{HealthJudge, HealthState, LostDirection, WorkerHealth};
+use knotlanding_links::health::{HealthEvaluator, HealthState, LostDirection, WorkerHealth};
 use serde::Serialize;
 
 use crate::cluster::{Cluster, DrainReason, Job, Machine, PlacementRefusal};
@@ -44,14 +44,14 @@
         let age = age.map(|at| now.saturating_duration_since(at).as_secs_f64());
         Self {
             state: health.state,
-            lost: health.lost,
+            lost: health.lost_direction,
             evidence_s_ago: age,
         }
     }
 }
 
 impl MachineStatus {
-    pub(super) fn of(cluster: &Cluster, machine: &Machine, judge: &HealthJudge) -> Self {
+    pub(super) fn of(cluster: &Cluster, machine: &Machine, judge: &HealthEvaluator) -> Self {
         let now = judge.now;
         let reported = machine
             .last_heartbeat
@@ -67,7 +67,7 @@
             passed_over: machine
                 .placement_refusal(now, cluster.timing.suspect_after)
                 .map(PlacementRefusal::as_str),
-            health: MachineHealth::of(judge.judge(&machine.evidence()), now),
+            health: MachineHealth::of(judge.evaluate(&machine.evidence()), now),
         }
     }
 }
--- a/src/api/links.rs
+++ b/src/api/links.rs
@@ -6,7 +6,7 @@
 
 use actix_web::{web, HttpResponse};
 use knotlanding_links::gate::GateRefusal;
-use knotlanding_links::handover::{connectivity, Connectivity, Decision};
+use knotlanding_links::handover::{connectivity, Connectivity, HandoverDecision};
 use knotlanding_links::row::{LinkStatus, Row};
 use serde::Serialize;
 
@@ -58,8 +58,8 @@
             store_read: message.store_read,
             store_write: message.store_write,
             peers: peers.collect(),
-            workers_heard: row.heard.len(),
-            workers_reached: row.reached.len(),
+            workers_heard: row.reporting_workers.len(),
+            workers_reached: row.reachable_workers.len(),
             as_leader,
         }
     }
@@ -77,7 +77,7 @@
 struct DecisionView {
     s_ago: f64,
     #[serde(flatten)]
-    decision: Decision,
+    decision: HandoverDecision,
 }
 
 #[derive(Debug, Serialize)]
@@ -115,7 +115,7 @@
     }
     let (suppressed, refused_for) = {
         let table = active.table.lock();
-        let names = table.suppressed().into_iter();
+        let names = table.suppressed_links().into_iter();
         let names: Vec<String> = names.map(|name| name.to_string()).collect();
         (names, table.gate_refused_for(now))
     };
@@ -129,7 +129,7 @@
         placement_gate: GateView {
             on: active.features.placement_gate,
             refuses: snapshot.gate.refusal,
-            since_s: seconds_since(snapshot.gate.since),
+            since_s: seconds_since(snapshot.gate.changed_at),
             refused_s: refused_for.as_secs_f64(),
         },
         suppressed,
--- a/src/cluster/commands.rs
+++ b/src/cluster/commands.rs
@@ -130,7 +130,7 @@
             }
         }
         for machine in self.machines.values_mut() {
-            if !machine.reachability.confirmed()
+            if !machine.reachability.is_confirmed()
                 && again(machine.last_probe)
                 && !machine.address.is_empty()
             {
--- a/src/cluster/detection.rs
+++ b/src/cluster/detection.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use knotlanding_links::health::{HealthJudge, HealthLimits};
+use knotlanding_links::health::{HealthEvaluator, HealthLimits};
 use knotlanding_links::reachability::few_workers_reporting;
 
 use super::Cluster;
@@ -22,7 +22,7 @@
             machine.last_heartbeat = machine.last_heartbeat.map(later);
             machine.first_heartbeat = machine.first_heartbeat.map(later);
             machine.listed_since = later(machine.listed_since);
-            machine.reachability.extend(missed);
+            machine.reachability.extend_wait(missed);
             machine.unanswered_commands = 0;
         }
     }
@@ -59,12 +59,12 @@
 
     /// What machines' health is judged by now. Who hears hardly any of them can't tell a machine's
     /// silence from its own.
-    pub fn health_judge(&self, now: Instant) -> HealthJudge {
-        HealthJudge {
+    pub fn health_judge(&self, now: Instant) -> HealthEvaluator {
+        HealthEvaluator {
             limits: HealthLimits {
-                suspect: self.timing.heartbeat_interval.mul_f64(LATE_HEARTBEAT)
+                suspect_after: self.timing.heartbeat_interval.mul_f64(LATE_HEARTBEAT)
                     + self.timing.heartbeat_interval / 2,
-                lost: self.timing.failed_after,
+                lost_after: self.timing.failed_after,
             },
             receives_heartbeats: !self.hears_few_machines(now),
             now,
--- a/src/cluster/machine.rs
+++ b/src/cluster/machine.rs
@@ -341,8 +341,8 @@
     /// What speaks for and against its health.
     pub fn evidence(&self) -> WorkerEvidence {
         WorkerEvidence {
-            last_heartbeat: self.last_heartbeat,
-            confirmed: self.fenced && self.reachability.confirmed(),
+            last_heartbeat_at: self.last_heartbeat,
+            is_confirmed: self.fenced && self.reachability.is_confirmed(),
             unacknowledged_since: self.reachability.pending_since(),
             unanswered_commands: self.unanswered_commands,
         }
@@ -362,7 +362,7 @@
             (self.last_heartbeat.is_none(), PlacementRefusal::NoHeartbeat),
             (!fenced, PlacementRefusal::NotFenced),
             (
-                !self.reachability.confirmed(),
+                !self.reachability.is_confirmed(),
                 PlacementRefusal::Unreachable,
             ),
             (self.releasing, PlacementRefusal::Releasing),
@@ -413,7 +413,7 @@
         if let Some(raised) = self
             .token
             .raised()
-            .filter(|_| self.reachability.confirmed())
+            .filter(|_| self.reachability.is_confirmed())
         {
             self.token = raised;
             self.reachability.require_acknowledgement(raised.0, now);
--- a/src/cluster/reconcile/machine_status.rs
+++ b/src/cluster/reconcile/machine_status.rs
@@ -108,7 +108,7 @@
         let machine = self.machines.get_mut(id)?;
         let token = FencingToken(heartbeat.token);
         machine.fenced = token.term() == self.term;
-        machine.reachability.acknowledge(token.0);
+        machine.reachability.record_token(token.0);
         machine.token = machine.token.max(token).max(FencingToken::first(self.term));
         let was_never_fenced = machine.never_fenced;
         machine.never_fenced =
--- a/src/fleet/partition.rs
+++ b/src/fleet/partition.rs
@@ -28,7 +28,7 @@
         .first_heartbeat
         .is_some_and(|first| now.saturating_duration_since(first) > limit);
     machine.silent(now, limit)
-        || machine.reachability.overdue(now, limit)
+        || machine.reachability.acknowledgement_overdue(now, limit)
         || (known_for_long && !machine.fenced)
 }
 
--- a/src/peer/contact.rs
+++ b/src/peer/contact.rs
@@ -13,7 +13,7 @@
     // After a pause of the process, neither a failure nor a recent contact is known yet.
     let contact = shared.links.contact();
     let recent = contact
-        .answered
+        .answered_request_sent_at
         .is_some_and(|at| at.elapsed() < FOLLOWER_WATCH_TIMEOUT * 2 + WATCH_GRACE);
     if contact.failing_since.is_none() && recent {
         HttpResponse::NoContent().finish()
--- a/src/peer/links.rs
+++ b/src/peer/links.rs
@@ -42,7 +42,7 @@
 
 fn status_of(why: RowRejection) -> StatusCode {
     match why {
-        RowRejection::Body | RowRejection::Malformed | RowRejection::UnknownVersion(_) => {
+        RowRejection::InvalidBody | RowRejection::Malformed | RowRejection::UnknownVersion(_) => {
             StatusCode::BAD_REQUEST
         }
         RowRejection::UnknownMember => StatusCode::FORBIDDEN,
@@ -63,8 +63,8 @@
     let taken = match body {
         Ok(bytes) => take_bytes(active, &bytes, Instant::now(), SystemTime::now()),
         Err(_) => {
-            active.refuse_row("", RowRejection::Body);
-            Err(RowRejection::Body)
+            active.refuse_row("", RowRejection::InvalidBody);
+            Err(RowRejection::InvalidBody)
         }
     };
     match taken {
--- a/src/peer/links/tests.rs
+++ b/src/peer/links/tests.rs
@@ -39,8 +39,8 @@
         store_read: LinkStatus::UNKNOWN,
         store_write: LinkStatus::UNKNOWN,
         peers: Vec::new(),
-        workers_heard: nobody.clone(),
-        workers_reached: nobody,
+        reporting_workers: nobody.clone(),
+        reachable_workers: nobody,
     }
 }
 
--- a/src/service/links/active.rs
+++ b/src/service/links/active.rs
@@ -4,12 +4,12 @@
 use std::sync::Arc;
 use std::time::{Instant, SystemTime};
 
-use knotlanding_links::gate::{GateRefusal, GateVerdict};
-use knotlanding_links::handover::{Decision, HandoverPolicy};
+use knotlanding_links::gate::{GateDecision, GateRefusal};
+use knotlanding_links::handover::{HandoverDecision, HandoverPolicy};
 use knotlanding_links::link::DetectionParams;
-use knotlanding_links::matrix::Matrix;
+use knotlanding_links::matrix::ConnectivityMatrix;
 use knotlanding_links::row::{Row, RowMessage, RowRejection, RowReply};
-use knotlanding_links::table::{LinkChange, LinkTable, RowStamp, StoreOperation};
+use knotlanding_links::table::{LinkChange, LinkTable, RowHeader, StoreOperation};
 use parking_lot::Mutex;
 use tracing::{info, warn};
 
@@ -27,7 +27,7 @@
     /// The links of this controller.
     pub table: Mutex<LinkTable>,
     /// The rows of the other controllers.
-    pub matrix: Mutex<Matrix>,
+    pub matrix: Mutex<ConnectivityMatrix>,
     leadership: Mutex<HandoverPolicy>,
     snapshot: PublishedSnapshot,
     incarnation: AtomicU64,
@@ -43,8 +43,8 @@
     pub(super) fn new(settings: &Settings, features: LinkFeatures, now: Instant) -> Self {
         let timing = link_timing(settings);
         let judgement = DetectionParams {
-            phi_down: features.detector_phi,
-            damping: features.damping,
+            phi_down_threshold: features.detector_phi,
+            damping_enabled: features.damping,
         };
         let others = || settings.known.iter().map(|peer| peer.member.clone());
         let table = LinkTable::new(&settings.member, others(), judgement, timing, now);
@@ -52,7 +52,7 @@
         Self {
             features,
             table: Mutex::new(table),
-            matrix: Mutex::new(Matrix::new(others(), timing)),
+            matrix: Mutex::new(ConnectivityMatrix::new(others(), timing)),
             leadership: Mutex::new(HandoverPolicy::new(&timing, features.handovers_max)),
             snapshot,
             incarnation: AtomicU64::new(unix_ms(SystemTime::now())),
@@ -83,7 +83,7 @@
     ) {
         let (change, gate) = {
             let mut table = self.table.lock();
-            let change = table.store(operation, sent, succeeded, now);
+            let change = table.record_store_request(operation, sent, succeeded, now);
             (change, table.gate())
         };
         log_changes(change.as_slice());
@@ -102,17 +102,20 @@
 
     /// This process was paused; the links are judged anew.
     pub fn stood_still(&self, now: Instant) {
-        self.table.lock().resume(now);
+        self.table.lock().resume_after_pause(now);
         self.leadership.lock().reset();
     }
 
     /// A request to a peer was answered or not.
     pub fn peer_asked(&self, member: &str, sent: Instant, answered: bool, now: Instant) {
-        let change = self.table.lock().peer_request(member, sent, answered, now);
+        let change = self
+            .table
+            .lock()
+            .record_peer_request(member, sent, answered, now);
         log_changes(change.as_slice());
     }
 
-    fn publish_gate(&self, gate: GateVerdict) {
+    fn publish_gate(&self, gate: GateDecision) {
         if !self.snapshot.set_gate(gate) {
             return;
         }
@@ -124,10 +127,10 @@
 
     /// The row of this controller as it is now, numbered for sending.
     pub fn next_row(&self, leads_term: Option<u64>, now: Instant, wall: SystemTime) -> Row {
-        let stamp = RowStamp {
+        let stamp = RowHeader {
             incarnation: self.incarnation.load(Ordering::Relaxed),
             sequence: self.sequence.fetch_add(1, Ordering::Relaxed) + 1,
-            wall_ms: unix_ms(wall),
+            sent_at_ms: unix_ms(wall),
             leads_term,
         };
         self.table.lock().row(stamp, now)
@@ -135,10 +138,10 @@
 
     /// The row of this controller as it is now, for use in this process.
     pub fn own_row(&self, leads_term: Option<u64>, now: Instant) -> Row {
-        let stamp = RowStamp {
+        let stamp = RowHeader {
             incarnation: self.incarnation.load(Ordering::Relaxed),
             sequence: self.sequence.load(Ordering::Relaxed),
-            wall_ms: 0,
+            sent_at_ms: 0,
             leads_term,
         };
         self.table.lock().row(stamp, now)
@@ -152,11 +155,12 @@
         wall_ms: u64,
     ) -> Result<RowReply, RowRejection> {
         let member = message.member.clone();
-        let taken = Row::check(message).and_then(|row| self.matrix.lock().take(row, now, wall_ms));
+        let taken = Row::from_message(message)
+            .and_then(|row| self.matrix.lock().accept_row(row, now, wall_ms));
         match taken {
             Ok(()) => {
                 self.rows_taken.fetch_add(1, Ordering::Relaxed);
-                let change = self.table.lock().peer_row(&member, now);
+                let change = self.table.lock().record_peer_row(&member, now);
                 log_changes(change.as_slice());
             }
             Err(why) => {
@@ -201,7 +205,7 @@
     }
 
     /// The handover decision that follows from the matrix, while this controller leads.
-    pub fn decide_handover(&self, now: Instant) -> Decision {
+    pub fn decide_handover(&self, now: Instant) -> HandoverDecision {
         let own = self.own_row(None, now);
         let decision = {
             let matrix = self.matrix.lock();
@@ -223,20 +227,20 @@
 
     /// Leadership was handed over.
     pub fn handed_over(&self, now: Instant) {
-        self.leadership.lock().handed_over(now);
+        self.leadership.lock().record_handover(now);
         self.handovers.fetch_add(1, Ordering::Relaxed);
     }
 
     /// Whether leadership was handed over so often lately that it stays.
     pub fn handovers_exhausted(&self, now: Instant) -> bool {
-        self.leadership.lock().exhausted(now)
+        self.leadership.lock().limit_reached(now)
     }
 
     /// Counters for operators.
     pub fn metrics(&self, now: Instant) -> LinkMetrics {
         let (refused_for, suppressed) = {
             let table = self.table.lock();
-            (table.gate_refused_for(now), table.suppressed().len())
+            (table.gate_refused_for(now), table.suppressed_links().len())
         };
         LinkMetrics {
             rows_taken: self.rows_taken.load(Ordering::Relaxed),
--- a/src/service/links/mod.rs
+++ b/src/service/links/mod.rs
@@ -11,7 +11,7 @@
 
 use std::time::{Duration, Instant};
 
-use knotlanding_links::contact::{Contact, PeerContactAnswer, PeerContacts};
+use knotlanding_links::contact::{PeerContactAnswer, PeerContacts, StoreContact};
 use knotlanding_links::gate::GateRefusal;
 use knotlanding_links::table::StoreOperation;
 use knotlanding_links::timing::LinkTiming;
@@ -80,18 +80,21 @@
     }
 
     /// Contact with the key-value store.
-    pub fn contact(&self) -> Contact {
+    pub fn contact(&self) -> StoreContact {
         self.evidence.lock().contact
     }
 
     /// The peers are asked whether they reach the key-value store, while this process does not.
     pub fn peers_asked(&self, now: Instant) {
-        self.evidence.lock().peer_contacts.probed(now);
+        self.evidence.lock().peer_contacts.record_probe(now);
     }
 
     /// A peer answered.
     pub fn peer_contact_answered(&self, answer: PeerContactAnswer, now: Instant) {
-        self.evidence.lock().peer_contacts.record(answer, now);
+        self.evidence
+            .lock()
+            .peer_contacts
+            .record_answer(answer, now);
     }
 
     /// Discards the peers' answers.
@@ -119,7 +122,7 @@
 
     /// Whether many heartbeats were misdirected lately.
     pub fn misdirected_lately(&self, now: Instant) -> bool {
-        self.evidence.lock().misdirected.many_recently(now)
+        self.evidence.lock().misdirected.has_recent_increase(now)
     }
 
     /// Whether this node can take requests, judged by its links; `has_peers` if it is not the only one.
@@ -139,14 +142,20 @@
         if let Some(active) = &self.active {
             let number = worker_number(&heartbeat.machine);
             let newest = (heartbeat.epoch, heartbeat.sequence);
-            active.table.lock().worker_heartbeat(number, newest, now);
+            active
+                .table
+                .lock()
+                .record_worker_heartbeat(number, newest, now);
         }
     }
 
     /// An agent's newest heartbeat was answered with 200 by this node.
     pub fn worker_answered(&self, machine: &str) {
         if let Some(active) = &self.active {
-            active.table.lock().worker_answered(worker_number(machine));
+            active
+                .table
+                .lock()
+                .record_worker_response(worker_number(machine));
         }
     }
 }
--- a/src/service/links/snapshot.rs
+++ b/src/service/links/snapshot.rs
@@ -4,8 +4,8 @@
 use std::time::Instant;
 
 use arc_swap::ArcSwap;
-use knotlanding_links::gate::GateVerdict;
-use knotlanding_links::handover::Decision;
+use knotlanding_links::gate::GateDecision;
+use knotlanding_links::handover::HandoverDecision;
 use std::sync::Arc;
 
 /// Handover decisions that are kept for operators.
@@ -17,14 +17,14 @@
     /// When it was made.
     pub at: Instant,
     /// The decision.
-    pub decision: Decision,
+    pub decision: HandoverDecision,
 }
 
 /// The latest decisions.
 #[derive(Debug, Clone)]
 pub struct LinkSnapshot {
     /// The verdict of the placement gate.
-    pub gate: GateVerdict,
+    pub gate: GateDecision,
     /// The latest handover decisions that differ from the one before, oldest first.
     pub decisions: VecDeque<DecisionEntry>,
 }
@@ -34,7 +34,7 @@
 pub(super) struct PublishedSnapshot(ArcSwap<LinkSnapshot>);
 
 impl PublishedSnapshot {
-    pub(super) fn new(gate: GateVerdict) -> Self {
+    pub(super) fn new(gate: GateDecision) -> Self {
         Self(ArcSwap::from_pointee(LinkSnapshot {
             gate,
             decisions: VecDeque::new(),
@@ -46,12 +46,12 @@
     }
 
     /// The verdict of the placement gate.
-    pub(super) fn gate(&self) -> GateVerdict {
+    pub(super) fn gate(&self) -> GateDecision {
         self.0.load().gate
     }
 
     /// Replaces the verdict of the placement gate; whether it differs from the one before.
-    pub(super) fn set_gate(&self, gate: GateVerdict) -> bool {
+    pub(super) fn set_gate(&self, gate: GateDecision) -> bool {
         if self.0.load().gate == gate {
             return false;
         }
@@ -63,7 +63,7 @@
     }
 
     /// Adds a decision if it is of another kind than the latest one; whether it was added.
-    pub(super) fn add_decision(&self, decision: &Decision, now: Instant) -> bool {
+    pub(super) fn add_decision(&self, decision: &HandoverDecision, now: Instant) -> bool {
         let kind = std::mem::discriminant(decision);
         let latest = self.0.load().decisions.back().cloned();
         if latest.is_some_and(|latest| std::mem::discriminant(&latest.decision) == kind) {
--- a/tests/common/world/links.rs
+++ b/tests/common/world/links.rs
@@ -9,7 +9,7 @@
 use knotlanding::store::keys::{self, ProbeRecord};
 use knotlanding::store::{to_value, Change, StoreError, Transaction};
 use knotlanding::time::unix_ms;
-use knotlanding_links::handover::Decision;
+use knotlanding_links::handover::HandoverDecision;
 use knotlanding_links::row::{RowRejection, RowReply};
 use knotlanding_links::table::StoreOperation;
 use knotlanding_testbed::proxy::{Flow, LinkMode};
@@ -229,7 +229,7 @@
                 let links = table.named_links();
                 let outbound = format!("requests to {member}");
                 let mut links = links.filter(|(name, _)| name.to_string() == outbound);
-                let answered = links.any(|(_, link)| link.evidence_at() >= Some(sent));
+                let answered = links.any(|(_, link)| link.last_success_sent_at() >= Some(sent));
                 drop(links);
                 drop(table);
                 if !answered {
@@ -257,7 +257,7 @@
             return false;
         }
         let decision = active.decide_handover(now);
-        if !matches!(decision, Decision::HandOver { .. }) {
+        if !matches!(decision, HandoverDecision::HandOver { .. }) {
             return false;
         }
         active.handed_over(now);
--- a/tests/formats/admin.rs
+++ b/tests/formats/admin.rs
@@ -7,7 +7,7 @@
 use knotlanding::cluster::PlacementRefusal;
 use knotlanding::pending_reason::PendingReason;
 use knotlanding_links::gate::GateRefusal;
-use knotlanding_links::handover::{Connectivity, Decision};
+use knotlanding_links::handover::{Connectivity, HandoverDecision};
 use knotlanding_links::health::{HealthState, LostDirection};
 use knotlanding_links::link::LinkState;
 use serde::Serialize;
@@ -232,14 +232,14 @@
     };
     let candidate = || "knot-2".to_owned();
     let decisions = [
-        Decision::StayNobodyBetter,
-        Decision::StayHolding {
+        HandoverDecision::StayNobodyBetter,
+        HandoverDecision::StayHolding {
             candidate: candidate(),
         },
-        Decision::StayLimited {
+        HandoverDecision::StayLimited {
             candidate: candidate(),
         },
-        Decision::HandOver {
+        HandoverDecision::HandOver {
             candidate: candidate(),
             own: connectivity,
             theirs: connectivity,
--- a/tests/formats/peers.rs
+++ b/tests/formats/peers.rs
@@ -168,7 +168,7 @@
         suppressed,
         evidence_age_ms,
     };
-    let workers = WorkerSet::of(["m-000231", "m-000232"].into_iter());
+    let workers = WorkerSet::from_names(["m-000231", "m-000232"].into_iter());
     let row = RowMessage {
         version: ROW_VERSION,
         member: "knot-1".to_owned(),
@@ -183,8 +183,8 @@
             outbound: link(LinkState::Down, false, Some(9_000)),
             inbound: link(LinkState::Unknown, false, None),
         }],
-        workers_heard: workers.to_bytes(),
-        workers_reached: WorkerSet::default().to_bytes(),
+        reporting_workers: workers.to_bytes(),
+        reachable_workers: WorkerSet::default().to_bytes(),
     };
     assert_message("peer-row.hex", &row);
     let reply = RowReply {
