--- a/crates/links/src/contact.rs
+++ b/crates/links/src/contact.rs
@@ -1,67 +1,69 @@
-//! Contact of this controller and of its peers with the state service: which of them is isolated.
+//! Contact of this controller and of its peers with the key-value store, to detect whether this controller
+//! is isolated.
 
 use std::time::{Duration, Instant};
 
-/// A controller whose last contact is older than this, while a peer's is not, refuses client requests.
+/// Time of failing requests after which contact with the key-value store counts as lost. A controller that
+/// has lost contact refuses client requests if a peer has not. A peer's answer is valid for the same time.
 pub const CONTACT_LOST_AFTER: Duration = Duration::from_secs(4);
 
-/// The last successful contact with the state service, and since when requests fail.
+/// Contact of this controller with the key-value store.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct StoreContact {
-    /// Sending time of the last request that was answered.
+    /// When the newest request that was answered was sent; `None` before the first one.
     pub answered_request_sent_at: Option<Instant>,
-    /// Since when requests fail.
+    /// When the first request failed after the last answered one; `None` if none has failed since.
     pub failing_since: Option<Instant>,
 }
 
-/// State of a peer's contact with the state service, as it answers a probe.
+/// A peer's reaction to a probe for its contact with the key-value store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PeerContactAnswer {
     /// The peer has contact.
     Connected,
-    /// The peer has lost contact, too.
+    /// The peer is reachable, but has no contact either.
     Disconnected,
-    /// The peer refuses connections of this controller.
+    /// The connection to the peer was refused, by a packet filter or because the peer is starting.
     Refused,
 }
 
-/// Answers of the peers since this controller lost the state service.
+/// Answers of the peers since this controller lost contact with the key-value store.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct PeerContacts {
-    first_probe: Option<Instant>,
-    connected: Option<Instant>,
-    disconnected: Option<Instant>,
-    refused: Option<Instant>,
+    first_probe_at: Option<Instant>,
+    last_connected_at: Option<Instant>,
+    last_disconnected_at: Option<Instant>,
+    last_refused_at: Option<Instant>,
 }
 
 impl PeerContacts {
-    /// The peers were probed; only the first time counts.
+    /// Records that the peers were probed. Only the first probe has an effect.
     pub fn record_probe(&mut self, now: Instant) {
-        self.first_probe.get_or_insert(now);
+        self.first_probe_at.get_or_insert(now);
     }
 
-    /// Records the answer of a peer.
+    /// Records an answer. It replaces the last equal answer of any peer.
     pub fn record_answer(&mut self, answer: PeerContactAnswer, now: Instant) {
         match answer {
-            PeerContactAnswer::Connected => self.connected = Some(now),
-            PeerContactAnswer::Disconnected => self.disconnected = Some(now),
-            PeerContactAnswer::Refused => self.refused = Some(now),
+            PeerContactAnswer::Connected => self.last_connected_at = Some(now),
+            PeerContactAnswer::Disconnected => self.last_disconnected_at = Some(now),
+            PeerContactAnswer::Refused => self.last_refused_at = Some(now),
         }
     }
 
-    /// Whether this controller alone is disconnected: a peer has contact, or no peer was reachable for
-    /// [`CONTACT_LOST`]. In an outage that all controllers share, none is isolated.
+    /// Whether only this controller is disconnected: a peer has contact, or no peer has answered within
+    /// [`CONTACT_LOST_AFTER`]. In an outage that affects all controllers, none of them is isolated.
     pub fn is_isolated(&self, now: Instant) -> bool {
-        let recent = |at: Option<Instant>| {
+        let is_recent = |at: Option<Instant>| {
             at.is_some_and(|at| now.saturating_duration_since(at) < CONTACT_LOST_AFTER)
         };
-        if recent(self.connected) {
+        if is_recent(self.last_connected_at) {
             return true;
         }
         let waited = self
-            .first_probe
+            .first_probe_at
             .is_some_and(|at| now.saturating_duration_since(at) >= CONTACT_LOST_AFTER);
-        waited && !recent(self.disconnected) && !recent(self.refused)
+        waited && !is_recent(self.last_disconnected_at) && !is_recent(self.last_refused_at)
     }
 }
 
--- a/crates/links/src/damping/tests.rs
+++ b/crates/links/src/damping/tests.rs
@@ -3,11 +3,11 @@
 use super::*;
 
 const HALF_LIFE: Duration = Duration::from_secs(12);
-const LONGEST: Duration = Duration::from_secs(36);
+const SUPPRESSION_MAX: Duration = Duration::from_secs(36);
 
 fn losses_every(period_s: f64, count: u32) -> (FlapDamping, Instant) {
     let start = Instant::now();
-    let mut damping = FlapDamping::new(HALF_LIFE, LONGEST);
+    let mut damping = FlapDamping::new(HALF_LIFE, SUPPRESSION_MAX);
     let mut now = start;
     for loss in 0..count {
         now = start + Duration::from_secs_f64(period_s * f64::from(loss));
@@ -16,68 +16,78 @@
     (damping, now)
 }
 
-fn stable_until_reused(damping: &mut FlapDamping, last: Instant) -> Duration {
+fn time_until_reuse(damping: &mut FlapDamping, last: Instant) -> Duration {
     let tenths = |t: u32| Duration::from_millis(100) * t;
     let first = (0..10_000)
         .map(tenths)
-        .find(|t| !damping.suppressed(last + *t));
-    first.expect("it is used again")
+        .find(|t| !damping.is_suppressed(last + *t));
+    first.expect("the link is reused within 1,000 s")
 }
 
 #[test]
-fn two_losses_do_not_suppress_a_link_and_three_close_together_do() {
+fn three_losses_in_quick_succession_suppress_a_link_and_two_do_not() {
     for (count, expected) in [(1, false), (2, false), (3, true)] {
         let (mut damping, last) = losses_every(2.0, count);
-        assert_eq!(damping.suppressed(last), expected, "{count} losses");
+        assert_eq!(damping.is_suppressed(last), expected, "{count} losses");
     }
     let (mut damping, last) = losses_every(60.0, 20);
-    assert!(!damping.suppressed(last), "once a minute is no flapping");
+    assert!(
+        !damping.is_suppressed(last),
+        "one loss per minute is not flapping"
+    );
 }
 
-/// Two to five seconds up and as long down: a loss every four to ten.
+/// The link is up for 2 to 5 s and down for as long, so a loss occurs every 4 to 10 s.
 #[test]
-fn a_flapping_link_stays_suppressed_until_it_is_stable() {
+fn flapping_link_stays_suppressed_until_it_has_been_stable_for_longer_than_a_half_life() {
     for period_s in [4.0, 7.0, 10.0] {
         let (mut damping, last) = losses_every(period_s, 60);
-        let between = last + Duration::from_secs_f64(period_s * 0.9);
-        assert!(damping.suppressed(between), "{period_s} s");
+        let before_next_loss = last + Duration::from_secs_f64(period_s * 0.9);
+        assert!(
+            damping.is_suppressed(before_next_loss),
+            "period of {period_s} s"
+        );
         let (mut damping, last) = losses_every(period_s, 60);
-        let quiet = stable_until_reused(&mut damping, last);
-        assert!(quiet > HALF_LIFE, "{period_s} s: {quiet:?}");
+        let until_reuse = time_until_reuse(&mut damping, last);
+        assert!(
+            until_reuse > HALF_LIFE,
+            "period of {period_s} s: reused after {until_reuse:?}"
+        );
         assert!(
-            quiet <= LONGEST + Duration::from_millis(100),
-            "{period_s} s: {quiet:?}"
+            until_reuse <= SUPPRESSION_MAX + Duration::from_millis(100),
+            "period of {period_s} s: reused after {until_reuse:?}"
         );
     }
 }
 
-/// However long it flapped, nobody waits for longer than the bound.
+/// The suppression after the last loss is bounded, regardless of how long the link has flapped before.
 #[test]
-fn the_penalty_has_a_ceiling() {
+fn penalty_does_not_exceed_the_maximum_for_the_longest_suppression() {
     let (mut damping, last) = losses_every(0.2, 10_000);
     assert!(damping.penalty() <= 0.75 * 8.0 + 1e-9);
-    assert!(stable_until_reused(&mut damping, last) <= LONGEST + Duration::from_millis(100));
+    assert!(time_until_reuse(&mut damping, last) <= SUPPRESSION_MAX + Duration::from_millis(100));
 }
 
-/// Reuse is lower than suppression: a link is not used and suppressed in turn.
+/// The reuse threshold is lower than the suppress threshold, so that a link does not alternate between used
+/// and suppressed.
 #[test]
-fn between_the_thresholds_suppression_does_not_change() {
+fn penalty_between_the_thresholds_does_not_change_the_suppression() {
     let (mut damping, last) = losses_every(2.0, 3);
-    assert!(damping.suppressed(last));
+    assert!(damping.is_suppressed(last));
     let later = last + HALF_LIFE;
-    assert!(damping.suppressed(later) && damping.penalty() < 2.0);
+    assert!(damping.is_suppressed(later) && damping.penalty() < 2.0);
     damping.record_loss(later);
     damping.record_loss(later);
-    assert!(damping.suppressed(later));
+    assert!(damping.is_suppressed(later));
     let (mut fresh, last) = losses_every(0.0, 1);
-    assert!(fresh.penalty() > 0.75 && !fresh.suppressed(last));
+    assert!(fresh.penalty() > 0.75 && !fresh.is_suppressed(last));
 }
 
 #[test]
-fn a_clock_that_does_not_move_on_decays_nothing() {
+fn time_that_does_not_advance_decays_no_penalty() {
     let (mut damping, last) = losses_every(2.0, 3);
     let before = damping.penalty();
-    assert!(damping.suppressed(last - Duration::from_secs(5)));
-    assert!(damping.suppressed(last));
+    assert!(damping.is_suppressed(last - Duration::from_secs(5)));
+    assert!(damping.is_suppressed(last));
     assert_eq!(damping.penalty(), before);
 }
--- a/crates/links/src/gate.rs
+++ b/crates/links/src/gate.rs
@@ -1,7 +1,7 @@
-//! The placement gate: it refuses new placements of a leader whose links to the state service fail.
+//! The placement gate: it refuses new placements of a leader whose links to the key-value store fail.
 //!
-//! The gate can only refuse. An open gate permits nothing: a start still needs the lease, a replica read
-//! since the last failed request, and its records written.
+//! The gate can only refuse. An open gate does not permit a placement: a start still requires the lease, a
+//! replica that was read after the last failed request, and a completed write of its records.
 
 use std::time::{Duration, Instant};
 
@@ -15,13 +15,13 @@
 #[serde(rename_all = "snake_case")]
 pub enum GateRefusal {
     /// Reads are not answered.
-    #[error("the state service can't be read from this controller")]
+    #[error("reads from the key-value store fail at this controller")]
     Unreadable,
     /// Transactions are not answered, or are refused.
-    #[error("the state service can't be written from this controller")]
+    #[error("writes to the key-value store fail at this controller")]
     Unwritable,
-    /// The link flaps.
-    #[error("the link to the state service comes and goes")]
+    /// The link for reads or the link for transactions is suppressed because of flapping.
+    #[error("the link to the key-value store is flapping")]
     Flapping,
 }
 
@@ -36,66 +36,68 @@
     }
 }
 
-/// The decision of the gate, and since when it stands.
+/// The decision of the gate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct GateDecision {
-    /// Why placements are refused, if they are.
+    /// Why placements are refused; `None` while the gate is open.
     pub refusal: Option<GateRefusal>,
-    /// Since when.
+    /// When the gate opened, closed, or changed the reason of its refusal.
     pub changed_at: Instant,
 }
 
 /// The gate with its last decision.
 #[derive(Debug)]
 pub struct PlacementGate {
-    verdict: GateDecision,
-    refused_for: Duration,
+    decision: GateDecision,
+    /// Duration of all refusals before the last decision.
+    past_refusals: Duration,
 }
 
 impl PlacementGate {
-    /// An open gate.
+    /// Creates an open gate.
     pub fn new(now: Instant) -> Self {
         Self {
-            verdict: GateDecision {
+            decision: GateDecision {
                 refusal: None,
                 changed_at: now,
             },
-            refused_for: Duration::ZERO,
+            past_refusals: Duration::ZERO,
         }
     }
 
-    /// Re-evaluates the links and returns whether the decision changed.
+    /// Decides by the links for reads and for transactions, and returns whether the decision has changed.
     pub fn evaluate(&mut self, read: &Link, write: &Link, now: Instant) -> bool {
         let refusal = refusal(read, write);
-        if refusal == self.verdict.refusal {
+        if refusal == self.decision.refusal {
             return false;
         }
-        if self.verdict.refusal.is_some() {
-            self.refused_for += now.saturating_duration_since(self.verdict.changed_at);
+        if self.decision.refusal.is_some() {
+            self.past_refusals += now.saturating_duration_since(self.decision.changed_at);
         }
-        self.verdict = GateDecision {
+        self.decision = GateDecision {
             refusal,
             changed_at: now,
         };
         true
     }
 
-    /// The decision of the last evaluation.
-    pub fn verdict(&self) -> GateDecision {
-        self.verdict
+    /// The decision of the last evaluation; the gate is open before the first one.
+    pub fn decision(&self) -> GateDecision {
+        self.decision
     }
 
-    /// Total time of refusal.
+    /// Total time for which placements have been refused, including a refusal that still lasts.
     pub fn refused_for(&self, now: Instant) -> Duration {
-        match self.verdict.refusal {
-            Some(_) => self.refused_for + now.saturating_duration_since(self.verdict.changed_at),
-            None => self.refused_for,
+        match self.decision.refusal {
+            Some(_) => self.past_refusals + now.saturating_duration_since(self.decision.changed_at),
+            None => self.past_refusals,
         }
     }
 }
 
-/// An unknown link is no reason to refuse: a process that has just started has read its records, or is a
-/// follower, and its first placement waits for its records to be written in any case.
+/// Why the states of the links require a refusal. A link in the state `Unknown` is no reason: a process that
+/// has just started has read its records or is a follower, and its first placement waits until its records
+/// are written in any case.
 fn refusal(read: &Link, write: &Link) -> Option<GateRefusal> {
     if read.state() == LinkState::Down {
         return Some(GateRefusal::Unreadable);
@@ -103,7 +105,7 @@
     if write.state() == LinkState::Down {
         return Some(GateRefusal::Unwritable);
     }
-    (read.suppressed() || write.suppressed()).then_some(GateRefusal::Flapping)
+    (read.is_suppressed() || write.is_suppressed()).then_some(GateRefusal::Flapping)
 }
 
 #[cfg(test)]
--- a/crates/links/src/gate/tests.rs
+++ b/crates/links/src/gate/tests.rs
@@ -3,14 +3,14 @@
 use super::*;
 use crate::test_support::{timing, DETECTION_PARAMS};
 
-struct Service {
+struct GatedLinks {
     read: Link,
     write: Link,
     gate: PlacementGate,
     start: Instant,
 }
 
-impl Service {
+impl GatedLinks {
     fn new() -> Self {
         let start = Instant::now();
         let link = || Link::new(DETECTION_PARAMS, &timing(), None, start);
@@ -22,53 +22,71 @@
         }
     }
 
-    /// Requests sent and answered, or not, in this second.
-    fn second(&mut self, at: u64, reads: bool, writes: bool) -> Option<GateRefusal> {
+    /// Records ten requests per link in this second, with the given outcomes, and returns the refusal.
+    fn record_second(
+        &mut self,
+        second: u64,
+        reads_succeed: bool,
+        writes_succeed: bool,
+    ) -> Option<GateRefusal> {
         for tenth in 0..10 {
-            let now = self.start + Duration::from_millis(at * 1_000 + tenth * 100);
-            for (link, works) in [(&mut self.read, reads), (&mut self.write, writes)] {
-                if works {
-                    link.success(now, now);
+            let now = self.start + Duration::from_millis(second * 1_000 + tenth * 100);
+            for (link, succeeds) in [
+                (&mut self.read, reads_succeed),
+                (&mut self.write, writes_succeed),
+            ] {
+                if succeeds {
+                    link.record_success(now, now);
                 } else {
-                    link.failure(now, now);
+                    link.record_failure(now, now);
                 }
             }
             self.gate.evaluate(&self.read, &self.write, now);
         }
-        self.gate.verdict().refusal
+        self.gate.decision().refusal
     }
 }
 
 #[test]
-fn the_gate_is_open_without_evidence_against_a_link() {
-    let service = Service::new();
-    assert_eq!(service.gate.verdict().refusal, None);
+fn gate_is_open_without_evidence_against_a_link() {
+    let links = GatedLinks::new();
+    assert_eq!(links.gate.decision().refusal, None);
 }
 
 #[test]
-fn the_gate_refuses_when_writes_or_reads_fail() {
-    for (reads, writes, expected) in [
+fn gate_refuses_while_reads_or_writes_fail() {
+    for (reads_succeed, writes_succeed, expected) in [
         (true, false, GateRefusal::Unwritable),
         (false, true, GateRefusal::Unreadable),
         (false, false, GateRefusal::Unreadable),
     ] {
-        let mut service = Service::new();
-        assert_eq!(service.second(0, true, true), None);
-        assert_eq!(service.second(1, reads, writes), Some(expected));
-        assert_eq!(service.second(2, true, true), None, "once is no flapping");
+        let mut links = GatedLinks::new();
+        assert_eq!(links.record_second(0, true, true), None);
+        assert_eq!(
+            links.record_second(1, reads_succeed, writes_succeed),
+            Some(expected)
+        );
+        assert_eq!(
+            links.record_second(2, true, true),
+            None,
+            "a single outage is not flapping"
+        );
     }
 }
 
 #[test]
-fn the_gate_refuses_while_a_flapping_link_is_suppressed() {
-    let mut service = Service::new();
+fn gate_refuses_while_a_flapping_link_is_suppressed() {
+    let mut links = GatedLinks::new();
     for round in 0..5 {
-        service.second(round * 4, true, true);
-        service.second(round * 4 + 2, true, false);
+        links.record_second(round * 4, true, true);
+        links.record_second(round * 4 + 2, true, false);
     }
-    assert_eq!(service.second(20, true, true), Some(GateRefusal::Flapping));
-    assert_eq!(service.second(60, true, true), None);
-    let now = service.start + Duration::from_secs(61);
-    let refused = service.gate.refused_for(now);
-    assert!(refused > Duration::from_secs(20) && refused < Duration::from_secs(61));
+    assert_eq!(
+        links.record_second(20, true, true),
+        Some(GateRefusal::Flapping)
+    );
+    assert_eq!(links.record_second(60, true, true), None);
+    let now = links.start + Duration::from_secs(61);
+    let refused_for = links.gate.refused_for(now);
+    assert!(refused_for > Duration::from_secs(20) && refused_for < Duration::from_secs(61));
 }
--- a/crates/links/src/handover.rs
+++ b/crates/links/src/handover.rs
@@ -1,9 +1,9 @@
-//! Hand-over of leadership by the connectivity matrix.
+//! Handover of leadership based on the connectivity matrix.
 //!
-//! A leader needs the state service for reads and writes, and the workers' heartbeats, directly or
-//! forwarded by followers. It hands over only if another controller has been much better connected for a
-//! minimum time, and if hand-overs have been rare: leadership would otherwise oscillate between two
-//! controllers that each have half of the connections.
+//! A leader requires reads and writes at the key-value store, and the workers' heartbeats, which arrive
+//! directly or are forwarded by followers. It hands over only if another controller has been much better
+//! connected for a minimum time and recent handovers have been rare. Leadership would otherwise oscillate
+//! between two controllers that each have half of the connections.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -14,29 +14,30 @@
 use crate::row::Row;
 use crate::timing::LinkTiming;
 
-/// Factor by which another controller must serve more workers than the leader.
+/// Factor by which the workers of another controller must exceed those of this one.
 const SERVED_WORKERS_FACTOR: f64 = 2.0;
 
-/// Connectivity of a controller as a leader.
+/// Connectivity that a controller has, or would have, as the leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct Connectivity {
-    /// It can use the state service, as far as it knows.
+    /// Whether its row shows a usable key-value store; see [`Row::store_usable`].
     pub store: bool,
-    /// It has recent evidence of a read and a write there.
+    /// Whether its row also proves a recent write; see [`Row::store_proven`].
     pub store_proven: bool,
-    /// Workers whose heartbeats it receives, or would receive as the leader.
+    /// Number of workers whose heartbeats it would receive as the leader, directly or forwarded by followers.
     pub workers: u64,
 }
 
 impl Connectivity {
-    /// Whether it is so much better that a failover is worth its cost: only it can use the state service,
-    /// or both can and it serves far more workers.
-    pub fn much_better_than(&self, other: &Connectivity) -> bool {
+    /// Whether this connectivity is so much better than `other` that a failover is worth its cost: only this
+    /// one has a usable key-value store, or both have and this one serves far more workers.
+    pub fn is_much_better_than(&self, other: &Connectivity) -> bool {
         if !self.store {
             return false;
         }
         if !other.store {
-            // Without workers it would hand over again; without evidence of a write the election could fail.
+            // A new leader without workers would hand over again, and without evidence of a write its
+            // election could fail.
             return self.store_proven && (self.workers > 0 || other.workers == 0);
         }
         self.workers as f64 > other.workers as f64 * SERVED_WORKERS_FACTOR
@@ -49,19 +50,19 @@
 pub enum HandoverDecision {
     /// No other controller is much better connected.
     StayNobodyBetter,
-    /// One is, but not yet for the minimum time.
+    /// Another controller is much better connected, but not yet for the minimum time.
     StayHolding {
-        /// The better connected controller.
+        /// Name of the best connected other controller.
         candidate: String,
     },
-    /// One is, but the limit of hand-overs is reached.
+    /// Another controller is much better connected, but the limit of handovers is reached.
     StayLimited {
-        /// The better connected controller.
+        /// Name of the best connected other controller.
         candidate: String,
     },
     /// Leadership should be handed over.
     HandOver {
-        /// The next leader.
+        /// Name of the best connected other controller, the preferred next leader.
         candidate: String,
         /// Connectivity of this controller.
         own: Connectivity,
@@ -70,46 +71,48 @@
     },
 }
 
-/// The policy of one controller, with its recent hand-overs.
+/// Handover policy of one controller, with its recent handovers.
 #[derive(Debug)]
 pub struct HandoverPolicy {
-    better_for_min: Duration,
+    better_connected_for_min: Duration,
     window: Duration,
     handovers_max: usize,
-    better_since: Option<Instant>,
+    /// Since when some other controller has been much better connected, not necessarily the same one.
+    better_connected_since: Option<Instant>,
     handovers: VecDeque<Instant>,
 }
 
 impl HandoverPolicy {
-    /// At most `handovers_max` hand-overs within the window of the timing.
+    /// Creates a policy that allows at most `handovers_max` handovers within
+    /// [`LinkTiming::handover_window`].
     pub fn new(timing: &LinkTiming, handovers_max: usize) -> Self {
         Self {
-            better_for_min: timing.better_connected_for_min(),
+            better_connected_for_min: timing.better_connected_for_min(),
             window: timing.handover_window(),
             handovers_max,
-            better_since: None,
+            better_connected_since: None,
             handovers: VecDeque::new(),
         }
     }
 
-    /// Decides by the matrix while this controller is the leader.
+    /// Decides by the matrix and the row of this controller while it is the leader.
     pub fn decide(
         &mut self,
-        own: &Row,
+        own_row: &Row,
         matrix: &ConnectivityMatrix,
         now: Instant,
     ) -> HandoverDecision {
-        let ours = connectivity(own, own, matrix, now);
-        let Some((candidate, theirs)) = best_other(own, matrix, now) else {
-            self.better_since = None;
+        let own_connectivity = connectivity(own_row, own_row, matrix, now);
+        let Some((candidate, theirs)) = best_connected_other(own_row, matrix, now) else {
+            self.better_connected_since = None;
             return HandoverDecision::StayNobodyBetter;
         };
-        if !theirs.much_better_than(&ours) {
-            self.better_since = None;
+        if !theirs.is_much_better_than(&own_connectivity) {
+            self.better_connected_since = None;
             return HandoverDecision::StayNobodyBetter;
         }
-        let since = *self.better_since.get_or_insert(now);
-        if now.saturating_duration_since(since) < self.better_for_min {
+        let since = *self.better_connected_since.get_or_insert(now);
+        if now.saturating_duration_since(since) < self.better_connected_for_min {
             return HandoverDecision::StayHolding { candidate };
         }
         if self.limit_reached(now) {
@@ -117,26 +120,27 @@
         }
         HandoverDecision::HandOver {
             candidate,
-            own: ours,
+            own: own_connectivity,
             theirs,
         }
     }
 
-    /// Records a hand-over.
+    /// Records that this controller handed over leadership, whether [`Self::decide`] was the reason or not.
     pub fn record_handover(&mut self, now: Instant) {
-        self.better_since = None;
+        self.better_connected_since = None;
         self.handovers.push_back(now);
     }
 
-    /// Leadership changed for another reason: earlier observations are void.
+    /// Discards the time for which another controller has been better connected, because earlier observations
+    /// are not valid any more, for example after a pause of this process.
     pub fn reset(&mut self) {
-        self.better_since = None;
+        self.better_connected_since = None;
     }
 
-    /// Whether the limit of hand-overs within the window is reached.
+    /// Whether the limit of handovers within the window is reached.
     pub fn limit_reached(&mut self, now: Instant) -> bool {
-        while let Some(first) = self.handovers.front() {
-            if now.saturating_duration_since(*first) < self.window {
+        while let Some(oldest) = self.handovers.front() {
+            if now.saturating_duration_since(*oldest) < self.window {
                 break;
             }
             self.handovers.pop_front();
@@ -145,20 +149,21 @@
     }
 
     /// Whether a follower should delay its campaign in favour of a much better connected controller.
-    pub fn should_yield(own: &Row, matrix: &ConnectivityMatrix, now: Instant) -> bool {
-        let ours = connectivity(own, own, matrix, now);
-        best_other(own, matrix, now).is_some_and(|(_, theirs)| theirs.much_better_than(&ours))
+    pub fn should_yield(own_row: &Row, matrix: &ConnectivityMatrix, now: Instant) -> bool {
+        let own_connectivity = connectivity(own_row, own_row, matrix, now);
+        best_connected_other(own_row, matrix, now)
+            .is_some_and(|(_, theirs)| theirs.is_much_better_than(&own_connectivity))
     }
 }
 
-/// Connectivity of the sender of `row`.
+/// Connectivity of the sender of `row` as the leader. `own_row` is the row of this controller.
 pub fn connectivity(
     row: &Row,
-    own: &Row,
+    own_row: &Row,
     matrix: &ConnectivityMatrix,
     now: Instant,
 ) -> Connectivity {
-    let workers = matrix.workers_served_by(&row.message.member, own, now);
+    let workers = matrix.workers_served_by(&row.message.member, own_row, now);
     Connectivity {
         store: row.store_usable(),
         store_proven: row.store_proven(matrix.evidence_age_max()),
@@ -166,19 +171,20 @@
     }
 }
 
-/// The best connected other controller; the first by name among equals, so that all choose the same.
-fn best_other(
-    own: &Row,
+/// The best connected other controller. Among equals it is the first by name, so that all controllers choose
+/// the same one.
+fn best_connected_other(
+    own_row: &Row,
     matrix: &ConnectivityMatrix,
     now: Instant,
 ) -> Option<(String, Connectivity)> {
     let mut best: Option<(String, Connectivity)> = None;
     for (member, row, _) in matrix.rows(now) {
-        let theirs = connectivity(row, own, matrix, now);
-        let better = best
+        let theirs = connectivity(row, own_row, matrix, now);
+        let is_better = best
             .as_ref()
             .is_none_or(|(_, best)| (theirs.store, theirs.workers) > (best.store, best.workers));
-        if better {
+        if is_better {
             best = Some((member.to_owned(), theirs));
         }
     }
--- a/crates/links/src/handover/tests.rs
+++ b/crates/links/src/handover/tests.rs
@@ -1,34 +1,34 @@
-//! Tests of [`super`]: three controllers in simulated time, each with its table, its matrix and its
-//! decisions, under links that a schedule cuts.
+//! Tests of [`super`] with three controllers in simulated time. Each controller has its own link table,
+//! matrix and handover policy; each test decides which links work in each second.
 
 use super::*;
 use crate::table::{LinkTable, RowHeader, StoreOperation};
 use crate::test_support::{timing, DETECTION_PARAMS};
 
-const WALL_MS: u64 = 1_800_000_000_000;
+const START_UNIX_MS: u64 = 1_800_000_000_000;
 const MEMBERS: [&str; 3] = ["knot-0", "knot-1", "knot-2"];
 const HANDOVERS_MAX: usize = 3;
 
 struct Controller {
     table: LinkTable,
     matrix: ConnectivityMatrix,
-    leadership: HandoverPolicy,
-    /// Numbers of the workers that report here.
+    policy: HandoverPolicy,
+    /// Numbers of the workers that send heartbeats to this controller.
     workers: std::ops::Range<u32>,
-    frozen: bool,
+    paused: bool,
 }
 
-/// What works at a moment.
+/// Which links work in a second, by the index of the controller.
 #[derive(Clone, Copy)]
-struct Links {
+struct WorkingLinks {
     store: [bool; 3],
     writes: [bool; 3],
-    /// `peers[a][b]`: requests of `a` arrive at `b`; an answer takes the other way.
+    /// `peers[a][b]`: requests of `a` arrive at `b`. The responses to them require `peers[b][a]`.
     peers: [[bool; 3]; 3],
     workers: [bool; 3],
 }
 
-const ALL: Links = Links {
+const ALL_LINKS: WorkingLinks = WorkingLinks {
     store: [true; 3],
     writes: [true; 3],
     peers: [[true; 3]; 3],
@@ -38,78 +38,82 @@
 struct Cluster {
     controllers: Vec<Controller>,
     start: Instant,
-    second: u64,
+    elapsed_s: u64,
     leader: usize,
-    /// The seconds at which leadership was handed over, and to whom.
+    /// The second of each handover, and the name of the new leader.
     handovers: Vec<(u64, String)>,
 }
 
 impl Cluster {
     fn new(workers: [std::ops::Range<u32>; 3]) -> Self {
         let start = Instant::now();
-        let controllers = workers.into_iter().enumerate().map(|(at, workers)| {
+        let controllers = workers.into_iter().enumerate().map(|(index, workers)| {
             let others = || {
-                let others = MEMBERS.iter().filter(move |m| **m != MEMBERS[at]);
+                let others = MEMBERS.iter().filter(move |m| **m != MEMBERS[index]);
                 others.map(|member| (*member).to_owned())
             };
             Controller {
-                table: LinkTable::new(MEMBERS[at], others(), DETECTION_PARAMS, timing(), start),
+                table: LinkTable::new(MEMBERS[index], others(), DETECTION_PARAMS, timing(), start),
                 matrix: ConnectivityMatrix::new(others(), timing()),
-                leadership: HandoverPolicy::new(&timing(), HANDOVERS_MAX),
+                policy: HandoverPolicy::new(&timing(), HANDOVERS_MAX),
                 workers,
-                frozen: false,
+                paused: false,
             }
         });
         Self {
             controllers: controllers.collect(),
             start,
-            second: 0,
+            elapsed_s: 0,
             leader: 0,
             handovers: Vec::new(),
         }
     }
 
     fn now(&self) -> Instant {
-        self.start + Duration::from_secs(self.second)
+        self.start + Duration::from_secs(self.elapsed_s)
     }
 
-    fn row(&self, at: usize) -> Row {
-        let stamp = RowHeader {
+    fn row(&self, index: usize) -> Row {
+        let header = RowHeader {
             incarnation: 1,
-            sequence: self.second,
-            sent_at_ms: WALL_MS + self.second * 1_000,
-            leads_term: (at == self.leader).then_some(1),
+            sequence: self.elapsed_s,
+            sent_at_ms: START_UNIX_MS + self.elapsed_s * 1_000,
+            leads_term: (index == self.leader).then_some(1),
         };
-        self.controllers[at].table.row(stamp, self.now())
+        self.controllers[index].table.row(header, self.now())
     }
 
-    /// One second in which these links work.
-    fn second(&mut self, links: &Links) {
-        self.second += 1;
+    /// Simulates one second in which these links work.
+    fn run_second(&mut self, links: &WorkingLinks) {
+        self.elapsed_s += 1;
         let now = self.now();
-        for (at, controller) in self.controllers.iter_mut().enumerate() {
-            if controller.frozen {
+        for (index, controller) in self.controllers.iter_mut().enumerate() {
+            if controller.paused {
                 continue;
             }
-            // Two requests each; a follower writes only if the leader lacks the state service.
-            let writes = at == self.leader || controller.matrix.leader_lacks_store(now);
+            // Each controller sends two reads and two writes. A follower writes only if the leader lacks the
+            // key-value store.
+            let sends_writes = index == self.leader || controller.matrix.leader_lacks_store(now);
             for _ in 0..2 {
-                let works = links.store[at];
+                let succeeds = links.store[index];
                 controller
                     .table
-                    .record_store_request(StoreOperation::Read, now, works, now);
-                if writes {
-                    let works = works && links.writes[at];
-                    controller
-                        .table
-                        .record_store_request(StoreOperation::Write, now, works, now);
+                    .record_store_request(StoreOperation::Read, now, succeeds, now);
+                if sends_writes {
+                    let succeeds = succeeds && links.writes[index];
+                    controller.table.record_store_request(
+                        StoreOperation::Write,
+                        now,
+                        succeeds,
+                        now,
+                    );
                 }
             }
-            if links.workers[at] && self.second.is_multiple_of(3) {
+            if links.workers[index] && self.elapsed_s.is_multiple_of(3) {
                 for worker in controller.workers.clone() {
                     controller
                         .table
-                        .record_worker_heartbeat(worker, (1, self.second), now);
+                        .record_worker_heartbeat(worker, (1, self.elapsed_s), now);
                 }
             }
             controller.table.evaluate(now);
@@ -118,18 +122,18 @@
         self.decide(now);
     }
 
-    fn exchange_rows(&mut self, links: &Links, now: Instant) {
+    fn exchange_rows(&mut self, links: &WorkingLinks, now: Instant) {
         let pairs = (0..3).flat_map(|from| (0..3).map(move |to| (from, to)));
         for (from, to) in pairs.filter(|(from, to)| from != to) {
-            if self.controllers[from].frozen {
+            if self.controllers[from].paused {
                 continue;
             }
-            let arrives = links.peers[from][to] && !self.controllers[to].frozen;
+            let arrives = links.peers[from][to] && !self.controllers[to].paused;
             let row = self.row(from);
             if arrives {
-                let wall = WALL_MS + self.second * 1_000;
+                let now_unix_ms = START_UNIX_MS + self.elapsed_s * 1_000;
                 let receiver = &mut self.controllers[to];
-                receiver.matrix.accept_row(row, now, wall).unwrap();
+                receiver.matrix.accept_row(row, now, now_unix_ms).unwrap();
                 receiver.table.record_peer_row(MEMBERS[from], now);
             }
             let answered = arrives && links.peers[to][from];
@@ -139,125 +143,135 @@
     }
 
     fn decide(&mut self, now: Instant) {
-        let own = self.row(self.leader);
+        let own_row = self.row(self.leader);
         let leader = &mut self.controllers[self.leader];
-        if leader.frozen {
+        if leader.paused {
             return;
         }
         if let HandoverDecision::HandOver { candidate, .. } =
-            leader.leadership.decide(&own, &leader.matrix, now)
+            leader.policy.decide(&own_row, &leader.matrix, now)
         {
-            leader.leadership.record_handover(now);
+            leader.policy.record_handover(now);
             self.leader = MEMBERS.iter().position(|m| *m == candidate).unwrap();
-            self.handovers.push((self.second, candidate));
+            self.handovers.push((self.elapsed_s, candidate));
         }
     }
 
-    fn seconds(&mut self, count: u64, links: impl Fn(u64) -> Links) {
+    fn run_seconds(&mut self, count: u64, links_in: impl Fn(u64) -> WorkingLinks) {
         for _ in 0..count {
-            let links = links(self.second + 1);
-            self.second(&links);
+            let links = links_in(self.elapsed_s + 1);
+            self.run_second(&links);
         }
     }
 }
 
-fn zone_spread() -> Cluster {
+/// A cluster in which each controller receives the heartbeats of 100 workers, after 20 s with all links.
+fn connected_cluster() -> Cluster {
     let mut cluster = Cluster::new([0..100, 100..200, 200..300]);
-    cluster.seconds(20, |_| ALL);
+    cluster.run_seconds(20, |_| ALL_LINKS);
     cluster
 }
 
 #[test]
-fn with_full_connectivity_leadership_stays() {
-    let mut cluster = zone_spread();
-    cluster.seconds(600, |_| ALL);
+fn leader_stays_with_full_connectivity() {
+    let mut cluster = connected_cluster();
+    cluster.run_seconds(600, |_| ALL_LINKS);
     assert_eq!(cluster.handovers, vec![]);
 }
 
 #[test]
-fn a_leader_without_the_state_service_hands_over_once_after_the_minimum_time() {
-    let mut cluster = zone_spread();
-    let cut = Links {
+fn leader_without_the_store_hands_over_once_after_the_minimum_time() {
+    let mut cluster = connected_cluster();
+    let leader_disconnected = WorkingLinks {
         store: [false, true, true],
-        ..ALL
+        ..ALL_LINKS
     };
-    cluster.seconds(2, |_| cut);
-    assert_eq!(cluster.handovers, vec![], "for a moment it stays");
-    cluster.seconds(300, |_| cut);
+    cluster.run_seconds(2, |_| leader_disconnected);
+    assert_eq!(
+        cluster.handovers,
+        vec![],
+        "the minimum time has not elapsed"
+    );
+    cluster.run_seconds(300, |_| leader_disconnected);
     assert_eq!(cluster.handovers.len(), 1, "{:?}", cluster.handovers);
-    let (at, to) = &cluster.handovers[0];
-    assert!(*at <= 20 + 8, "second {at}");
-    assert_eq!(to, "knot-1");
+    let (second, new_leader) = &cluster.handovers[0];
+    assert!(*second <= 20 + 8, "handover in second {second}");
+    assert_eq!(new_leader, "knot-1");
 }
 
 #[test]
-fn in_an_outage_that_all_share_leadership_stays() {
-    let mut cluster = zone_spread();
-    let out = Links {
+fn leader_stays_in_a_store_outage_that_affects_all_controllers() {
+    let mut cluster = connected_cluster();
+    let outage = WorkingLinks {
         store: [false; 3],
-        ..ALL
+        ..ALL_LINKS
     };
-    cluster.seconds(120, |_| out);
+    cluster.run_seconds(120, |_| outage);
     assert_eq!(cluster.handovers, vec![]);
 }
 
-/// Seen with real processes: the followers had not written, nothing spoke against them, and leadership went
-/// to one that could not be elected.
+/// Observed with real processes: the followers had not written, so there was no evidence against their
+/// writes, and the leader handed over to a follower that could not be elected.
 #[test]
-fn where_transactions_are_refused_to_all_leadership_stays() {
-    let mut cluster = zone_spread();
-    let unwritable = Links {
+fn leader_stays_if_the_transactions_of_all_controllers_are_refused() {
+    let mut cluster = connected_cluster();
+    let all_unwritable = WorkingLinks {
         writes: [false; 3],
-        ..ALL
+        ..ALL_LINKS
     };
-    cluster.seconds(120, |_| unwritable);
+    cluster.run_seconds(120, |_| all_unwritable);
     assert_eq!(cluster.handovers, vec![]);
-    let leader_alone = Links {
+    let leader_unwritable = WorkingLinks {
         writes: [false, true, true],
-        ..ALL
+        ..ALL_LINKS
     };
-    cluster.seconds(60, |_| ALL);
-    cluster.seconds(60, |_| leader_alone);
+    cluster.run_seconds(60, |_| ALL_LINKS);
+    cluster.run_seconds(60, |_| leader_unwritable);
     assert_eq!(cluster.handovers.len(), 1, "{:?}", cluster.handovers);
 }
 
-/// Followers forward reports, so a leader without workers of its own is not cut off from any.
+/// Followers forward heartbeats, so a leader that receives none directly still serves all workers.
 #[test]
-fn a_leader_without_own_workers_stays_while_followers_forward_heartbeats() {
-    let mut cluster = zone_spread();
-    let lost = Links {
+fn leader_without_direct_heartbeats_stays_while_followers_forward_them() {
+    let mut cluster = connected_cluster();
+    let no_direct_heartbeats = WorkingLinks {
         workers: [false, true, true],
-        ..ALL
+        ..ALL_LINKS
     };
-    cluster.seconds(300, |_| lost);
+    cluster.run_seconds(300, |_| no_direct_heartbeats);
     assert_eq!(cluster.handovers, vec![]);
 }
 
-/// Each controller sees some of the workers, and none sees twice what another does.
+/// Each controller receives the heartbeats of some of the workers, and none receives those of more than twice
+/// as many workers as another.
 #[test]
-fn all_controllers_that_see_half_of_the_workers_keep_the_leader() {
+fn leader_stays_if_each_controller_receives_heartbeats_of_some_workers() {
     let mut cluster = Cluster::new([0..200, 100..300, 0..300]);
-    cluster.seconds(20, |_| ALL);
-    let apart = Links {
+    cluster.run_seconds(20, |_| ALL_LINKS);
+    let peers_disconnected = WorkingLinks {
         peers: [[false; 3]; 3],
-        ..ALL
+        ..ALL_LINKS
     };
-    cluster.seconds(300, |_| apart);
-    assert_eq!(cluster.handovers, vec![], "no row, nobody better");
-    cluster.seconds(300, |_| ALL);
+    cluster.run_seconds(300, |_| peers_disconnected);
+    assert_eq!(
+        cluster.handovers,
+        vec![],
+        "without rows no controller is better connected"
+    );
+    cluster.run_seconds(300, |_| ALL_LINKS);
     assert_eq!(
         cluster.handovers,
         vec![],
-        "each serves all by way of the others"
+        "each controller serves all workers through the others"
     );
 }
 
 #[test]
-fn a_one_way_cut_between_two_controllers_costs_no_leadership() {
-    let mut cluster = zone_spread();
-    let mut one_way = ALL;
+fn one_way_failure_between_two_controllers_causes_no_handover() {
+    let mut cluster = connected_cluster();
+    let mut one_way = ALL_LINKS;
     one_way.peers[1][0] = false;
-    cluster.seconds(300, |_| one_way);
+    cluster.run_seconds(300, |_| one_way);
     assert_eq!(cluster.handovers, vec![]);
     let leader = &cluster.controllers[0];
     let row = cluster.row(0);
@@ -267,70 +281,81 @@
         .iter()
         .find(|l| l.member == "knot-1")
         .unwrap();
-    assert!(!links.inbound.usable(), "its requests don't arrive");
-    assert!(!links.outbound.usable(), "nor do its answers");
+    assert!(
+        !links.inbound.is_usable(),
+        "requests of knot-1 do not arrive"
+    );
+    assert!(
+        !links.outbound.is_usable(),
+        "responses of knot-1 do not arrive"
+    );
     assert!(
         leader.matrix.row("knot-1", cluster.now()).is_none(),
-        "expired"
+        "the row of knot-1 has expired"
     );
 }
 
-/// Followers' rows arrive at the leader, its answers don't get back: they can't forward reports to it.
+/// The rows of the followers arrive at the leader, but the responses of the leader do not arrive at the
+/// followers, which therefore cannot forward heartbeats to it.
 #[test]
-fn a_leader_cut_from_most_workers_hands_over_to_the_controller_that_serves_them() {
+fn leader_without_most_workers_hands_over_to_a_controller_that_serves_them() {
     let mut cluster = Cluster::new([0..10, 10..200, 200..400]);
-    cluster.seconds(20, |_| ALL);
-    let mut cut = ALL;
+    cluster.run_seconds(20, |_| ALL_LINKS);
+    let mut leader_disconnected = ALL_LINKS;
     for other in 1..3 {
-        cut.peers[0][other] = false;
-        cut.peers[other][0] = false;
+        leader_disconnected.peers[0][other] = false;
+        leader_disconnected.peers[other][0] = false;
     }
-    cluster.seconds(60, |_| cut);
-    assert_eq!(cluster.handovers, vec![], "without rows nothing is known");
-    let mut one_way = ALL;
+    cluster.run_seconds(60, |_| leader_disconnected);
+    assert_eq!(
+        cluster.handovers,
+        vec![],
+        "without rows no controller is better connected"
+    );
+    let mut one_way = ALL_LINKS;
     one_way.peers[0][1] = false;
     one_way.peers[0][2] = false;
-    cluster.seconds(60, |_| one_way);
-    let to: Vec<&str> = cluster
+    cluster.run_seconds(60, |_| one_way);
+    let new_leaders: Vec<&str> = cluster
         .handovers
         .iter()
-        .map(|(_, to)| to.as_str())
+        .map(|(_, new_leader)| new_leader.as_str())
         .collect();
-    assert_eq!(to, vec!["knot-1"]);
+    assert_eq!(new_leaders, vec!["knot-1"]);
 }
 
 #[test]
-fn leadership_does_not_oscillate_between_two_half_connected_controllers() {
-    // One has the state service every other ten seconds, the other in between.
-    let mut cluster = zone_spread();
-    let halves = |second: u64| Links {
+fn handovers_between_two_controllers_with_alternating_outages_are_limited() {
+    // The store is reachable from knot-0 and from knot-1 in turn, for 10 s each.
+    let mut cluster = connected_cluster();
+    let alternating = |second: u64| WorkingLinks {
         store: [
             (second / 10).is_multiple_of(2),
             !(second / 10).is_multiple_of(2),
             false,
         ],
-        ..ALL
+        ..ALL_LINKS
     };
-    cluster.seconds(900, halves);
-    let window = timing().handover_window().as_secs();
-    for (at, _) in &cluster.handovers {
-        let within = cluster
+    cluster.run_seconds(900, alternating);
+    let window_s = timing().handover_window().as_secs();
+    for (second, _) in &cluster.handovers {
+        let within_window = cluster
             .handovers
             .iter()
-            .filter(|(b, _)| (*at..at + window).contains(b));
+            .filter(|(other, _)| (*second..second + window_s).contains(other));
         assert!(
-            within.count() <= 2 * HANDOVERS_MAX,
+            within_window.count() <= 2 * HANDOVERS_MAX,
             "{:?}",
             cluster.handovers
         );
     }
-    let fast = |second: u64| Links {
+    let flapping = |second: u64| WorkingLinks {
         store: [second % 5 < 3, second % 5 >= 2, true],
-        ..ALL
+        ..ALL_LINKS
     };
-    let mut cluster = zone_spread();
-    cluster.seconds(900, fast);
-    // The third one is steady, and keeps leadership once it has it.
+    let mut cluster = connected_cluster();
+    cluster.run_seconds(900, flapping);
+    // knot-2 always reaches the store, and stays the leader once it has become the leader.
     assert!(
         cluster.handovers.len() <= HANDOVERS_MAX,
         "{:?}",
@@ -339,45 +364,45 @@
     assert_eq!(cluster.leader, 2, "{:?}", cluster.handovers);
 }
 
-/// It wakes with rows from before; they have expired by its own clock.
+/// After a pause a controller still holds the rows that arrived before. They have expired by its own clock.
 #[test]
-fn a_resumed_controller_ignores_its_expired_rows() {
-    let mut cluster = zone_spread();
-    cluster.controllers[0].frozen = true;
-    cluster.seconds(30, |_| ALL);
-    cluster.controllers[0].frozen = false;
+fn resumed_leader_ignores_expired_rows_and_stays() {
+    let mut cluster = connected_cluster();
+    cluster.controllers[0].paused = true;
+    cluster.run_seconds(30, |_| ALL_LINKS);
+    cluster.controllers[0].paused = false;
     let now = cluster.now();
-    let woken = &mut cluster.controllers[0];
-    assert_eq!(woken.matrix.rows(now).count(), 0);
-    woken.table.resume_after_pause(now);
-    let own = cluster.row(0);
-    let woken = &mut cluster.controllers[0];
-    let decision = woken.leadership.decide(&own, &woken.matrix, now);
+    let resumed = &mut cluster.controllers[0];
+    assert_eq!(resumed.matrix.rows(now).count(), 0);
+    resumed.table.resume_after_pause(now);
+    let own_row = cluster.row(0);
+    let resumed = &mut cluster.controllers[0];
+    let decision = resumed.policy.decide(&own_row, &resumed.matrix, now);
     assert_eq!(decision, HandoverDecision::StayNobodyBetter);
-    cluster.seconds(60, |_| ALL);
+    cluster.run_seconds(60, |_| ALL_LINKS);
     assert_eq!(cluster.handovers, vec![]);
 }
 
 #[test]
-fn a_campaign_is_delayed_only_for_a_much_better_connected_controller() {
-    let mut cluster = zone_spread();
+fn campaign_is_delayed_only_for_a_much_better_connected_controller() {
+    let mut cluster = connected_cluster();
     let now = cluster.now();
-    let yields = |cluster: &Cluster, at: usize, now| {
-        let own = cluster.row(at);
-        HandoverPolicy::should_yield(&own, &cluster.controllers[at].matrix, now)
+    let should_yield = |cluster: &Cluster, index: usize, now| {
+        let own_row = cluster.row(index);
+        HandoverPolicy::should_yield(&own_row, &cluster.controllers[index].matrix, now)
     };
-    assert!((0..3).all(|at| !yields(&cluster, at, now)));
-    let cut = Links {
+    assert!((0..3).all(|index| !should_yield(&cluster, index, now)));
+    let follower_disconnected = WorkingLinks {
         store: [true, false, true],
-        ..ALL
+        ..ALL_LINKS
     };
-    cluster.seconds(5, |_| cut);
+    cluster.run_seconds(5, |_| follower_disconnected);
     let now = cluster.now();
-    assert!(yields(&cluster, 1, now) && !yields(&cluster, 2, now));
+    assert!(should_yield(&cluster, 1, now) && !should_yield(&cluster, 2, now));
 }
 
 #[test]
-fn much_better_means_the_state_service_with_workers_or_twice_the_workers() {
+fn much_better_means_a_usable_store_with_workers_or_more_than_twice_the_workers() {
     let connected = |store, workers| Connectivity {
         store,
         store_proven: store,
@@ -387,8 +412,8 @@
         store_proven: false,
         ..connected(true, 100)
     };
-    assert!(!unproven.much_better_than(&connected(false, 100)));
-    assert!(unproven.much_better_than(&connected(true, 10)));
+    assert!(!unproven.is_much_better_than(&connected(false, 100)));
+    assert!(unproven.is_much_better_than(&connected(true, 10)));
     let cases = [
         (connected(true, 10), connected(false, 100), true),
         (connected(true, 0), connected(false, 100), false),
@@ -397,12 +422,12 @@
         (connected(true, 21), connected(true, 10), true),
         (connected(true, 20), connected(true, 10), false),
     ];
-    for (theirs, ours, expected) in cases {
+    for (theirs, own, expected) in cases {
         assert_eq!(
-            theirs.much_better_than(&ours),
+            theirs.is_much_better_than(&own),
             expected,
-            "{theirs:?} {ours:?}"
+            "{theirs:?} compared with {own:?}"
         );
-        assert!(!(theirs.much_better_than(&ours) && ours.much_better_than(&theirs)));
+        assert!(!(theirs.is_much_better_than(&own) && own.is_much_better_than(&theirs)));
     }
 }
--- a/crates/links/src/health/tests.rs
+++ b/crates/links/src/health/tests.rs
@@ -4,8 +4,8 @@
 
 const NOW_S: u64 = 1_000;
 
-fn judge(evidence: WorkerEvidence, receives_heartbeats: bool, start: Instant) -> WorkerHealth {
-    let judge = HealthEvaluator {
+fn evaluate(evidence: WorkerEvidence, receives_heartbeats: bool, start: Instant) -> WorkerHealth {
+    let evaluator = HealthEvaluator {
         limits: HealthLimits {
             suspect_after: Duration::from_secs(5),
             lost_after: Duration::from_secs(9),
@@ -13,85 +13,85 @@
         receives_heartbeats,
         now: start + Duration::from_secs(NOW_S),
     };
-    judge.evaluate(&evidence)
+    evaluator.evaluate(&evidence)
 }
 
 #[test]
-fn each_direction_is_evaluated_by_its_own_evidence() {
+fn each_direction_is_evaluated_by_its_own_evidence_only() {
     let start = Instant::now();
     let ago = |s: u64| Some(start + Duration::from_secs(NOW_S - s));
-    let good = WorkerEvidence {
+    let healthy = WorkerEvidence {
         last_heartbeat_at: ago(2),
         is_confirmed: true,
         ..WorkerEvidence::default()
     };
     let unconfirmed = WorkerEvidence {
         is_confirmed: false,
-        ..good
+        ..healthy
     };
-    let unacknowledged = |s| WorkerEvidence {
+    let unacknowledged_for = |s| WorkerEvidence {
         unacknowledged_since: ago(s),
         ..unconfirmed
     };
-    let silent = |s| WorkerEvidence {
+    let overdue = |s| WorkerEvidence {
         last_heartbeat_at: ago(s),
-        ..good
+        ..healthy
     };
-    let unanswered = |count, evidence| WorkerEvidence {
+    let with_unanswered = |count, evidence| WorkerEvidence {
         unanswered_commands: count,
         ..evidence
     };
     let unreachable = HealthState::Unreachable;
-    // Where commands are lost, heartbeats arrive all the while, and are no evidence for the other direction.
+    // If commands are lost, heartbeats still arrive. They are no evidence that commands do.
     let cases = [
-        (good, HealthState::Healthy, None),
-        (silent(6), HealthState::Suspect, None),
+        (healthy, HealthState::Healthy, None),
+        (overdue(6), HealthState::Suspect, None),
         (unconfirmed, HealthState::Suspect, None),
-        (unanswered(1, good), HealthState::Suspect, None),
-        (unacknowledged(1), HealthState::Suspect, None),
+        (with_unanswered(1, healthy), HealthState::Suspect, None),
+        (unacknowledged_for(1), HealthState::Suspect, None),
         (
-            unacknowledged(10),
+            unacknowledged_for(10),
             unreachable,
             Some(LostDirection::ToWorker),
         ),
         (
-            unanswered(2, good),
+            with_unanswered(2, healthy),
             unreachable,
             Some(LostDirection::ToWorker),
         ),
-        (silent(10), unreachable, Some(LostDirection::FromWorker)),
+        (overdue(10), unreachable, Some(LostDirection::FromWorker)),
         (
-            unanswered(2, silent(10)),
+            with_unanswered(2, overdue(10)),
             unreachable,
             Some(LostDirection::Both),
         ),
         (WorkerEvidence::default(), HealthState::Unknown, None),
     ];
-    for (evidence, state, lost) in cases {
-        let health = judge(evidence, true, start);
+    for (evidence, state, lost_direction) in cases {
+        let health = evaluate(evidence, true, start);
         assert_eq!(
             (health.state, health.lost_direction),
-            (state, lost),
+            (state, lost_direction),
             "{evidence:?}"
         );
         assert_eq!(health.evidence_at, evidence.last_heartbeat_at);
     }
 }
 
-/// A controller that lost its workers must not go on calling them healthy, nor say that they are lost.
+/// A controller whose own connection failed must report its workers neither as healthy nor as lost.
 #[test]
-fn a_controller_without_heartbeats_reports_unknown_health_and_the_age_of_its_evidence() {
+fn health_is_unknown_with_the_time_of_the_evidence_if_hardly_any_heartbeats_arrive() {
     let start = Instant::now();
-    let reported = Some(start + Duration::from_secs(NOW_S - 1));
+    let heartbeat_at = Some(start + Duration::from_secs(NOW_S - 1));
     let evidence = WorkerEvidence {
-        last_heartbeat_at: reported,
+        last_heartbeat_at: heartbeat_at,
         is_confirmed: true,
         ..WorkerEvidence::default()
     };
-    let health = judge(evidence, false, start);
+    let health = evaluate(evidence, false, start);
     assert_eq!(
         (health.state, health.lost_direction),
         (HealthState::Unknown, None)
     );
-    assert_eq!(health.evidence_at, reported);
+    assert_eq!(health.evidence_at, heartbeat_at);
 }
--- a/crates/links/src/lib.rs
+++ b/crates/links/src/lib.rs
@@ -1,17 +1,19 @@
-//! Directed links between the controllers of a cluster, the state service and the workers.
+//! Directed links between the controllers of a cluster, the key-value store and the workers. A worker is
+//! the agent on a rented machine.
 //!
-//! The crate decides without I/O: observations and the time are passed in, states and decisions are
-//! returned. Nothing here grants a permission. A lease and conditional transactions are the only
-//! permission to start a task; this crate can only refuse a placement, describe a worker's health, or
-//! recommend a hand-over of leadership.
+//! The crate performs no I/O: the caller passes observations and the current time, and the crate returns
+//! states and decisions. No decision here permits anything. Only a lease together with conditional
+//! transactions permits a task to start; this crate can refuse a placement, report a worker's health, or
+//! recommend a handover of leadership.
 //!
 //! - [`detector`] and [`damping`] evaluate one link; [`link`] combines both.
 //! - [`table`] holds the links of this controller.
-//! - [`row`] is what a controller publishes, [`matrix`] holds the rows of the others.
-//! - [`gate`], [`health`] and [`handover`] decide.
-//! - [`reachability`] separates workers that confirm responses from those that only send heartbeats.
-//! - [`contact`] and [`misdirected`] detect that a controller is isolated. These three are in use with or
-//!   without the rest of the crate.
+//! - [`row`] is the message in which a controller publishes its links, [`matrix`] holds the rows of the
+//!   other controllers.
+//! - [`gate`], [`health`] and [`handover`] derive decisions from the links.
+//! - [`reachability`] separates workers that acknowledge responses from those that only send heartbeats.
+//! - [`contact`] and [`misdirected`] detect that a controller is isolated. Together with [`reachability`]
+//!   they are in use with or without the rest of the crate.
 
 pub mod contact;
 pub mod damping;
--- a/crates/links/src/link.rs
+++ b/crates/links/src/link.rs
@@ -1,48 +1,49 @@
-//! One directed link: its evidence and the state that follows from it.
+//! One directed link: its evidence and the state that follows from the evidence.
 
 use std::time::{Duration, Instant};
 
 use serde::{Deserialize, Serialize};
 
 use crate::damping::FlapDamping;
-use crate::detector::PhiAccrual;
+use crate::detector::PhiAccrualDetector;
 use crate::timing::LinkTiming;
 
-/// Consecutive failures, with no success sent after the first of them, from which on a link is down. A
-/// single request may fail for reasons of its own.
+/// Number of failures at which a link is down. A success resets the count if its request was sent no earlier
+/// than the newest failed one. One failure is not enough: a single request may fail for reasons other than
+/// the link.
 const FAILURES_DOWN: u32 = 2;
-/// Fraction of the phi threshold from which on a link is suspect.
+/// Fraction of the phi threshold at which a link is suspect.
 const SUSPECT_FRACTION: f64 = 0.5;
 
 /// State of a directed link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LinkState {
-    /// There is no evidence, or it is too old.
+    /// There is no evidence yet.
     Unknown,
-    /// The newest evidence is a success.
+    /// The newest evidence is a success, and the next message is not overdue.
     Up,
-    /// There is evidence against it, but not enough to declare it down.
+    /// There is evidence against the link, but not enough to declare it down.
     Suspect,
-    /// It is declared down.
+    /// Several requests in succession failed, or regular messages do not arrive.
     Down,
 }
 
-/// A change of state.
+/// A change of the state or of the suppression of a link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Transition {
-    /// The state before.
+    /// State before the transition.
     pub from: LinkState,
-    /// The state now.
+    /// State after the transition. It equals `from` if only the suppression changed.
     pub to: LinkState,
-    /// Whether the link is suppressed now.
+    /// Whether the link is suppressed after the transition.
     pub suppressed: bool,
 }
 
 /// Parameters of failure detection and damping.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct DetectionParams {
-    /// Phi threshold from which on a link is down.
+    /// Value of phi at which a link is down.
     pub phi_down_threshold: f64,
     /// Whether flapping links are suppressed.
     pub damping_enabled: bool,
@@ -52,70 +53,71 @@
 #[derive(Debug, Clone)]
 pub struct Link {
     params: DetectionParams,
-    detector: Option<PhiAccrual>,
+    detector: Option<PhiAccrualDetector>,
     damping: FlapDamping,
-    /// Sending time of the newest request that succeeded.
-    succeeded: Option<Instant>,
-    /// Sending time of the newest request that failed.
-    failed: Option<Instant>,
+    last_success_sent_at: Option<Instant>,
+    last_failure_sent_at: Option<Instant>,
     failures: u32,
     state: LinkState,
     suppressed: bool,
-    since: Instant,
+    state_changed_at: Instant,
 }
 
 impl Link {
-    /// A link without evidence. `regular` is the interval at which it is used, if it is used regularly: only
-    /// then is silence evidence.
+    /// Creates a link without evidence. `message_interval` is the interval of its messages if they are
+    /// regular; only then is the absence of messages evidence against the link.
     pub fn new(
         params: DetectionParams,
         timing: &LinkTiming,
-        regular: Option<Duration>,
+        message_interval: Option<Duration>,
         now: Instant,
     ) -> Self {
         Self {
             params,
-            detector: regular.map(PhiAccrual::new),
+            detector: message_interval.map(PhiAccrualDetector::new),
             damping: FlapDamping::new(timing.damping_half_life(), timing.suppression_max()),
-            succeeded: None,
-            failed: None,
+            last_success_sent_at: None,
+            last_failure_sent_at: None,
             failures: 0,
             state: LinkState::Unknown,
             suppressed: false,
-            since: now,
+            state_changed_at: now,
         }
     }
 
-    /// Records at `now` that a message sent at `sent` arrived.
-    pub fn success(&mut self, sent: Instant, now: Instant) -> Option<Transition> {
-        self.succeeded = self.succeeded.max(Some(sent));
+    /// Records that a message sent at `sent_at` arrived, or that a request sent then was answered.
+    pub fn record_success(&mut self, sent_at: Instant, now: Instant) -> Option<Transition> {
+        self.last_success_sent_at = self.last_success_sent_at.max(Some(sent_at));
         if let Some(detector) = &mut self.detector {
-            detector.heartbeat(now);
+            detector.record_arrival(now);
         }
-        if self.succeeded >= self.failed {
+        if self.last_success_sent_at >= self.last_failure_sent_at {
             self.failures = 0;
         }
         self.evaluate(now)
     }
 
-    /// Records at `now` that a message sent at `sent`, or its response, did not arrive. It is ignored if a
-    /// message sent later did.
-    pub fn failure(&mut self, sent: Instant, now: Instant) -> Option<Transition> {
-        if self.succeeded.is_some_and(|succeeded| succeeded > sent) {
+    /// Records that a request sent at `sent_at` was not answered. The failure is ignored if a request sent
+    /// later succeeded.
+    pub fn record_failure(&mut self, sent_at: Instant, now: Instant) -> Option<Transition> {
+        if self
+            .last_success_sent_at
+            .is_some_and(|success_sent_at| success_sent_at > sent_at)
+        {
             return None;
         }
-        self.failed = self.failed.max(Some(sent));
+        self.last_failure_sent_at = self.last_failure_sent_at.max(Some(sent_at));
         self.failures = self.failures.saturating_add(1);
         self.evaluate(now)
     }
 
-    /// Re-evaluates the link at `now`.
+    /// Re-evaluates the state and the suppression, and returns the transition if either changed.
     pub fn evaluate(&mut self, now: Instant) -> Option<Transition> {
         let state = self.evaluate_state(now);
         if state == LinkState::Down && self.state != LinkState::Down {
             self.damping.record_loss(now);
         }
-        let suppressed = self.params.damping_enabled && self.damping.suppressed(now);
+        let suppressed = self.params.damping_enabled && self.damping.is_suppressed(now);
         if state == self.state && suppressed == self.suppressed {
             return None;
         }
@@ -125,7 +127,7 @@
             suppressed,
         };
         if state != self.state {
-            self.since = now;
+            self.state_changed_at = now;
         }
         self.state = state;
         self.suppressed = suppressed;
@@ -141,13 +143,13 @@
             return LinkState::Down;
         }
         if self.failures > 0 {
-            // A link that is down stays down until a success.
+            // A link that is down stays down until a success resets the failures.
             return match self.state {
                 LinkState::Down => LinkState::Down,
                 _ => LinkState::Suspect,
             };
         }
-        if self.succeeded.is_none() {
+        if self.last_success_sent_at.is_none() {
             return LinkState::Unknown;
         }
         if phi >= self.params.phi_down_threshold * SUSPECT_FRACTION {
@@ -156,28 +158,29 @@
         LinkState::Up
     }
 
-    /// Discards the evidence after a pause of the process: silence meanwhile is no evidence.
-    pub fn forget(&mut self, now: Instant) -> Option<Transition> {
+    /// Discards the failures and the time without messages after a pause of this process, during which no
+    /// message could be received.
+    pub fn resume_after_pause(&mut self, now: Instant) -> Option<Transition> {
         if let Some(detector) = &mut self.detector {
-            // The next message is due as if the last had arrived just now.
-            detector.heartbeat(now);
+            // The next message is due as if the last one had arrived at `now`.
+            detector.record_arrival(now);
         }
         self.failures = 0;
         self.evaluate(now)
     }
 
-    /// The state, without regard to suppression.
+    /// State as of the last evaluation, regardless of suppression.
     pub fn state(&self) -> LinkState {
         self.state
     }
 
-    /// Whether the link is suppressed for flapping.
-    pub fn suppressed(&self) -> bool {
+    /// Whether the link is suppressed because of flapping, as of the last evaluation.
+    pub fn is_suppressed(&self) -> bool {
         self.suppressed
     }
 
     /// Whether the link is up and not suppressed.
-    pub fn usable(&self) -> bool {
+    pub fn is_usable(&self) -> bool {
         self.state == LinkState::Up && !self.suppressed
     }
 
@@ -186,14 +189,14 @@
         self.state == LinkState::Down || self.suppressed
     }
 
-    /// Time of the last change of state.
-    pub fn since(&self) -> Instant {
-        self.since
+    /// When the state last changed; a change of the suppression alone does not count.
+    pub fn state_changed_at(&self) -> Instant {
+        self.state_changed_at
     }
 
-    /// Sending time of the newest success.
+    /// When the newest message or request that succeeded was sent.
     pub fn last_success_sent_at(&self) -> Option<Instant> {
-        self.succeeded
+        self.last_success_sent_at
     }
 }
 
--- a/crates/links/src/misdirected.rs
+++ b/crates/links/src/misdirected.rs
@@ -1,38 +1,39 @@
-//! Misdirected heartbeats: those that reach a controller which cannot answer them, as evidence that
-//! workers do not reach the leader.
+//! Misdirected heartbeats: heartbeats that arrive at a controller which cannot answer them. They are
+//! evidence that workers do not reach the leader.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// Misdirected heartbeats at one controller between two state summaries that are significant: a worker
-/// that has just started sends one to any controller.
+/// Increase of a controller's count, between two state summaries or records, that is evidence. Smaller
+/// increases are normal, because a worker that has just started sends one heartbeat to any controller.
 pub const SIGNIFICANT_MISDIRECTED_INCREASE: u64 = 5;
-/// How long the evidence counts: workers that get no response of the leader send the next misdirected
-/// heartbeat at most a second later.
+/// How long an increase counts as evidence. Workers that receive no response of the leader send the next
+/// misdirected heartbeat at most a second later.
 const MISDIRECTED_TTL: Duration = Duration::from_secs(6);
 
-/// Counts of misdirected heartbeats at the other controllers while this one leads: those workers are
-/// alive and do not reach it.
+/// Counts of misdirected heartbeats at the other controllers while this one is the leader. The workers that
+/// sent them are running and do not reach this controller.
 #[derive(Debug, Default)]
 pub struct MisdirectedHeartbeats {
     counts: HashMap<String, u64>,
-    last: Option<Instant>,
+    last_increase_at: Option<Instant>,
 }
 
 impl MisdirectedHeartbeats {
-    /// Records the total that a controller has counted so far.
+    /// Records how many misdirected heartbeats a controller has counted since it started. The first count
+    /// of a controller is only the base of comparison.
     pub fn record_count(&mut self, member: &str, count: u64, now: Instant) {
-        let before = self.counts.insert(member.to_owned(), count);
+        let previous = self.counts.insert(member.to_owned(), count);
         // A lower count comes from a new incarnation of the controller.
-        let increase = before.map_or(0, |before| count.saturating_sub(before));
+        let increase = previous.map_or(0, |previous| count.saturating_sub(previous));
         if increase >= SIGNIFICANT_MISDIRECTED_INCREASE {
-            self.last = Some(now);
+            self.last_increase_at = Some(now);
         }
     }
 
-    /// Whether many were counted recently.
+    /// Whether the count of a controller has increased significantly within the last 6 s.
     pub fn has_recent_increase(&self, now: Instant) -> bool {
-        self.last
+        self.last_increase_at
             .is_some_and(|at| now.saturating_duration_since(at) < MISDIRECTED_TTL)
     }
 }
--- a/crates/links/src/reachability.rs
+++ b/crates/links/src/reachability.rs
@@ -1,19 +1,19 @@
-//! Whether responses and commands of this controller reach a worker. Heartbeats do not show that:
+//! Whether responses and commands of this controller reach a worker. Heartbeats do not show it, because
 //! responses may be lost while heartbeats arrive. A fencing token that the worker has to acknowledge does.
 
 use std::time::{Duration, Instant};
 
-/// Fraction of the known workers below which the controller itself is suspected to be disconnected.
+/// Fraction of the known workers. If fewer send heartbeats, this controller suspects its own connection.
 const REPORTING_FRACTION_MIN: f64 = 0.25;
 
-/// A token that a worker has to acknowledge, and since when.
+/// A token that the worker has to acknowledge.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct PendingAcknowledgement {
     token: u64,
-    since: Instant,
+    required_at: Instant,
 }
 
-/// The acknowledgement that one worker still owes, if any.
+/// The pending acknowledgement of one worker, if any.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Reachability {
     pending: Option<PendingAcknowledgement>,
@@ -25,41 +25,44 @@
         self.pending.is_none()
     }
 
-    /// The worker shows no effect of a response or command: it has to acknowledge this token. An earlier
-    /// pending acknowledgement stays.
+    /// Requires the worker to acknowledge `token`, because no heartbeat of it shows the effect of a response
+    /// or command. If an acknowledgement is already pending, it stays unchanged.
     pub fn require_acknowledgement(&mut self, token: u64, now: Instant) {
-        self.pending
-            .get_or_insert(PendingAcknowledgement { token, since: now });
+        self.pending.get_or_insert(PendingAcknowledgement {
+            token,
+            required_at: now,
+        });
     }
 
-    /// A heartbeat carried this token. The required token, or a higher one, ends the wait.
+    /// Records the token of a heartbeat. The required token or a higher one acknowledges.
     pub fn record_token(&mut self, token: u64) {
         if self.pending.is_some_and(|pending| token >= pending.token) {
             self.pending = None;
         }
     }
 
-    /// Extends the wait by a period in which no acknowledgement could have arrived.
+    /// Excludes a period in which no acknowledgement could arrive from the time of a pending acknowledgement.
     pub fn extend_wait(&mut self, missed: Duration) {
         if let Some(pending) = &mut self.pending {
-            pending.since += missed;
+            pending.required_at += missed;
         }
     }
 
-    /// Since when an acknowledgement is pending.
+    /// When the pending acknowledgement was first required, moved by [`Self::extend_wait`]; `None` if none is
+    /// pending.
     pub fn pending_since(&self) -> Option<Instant> {
-        self.pending.map(|pending| pending.since)
+        self.pending.map(|pending| pending.required_at)
     }
 
     /// Whether an acknowledgement has been pending for longer than `limit`.
     pub fn acknowledgement_overdue(&self, now: Instant, limit: Duration) -> bool {
         self.pending
-            .is_some_and(|pending| now.saturating_duration_since(pending.since) > limit)
+            .is_some_and(|pending| now.saturating_duration_since(pending.required_at) > limit)
     }
 }
 
 /// Whether so few of the known workers send heartbeats that a loss of this controller's own connection is
-/// the likelier cause: a simultaneous loss of nearly all workers is rarer.
+/// the more likely cause. A simultaneous loss of nearly all workers is rarer.
 pub fn few_workers_reporting(known: usize, reporting: usize) -> bool {
     known > 0 && (reporting as f64) < known as f64 * REPORTING_FRACTION_MIN
 }
--- a/crates/links/src/reachability/tests.rs
+++ b/crates/links/src/reachability/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn only_the_required_token_or_a_higher_one_ends_a_pending_acknowledgement() {
+fn pending_acknowledgement_ends_only_with_the_required_token_or_a_higher_one() {
     let start = Instant::now();
     let at = |s: u64| start + Duration::from_secs(s);
     let mut worker = Reachability::default();
@@ -15,15 +15,15 @@
     worker.extend_wait(Duration::from_secs(4));
     assert!(
         !worker.acknowledgement_overdue(at(10), Duration::from_secs(9)),
-        "no acknowledgement could have arrived"
+        "no acknowledgement could arrive during the extension"
     );
     worker.record_token(7);
     assert!(worker.is_confirmed() && !worker.acknowledgement_overdue(at(100), Duration::ZERO));
 }
 
 #[test]
-fn fewer_than_a_quarter_of_the_known_workers_are_few() {
-    assert!(!few_workers_reporting(0, 0), "none are known");
+fn fewer_reporting_workers_than_a_quarter_of_the_known_ones_are_few() {
+    assert!(!few_workers_reporting(0, 0), "no worker is known");
     assert!(few_workers_reporting(4, 0) && !few_workers_reporting(4, 1));
     assert!(few_workers_reporting(4_000, 999) && !few_workers_reporting(4_000, 1_000));
 }
--- a/crates/links/src/row.rs
+++ b/crates/links/src/row.rs
@@ -1,5 +1,5 @@
-//! A row of the connectivity matrix: the state of one controller's links, which it publishes to the
-//! others.
+//! A row of the connectivity matrix: the states of one controller's links, which it publishes to the other
+//! controllers.
 
 use std::time::Duration;
 
@@ -9,24 +9,25 @@
 use crate::link::LinkState;
 use crate::workers::WorkerSet;
 
-/// Version of [`RowMessage`].
+/// Version of [`RowMessage`]. Rows of any other version are rejected.
 pub const ROW_VERSION: u16 = 1;
-/// Maximum size of an accepted row in bytes: two sets of 100,000 workers with gaps, and a hundred controllers.
+/// Maximum size of an accepted row in bytes. It is enough for two sets of 100,000 workers with gaps, and for
+/// a hundred controllers.
 pub const ROW_BYTES_MAX: usize = 64 * 1024;
 
-/// A link as its owner sees it.
+/// A link from the viewpoint of the controller that observes it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LinkStatus {
-    /// Its state.
+    /// State regardless of suppression.
     pub state: LinkState,
-    /// Whether it is suppressed for flapping.
+    /// Whether the link is suppressed because of flapping.
     pub suppressed: bool,
-    /// Age of the newest evidence for it at the time of sending.
+    /// Time since the newest success was sent, when the row is created; `None` without a success.
     pub evidence_age_ms: Option<u64>,
 }
 
 impl LinkStatus {
-    /// A link without evidence.
+    /// Status of a link without evidence.
     pub const UNKNOWN: Self = Self {
         state: LinkState::Unknown,
         suppressed: false,
@@ -34,7 +35,7 @@
     };
 
     /// Whether the link is up and not suppressed.
-    pub fn usable(&self) -> bool {
+    pub fn is_usable(&self) -> bool {
         self.state == LinkState::Up && !self.suppressed
     }
 
@@ -44,49 +45,49 @@
     }
 }
 
-/// The links between the sender and another controller.
+/// The links between the sender of the row and another controller.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerLinks {
-    /// The other controller.
+    /// Name of the other controller.
     pub member: String,
-    /// Requests of the sender, answered by the other controller.
+    /// Requests of the sender and the responses of the other controller.
     pub outbound: LinkStatus,
-    /// Requests of the other controller, arriving at the sender.
+    /// Rows of the other controller that arrive at the sender.
     pub inbound: LinkStatus,
 }
 
-/// A row in transit.
+/// A row as it is sent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RowMessage {
-    /// [`ROW_VERSION`]; first, so that it can be read whatever follows.
+    /// [`ROW_VERSION`] of the sender. It is the first field, so that a receiver can decode it in any version.
     pub version: u16,
-    /// The sender.
+    /// Name of the sender.
     pub member: String,
-    /// Incarnation of the sender's process: a later one has a higher number.
+    /// Incarnation of the sender's process. A later incarnation has a higher number.
     pub incarnation: u64,
     /// Sequence number of the row within the incarnation.
     pub sequence: u64,
-    /// Time of day at the sending, in milliseconds since 1970.
+    /// Time of day when the row was sent, in milliseconds since 1970.
     pub sent_at_ms: u64,
-    /// The term in which the sender is the leader.
+    /// The term in which the sender is the leader; `None` for a follower.
     pub leads_term: Option<u64>,
-    /// Reads of the state service.
+    /// Link for reads from the key-value store.
     pub store_read: LinkStatus,
-    /// Transactions at the state service.
+    /// Link for transactions at the key-value store.
     pub store_write: LinkStatus,
-    /// The other controllers.
+    /// Links to all other controllers.
     pub peers: Vec<PeerLinks>,
-    /// Workers whose heartbeats arrive at the sender itself, as [`WorkerSet::to_bytes`] has them.
+    /// Workers whose heartbeats arrive at the sender itself, encoded by [`WorkerSet::to_bytes`].
     pub reporting_workers: Vec<u8>,
-    /// Of these, those that confirm that the sender's responses arrive.
+    /// The subset of these workers that confirm that responses of the sender arrive.
     pub reachable_workers: Vec<u8>,
 }
 
-/// The answer to a row.
+/// The response to a row.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RowReply {
-    /// The highest incarnation of the sender that the receiver knows. A process whose clock is behind that
-    /// of its former incarnation chooses a higher one.
+    /// The highest incarnation of the sender that the receiver has accepted. A process whose clock is behind
+    /// that of its former incarnation then chooses a higher one.
     pub newest_incarnation: u64,
 }
 
@@ -96,22 +97,22 @@
     /// The body is larger than [`ROW_BYTES_MAX`], or truncated.
     #[error("the row is too large or truncated")]
     InvalidBody,
-    /// Not a row.
-    #[error("malformed row")]
+    /// The body or one of its sets of workers cannot be decoded.
+    #[error("the row is malformed")]
     Malformed,
-    /// Of an unknown version.
+    /// The version differs from [`ROW_VERSION`].
     #[error("unknown row version {0}")]
     UnknownVersion(u16),
-    /// Not from a known controller.
+    /// The sender is not in the settings of this controller.
     #[error("the sender is not a known controller")]
     UnknownMember,
-    /// Of a former incarnation of the sender.
-    #[error("the row is of a former incarnation")]
+    /// A row of a later incarnation of the sender has been accepted.
+    #[error("the row is from a former incarnation of the sender")]
     FormerIncarnation,
-    /// Not newer than the last row of this incarnation.
-    #[error("the row is repeated or was overtaken")]
+    /// A row of the same incarnation with this sequence number or a higher one has been accepted.
+    #[error("the row is a duplicate or arrived out of order")]
     NotNewer,
-    /// Sent too long ago.
+    /// The row is older than [`LinkTiming::row_age_max`](crate::timing::LinkTiming::row_age_max).
     #[error("the row was sent too long ago")]
     TooOld,
 }
@@ -119,48 +120,53 @@
 /// A validated row.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Row {
-    /// The message without its sets of workers.
+    /// The message. Its encoded sets of workers are empty, because the decoded ones are in this struct.
     pub message: RowMessage,
-    /// Workers heard.
+    /// Workers whose heartbeats arrive at the sender itself.
     pub reporting_workers: WorkerSet,
-    /// Workers reached.
+    /// The subset of these workers that confirm that responses of the sender arrive.
     pub reachable_workers: WorkerSet,
 }
 
 impl Row {
-    /// Validates a message.
+    /// Checks the version and decodes the sets of workers. Whether the row is new enough is left to
+    /// [`ConnectivityMatrix::accept_row`](crate::matrix::ConnectivityMatrix::accept_row).
     pub fn from_message(mut message: RowMessage) -> Result<Self, RowRejection> {
         if message.version != ROW_VERSION {
             return Err(RowRejection::UnknownVersion(message.version));
         }
         let reporting_workers = std::mem::take(&mut message.reporting_workers);
         let reachable_workers = std::mem::take(&mut message.reachable_workers);
-        let set = |bytes: &[u8]| WorkerSet::from_bytes(bytes).map_err(|_| RowRejection::Malformed);
+        let decode =
+            |bytes: &[u8]| WorkerSet::from_bytes(bytes).map_err(|_| RowRejection::Malformed);
         Ok(Self {
-            reporting_workers: set(&reporting_workers)?,
-            reachable_workers: set(&reachable_workers)?,
+            reporting_workers: decode(&reporting_workers)?,
+            reachable_workers: decode(&reachable_workers)?,
             message,
         })
     }
 
-    /// Whether the sender can read from the state service, and has no evidence against writes: followers
-    /// rarely write.
+    /// Whether the sender can read from the key-value store and has no evidence against writes. Evidence for
+    /// writes is not required, because followers rarely write.
     pub fn store_usable(&self) -> bool {
-        self.message.store_read.usable() && !self.message.store_write.counts_as_down()
+        self.message.store_read.is_usable() && !self.message.store_write.counts_as_down()
     }
 
-    /// Whether the sender can read, and has written at most `age_max` before it sent the row. Without this
-    /// evidence a leader whose transactions are refused would hand over to a follower that has not tried.
+    /// Whether the sender can read, and has written at most `age_max` before it created the row. Without this
+    /// evidence, a leader whose transactions are refused would hand over to a follower that has not written
+    /// either.
     pub fn store_proven(&self, age_max: Duration) -> bool {
         let write = &self.message.store_write;
         let age = write.evidence_age_ms.map(Duration::from_millis);
-        self.message.store_read.usable() && write.usable() && age.is_some_and(|age| age <= age_max)
+        self.message.store_read.is_usable()
+            && write.is_usable()
+            && age.is_some_and(|age| age <= age_max)
     }
 
     /// Whether requests of the sender reach `member` and are answered.
     pub fn reaches(&self, member: &str) -> bool {
         let links = self.message.peers.iter().find(|l| l.member == member);
-        links.is_some_and(|links| links.outbound.usable())
+        links.is_some_and(|links| links.outbound.is_usable())
     }
 }
 
--- a/crates/links/src/row/tests.rs
+++ b/crates/links/src/row/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 fn message() -> RowMessage {
-    let set = |names: &[&str]| WorkerSet::from_names(names.iter().copied()).to_bytes();
+    let encode = |names: &[&str]| WorkerSet::from_names(names.iter().copied()).to_bytes();
     let up = LinkStatus {
         state: LinkState::Up,
         suppressed: false,
@@ -24,13 +24,13 @@
         store_read: up,
         store_write: LinkStatus::UNKNOWN,
         peers: vec![peer("knot-0", up), peer("knot-2", LinkStatus::UNKNOWN)],
-        reporting_workers: set(&["m-000001", "m-000002"]),
-        reachable_workers: set(&["m-000001"]),
+        reporting_workers: encode(&["m-000001", "m-000002"]),
+        reachable_workers: encode(&["m-000001"]),
     }
 }
 
 #[test]
-fn a_row_survives_a_round_trip() {
+fn row_decodes_to_the_encoded_values() {
     let row = Row::from_message(message()).unwrap();
     assert_eq!(
         (row.reporting_workers.len(), row.reachable_workers.len()),
@@ -41,29 +41,29 @@
 }
 
 #[test]
-fn a_follower_needs_reads_but_no_write_for_a_usable_state_service() {
-    let usable = |change: fn(&mut RowMessage)| {
+fn store_is_usable_with_reads_and_without_evidence_against_writes() {
+    let is_usable = |change: fn(&mut RowMessage)| {
         let mut message = message();
         change(&mut message);
         Row::from_message(message).unwrap().store_usable()
     };
-    assert!(usable(|_| ()));
-    assert!(!usable(|m| m.store_read = LinkStatus::UNKNOWN));
-    assert!(!usable(|m| m.store_read.suppressed = true));
-    assert!(!usable(|m| m.store_write.state = LinkState::Down));
-    assert!(!usable(|m| m.store_write.suppressed = true));
-    assert!(usable(|m| m.store_write.state = LinkState::Suspect));
+    assert!(is_usable(|_| ()));
+    assert!(!is_usable(|m| m.store_read = LinkStatus::UNKNOWN));
+    assert!(!is_usable(|m| m.store_read.suppressed = true));
+    assert!(!is_usable(|m| m.store_write.state = LinkState::Down));
+    assert!(!is_usable(|m| m.store_write.suppressed = true));
+    assert!(is_usable(|m| m.store_write.state = LinkState::Suspect));
 }
 
 #[test]
-fn other_versions_and_malformed_sets_are_rejected() {
-    let mut other = message();
-    other.version = ROW_VERSION + 1;
+fn row_with_unknown_version_or_malformed_worker_set_is_rejected() {
+    let mut unknown_version = message();
+    unknown_version.version = ROW_VERSION + 1;
     assert_eq!(
-        Row::from_message(other),
+        Row::from_message(unknown_version),
         Err(RowRejection::UnknownVersion(2))
     );
-    let mut broken = message();
-    broken.reachable_workers.pop();
-    assert_eq!(Row::from_message(broken), Err(RowRejection::Malformed));
+    let mut malformed = message();
+    malformed.reachable_workers.pop();
+    assert_eq!(Row::from_message(malformed), Err(RowRejection::Malformed));
 }
--- a/crates/links/src/table.rs
+++ b/crates/links/src/table.rs
@@ -16,21 +16,21 @@
 
 /// The links in both directions between this controller and a peer.
 #[derive(Debug)]
-struct PeerPair {
+struct PeerLinkPair {
     outbound: Link,
     inbound: Link,
 }
 
-/// Identifies a row: its sender and time.
+/// The fields of a row that its sender provides; see [`RowMessage`].
 #[derive(Debug, Clone, Copy)]
 pub struct RowHeader {
     /// Incarnation of this process.
     pub incarnation: u64,
-    /// Sequence number of the row.
+    /// Sequence number of the row within the incarnation.
     pub sequence: u64,
-    /// Time of day in milliseconds.
+    /// Time of day in milliseconds since 1970; 0 if the row is used only in this process.
     pub sent_at_ms: u64,
-    /// The term in which this controller is the leader.
+    /// The term in which this controller is the leader; `None` if it is not.
     pub leads_term: Option<u64>,
 }
 
@@ -42,13 +42,14 @@
     store_read: Link,
     store_write: Link,
     store_lease: Link,
-    peers: BTreeMap<String, PeerPair>,
+    peers: BTreeMap<String, PeerLinkPair>,
     workers: WorkerLinks,
     gate: PlacementGate,
 }
 
 impl LinkTable {
-    /// The links of `member` to the state service and these other controllers, without evidence.
+    /// Creates the links of `member` to the key-value store and to the controllers `others`, without
+    /// evidence. Links to workers are added when their heartbeats arrive.
     pub fn new(
         member: &str,
         others: impl Iterator<Item = String>,
@@ -56,28 +57,30 @@
         timing: LinkTiming,
         now: Instant,
     ) -> Self {
-        let link = |regular| Link::new(params, &timing, regular, now);
-        let pair = |_: &String| PeerPair {
-            outbound: link(Some(timing.row_interval)),
-            inbound: link(Some(timing.row_interval)),
+        let new_link = |message_interval| Link::new(params, &timing, message_interval, now);
+        let new_pair = |_: &String| PeerLinkPair {
+            outbound: new_link(Some(timing.row_interval)),
+            inbound: new_link(Some(timing.row_interval)),
         };
         Self {
             member: member.to_owned(),
             params,
-            store_read: link(None),
-            store_write: link(None),
-            store_lease: link(None),
-            peers: others.map(|other| (other.clone(), pair(&other))).collect(),
+            store_read: new_link(None),
+            store_write: new_link(None),
+            store_lease: new_link(None),
+            peers: others
+                .map(|other| (other.clone(), new_pair(&other)))
+                .collect(),
             workers: WorkerLinks::new(timing.heartbeat_interval),
             gate: PlacementGate::new(now),
         }
     }
 
-    /// Records the outcome of a request to the state service sent at `sent`.
+    /// Records the outcome of a request to the key-value store that was sent at `sent_at`.
     pub fn record_store_request(
         &mut self,
         operation: StoreOperation,
-        sent: Instant,
+        sent_at: Instant,
         succeeded: bool,
         now: Instant,
     ) -> Option<LinkChange> {
@@ -87,50 +90,52 @@
             StoreOperation::Lease => (&mut self.store_lease, LinkName::StoreLease),
         };
         let transition = if succeeded {
-            link.success(sent, now)
+            link.record_success(sent_at, now)
         } else {
-            link.failure(sent, now)
+            link.record_failure(sent_at, now)
         };
         self.gate.evaluate(&self.store_read, &self.store_write, now);
-        change(name, transition)
+        link_change(name, transition)
     }
 
-    /// Records whether a request to another controller, sent at `sent`, was answered.
+    /// Records whether a request to another controller that was sent at `sent_at` was answered. Requests to
+    /// unknown controllers are ignored.
     pub fn record_peer_request(
         &mut self,
         member: &str,
-        sent: Instant,
+        sent_at: Instant,
         answered: bool,
         now: Instant,
     ) -> Option<LinkChange> {
         let link = &mut self.peers.get_mut(member)?.outbound;
         let transition = if answered {
-            link.success(sent, now)
+            link.record_success(sent_at, now)
         } else {
-            link.failure(sent, now)
+            link.record_failure(sent_at, now)
         };
-        change(LinkName::PeerOutbound(member.to_owned()), transition)
+        link_change(LinkName::PeerOutbound(member.to_owned()), transition)
     }
 
     /// Records the arrival of an accepted row of another controller.
     pub fn record_peer_row(&mut self, member: &str, now: Instant) -> Option<LinkChange> {
         let link = &mut self.peers.get_mut(member)?.inbound;
-        let transition = link.success(now, now);
-        change(LinkName::PeerInbound(member.to_owned()), transition)
+        let transition = link.record_success(now, now);
+        link_change(LinkName::PeerInbound(member.to_owned()), transition)
     }
 
-    /// Records the arrival of a worker's heartbeat, with its epoch and sequence number. A copy of an older
-    /// one is no evidence.
-    pub fn record_worker_heartbeat(&mut self, worker: u32, newest: (u64, u64), now: Instant) {
-        self.workers.heartbeat(worker, newest, now);
+    /// Records the arrival of a worker's heartbeat with this epoch and sequence number. Copies and older
+    /// heartbeats are ignored.
+    pub fn record_worker_heartbeat(&mut self, worker: u32, heartbeat: (u64, u64), now: Instant) {
+        self.workers.record_heartbeat(worker, heartbeat, now);
     }
 
-    /// Records that the worker's newest heartbeat was answered with 200.
+    /// Records that the newest heartbeat of the worker was answered with status 200.
     pub fn record_worker_response(&mut self, worker: u32) {
-        self.workers.answered(worker);
+        self.workers.record_response(worker);
     }
 
-    /// Re-evaluates everything that changes with time alone.
+    /// Re-evaluates all links and the gate, because their states also change without new evidence. Removes
+    /// workers that have sent no heartbeat for a long time.
     pub fn evaluate(&mut self, now: Instant) -> Vec<LinkChange> {
         let mut changes = Vec::new();
         let store = [
@@ -139,14 +144,14 @@
             (&mut self.store_lease, LinkName::StoreLease),
         ];
         for (link, name) in store {
-            changes.extend(change(name, link.evaluate(now)));
+            changes.extend(link_change(name, link.evaluate(now)));
         }
         for (member, pair) in &mut self.peers {
-            let outbound = change(
+            let outbound = link_change(
                 LinkName::PeerOutbound(member.clone()),
                 pair.outbound.evaluate(now),
             );
-            let inbound = change(
+            let inbound = link_change(
                 LinkName::PeerInbound(member.clone()),
                 pair.inbound.evaluate(now),
             );
@@ -158,18 +163,19 @@
         changes
     }
 
-    /// This process was paused: silence meanwhile is no evidence against a peer or a worker.
+    /// Discards the evidence against peers and workers after a pause of this process, during which no message
+    /// could be received.
     pub fn resume_after_pause(&mut self, now: Instant) {
         for pair in self.peers.values_mut() {
-            pair.outbound.forget(now);
-            pair.inbound.forget(now);
+            pair.outbound.resume_after_pause(now);
+            pair.inbound.resume_after_pause(now);
         }
-        self.workers.resume(now);
+        self.workers.resume_after_pause(now);
     }
 
-    /// The decision of the placement gate.
+    /// The last decision of the placement gate.
     pub fn gate(&self) -> GateDecision {
-        self.gate.verdict()
+        self.gate.decision()
     }
 
     /// Total time for which the gate has refused placements.
@@ -177,15 +183,15 @@
         self.gate.refused_for(now)
     }
 
-    /// Whether transactions at the state service fail, so that a probe is due.
+    /// Whether transactions at the key-value store fail, so that a probe is due.
     pub fn store_write_down(&self) -> bool {
         self.store_write.state() == LinkState::Down
     }
 
-    /// The links that are suppressed at present.
+    /// Names of the links that were suppressed at their last evaluation.
     pub fn suppressed_links(&self) -> Vec<LinkName> {
         let links = self.named_links();
-        let suppressed = links.filter(|(_, link)| link.suppressed());
+        let suppressed = links.filter(|(_, link)| link.is_suppressed());
         suppressed.map(|(name, _)| name).collect()
     }
 
@@ -205,36 +211,38 @@
         store.into_iter().chain(peers)
     }
 
-    /// The row that this controller publishes.
-    pub fn row(&self, stamp: RowHeader, now: Instant) -> Row {
-        let workers = self.workers.sets(self.params.phi_down_threshold, now);
+    /// The row of this controller as of `now`.
+    pub fn row(&self, header: RowHeader, now: Instant) -> Row {
+        let workers = self
+            .workers
+            .row_workers(self.params.phi_down_threshold, now);
         let peers = self.peers.iter().map(|(member, pair)| PeerLinks {
             member: member.clone(),
-            outbound: status(&pair.outbound, now),
-            inbound: status(&pair.inbound, now),
+            outbound: link_status(&pair.outbound, now),
+            inbound: link_status(&pair.inbound, now),
         });
         Row {
             message: RowMessage {
                 version: ROW_VERSION,
                 member: self.member.clone(),
-                incarnation: stamp.incarnation,
-                sequence: stamp.sequence,
-                sent_at_ms: stamp.sent_at_ms,
-                leads_term: stamp.leads_term,
-                store_read: status(&self.store_read, now),
-                store_write: status(&self.store_write, now),
+                incarnation: header.incarnation,
+                sequence: header.sequence,
+                sent_at_ms: header.sent_at_ms,
+                leads_term: header.leads_term,
+                store_read: link_status(&self.store_read, now),
+                store_write: link_status(&self.store_write, now),
                 peers: peers.collect(),
                 reporting_workers: Vec::new(),
                 reachable_workers: Vec::new(),
             },
-            reporting_workers: workers.heard,
-            reachable_workers: workers.reached,
+            reporting_workers: workers.reporting,
+            reachable_workers: workers.reachable,
         }
     }
 }
 
 impl Row {
-    /// The message with its sets of workers.
+    /// The message for sending, with the encoded sets of workers.
     pub fn to_message(&self) -> RowMessage {
         RowMessage {
             reporting_workers: self.reporting_workers.to_bytes(),
@@ -244,17 +252,17 @@
     }
 }
 
-fn change(link: LinkName, transition: Option<Transition>) -> Option<LinkChange> {
+fn link_change(link: LinkName, transition: Option<Transition>) -> Option<LinkChange> {
     transition.map(|transition| LinkChange { link, transition })
 }
 
-fn status(link: &Link, now: Instant) -> LinkStatus {
-    let age = link.last_success_sent_at();
-    let age = age.map(|at| now.saturating_duration_since(at).as_millis() as u64);
+fn link_status(link: &Link, now: Instant) -> LinkStatus {
+    let sent_at = link.last_success_sent_at();
+    let age_ms = sent_at.map(|at| now.saturating_duration_since(at).as_millis() as u64);
     LinkStatus {
         state: link.state(),
-        suppressed: link.suppressed(),
-        evidence_age_ms: age,
+        suppressed: link.is_suppressed(),
+        evidence_age_ms: age_ms,
     }
 }
 
--- a/crates/links/src/table/names.rs
+++ b/crates/links/src/table/names.rs
@@ -1,4 +1,4 @@
-//! Names of a controller's links, and the events on them.
+//! Names of a controller's links, and changes of their states.
 
 use std::fmt;
 
@@ -6,14 +6,14 @@
 
 use crate::link::Transition;
 
-/// Kind of a request to the state service.
+/// Kind of a request to the key-value store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreOperation {
-    /// A read, a watch or a comparison.
+    /// A read, a watch, or a transaction that only compares.
     Read,
     /// A transaction with changes.
     Write,
-    /// Grant, renewal or release of a lease.
+    /// Grant, renewal or revocation of a lease.
     Lease,
 }
 
@@ -21,18 +21,19 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LinkName {
-    /// Reads of the state service.
+    /// Reads from the key-value store.
     StoreRead,
-    /// Transactions at the state service.
+    /// Transactions at the key-value store.
     StoreWrite,
-    /// Leases at the state service.
+    /// Lease operations at the key-value store.
     StoreLease,
-    /// Requests to another controller and their responses.
+    /// Requests to the controller of this name, and its responses.
     PeerOutbound(String),
-    /// Arriving requests of another controller.
+    /// Rows that arrive from the controller of this name.
     PeerInbound(String),
 }
 
+/// The text in the admin interface. Scripts of operators may depend on it.
 impl fmt::Display for LinkName {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
@@ -45,11 +46,11 @@
     }
 }
 
-/// A change of state of one link.
+/// A transition of a named link.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LinkChange {
-    /// The link.
+    /// The link whose state or suppression changed.
     pub link: LinkName,
-    /// The change of its state.
+    /// The states before and after the change.
     pub transition: Transition,
 }
--- a/crates/links/src/table/tests.rs
+++ b/crates/links/src/table/tests.rs
@@ -10,37 +10,38 @@
 }
 
 fn row(table: &LinkTable, now: Instant) -> Row {
-    let stamp = RowHeader {
+    let header = RowHeader {
         incarnation: 1,
         sequence: 1,
         sent_at_ms: 0,
         leads_term: None,
     };
-    table.row(stamp, now)
+    table.row(header, now)
 }
 
-/// Renewals that succeed are no evidence that transactions do, nor is a read.
+/// A successful lease renewal or read is no evidence that transactions succeed.
 #[test]
-fn each_operation_at_the_state_service_has_its_own_link() {
+fn each_kind_of_store_request_has_its_own_link() {
     let start = Instant::now();
     let mut table = table(start);
-    let at = |ms: u64| start + Duration::from_millis(ms);
+    let at_ms = |ms: u64| start + Duration::from_millis(ms);
     for ms in (0..5_000).step_by(100) {
-        table.record_store_request(StoreOperation::Lease, at(ms), true, at(ms));
-        table.record_store_request(StoreOperation::Read, at(ms), true, at(ms));
-        table.record_store_request(StoreOperation::Write, at(ms), ms < 1_000, at(ms));
+        table.record_store_request(StoreOperation::Lease, at_ms(ms), true, at_ms(ms));
+        table.record_store_request(StoreOperation::Read, at_ms(ms), true, at_ms(ms));
+        table.record_store_request(StoreOperation::Write, at_ms(ms), ms < 1_000, at_ms(ms));
     }
     assert_eq!(table.gate().refusal, Some(GateRefusal::Unwritable));
     assert!(table.store_write_down());
-    let row = row(&table, at(5_000));
-    assert!(row.message.store_read.usable() && !row.store_usable());
-    let change = table.record_store_request(StoreOperation::Write, at(5_100), true, at(5_100));
+    let row = row(&table, at_ms(5_000));
+    assert!(row.message.store_read.is_usable() && !row.store_usable());
+    let change =
+        table.record_store_request(StoreOperation::Write, at_ms(5_100), true, at_ms(5_100));
     assert_eq!(change.unwrap().link, LinkName::StoreWrite);
     assert_eq!(table.gate().refusal, None);
 }
 
 #[test]
-fn inbound_and_outbound_links_of_a_peer_are_independent() {
+fn failed_requests_to_a_peer_do_not_affect_its_inbound_link() {
     let start = Instant::now();
     let mut table = table(start);
     for second in 0..20 {
@@ -51,19 +52,19 @@
     }
     let row = row(&table, start + Duration::from_secs(19));
     let links = &row.message.peers[0];
-    assert!(links.inbound.usable());
+    assert!(links.inbound.is_usable());
     assert_eq!(links.outbound.state, LinkState::Down);
     assert!(links.outbound.evidence_age_ms >= Some(14_000));
     assert!(table.record_peer_row("knot-9", start).is_none());
 }
 
 #[test]
-fn a_worker_is_heard_by_its_heartbeats_and_reached_if_they_are_consecutive() {
+fn worker_is_reporting_if_heartbeats_arrive_and_reachable_if_answered_ones_are_consecutive() {
     let start = Instant::now();
     let mut table = table(start);
     let at = |s: u64| start + Duration::from_secs(s);
-    // The first stays; the second comes back only after it tried the others; the third is never
-    // answered; the fourth sends copies of one report.
+    // Worker 1 sends all heartbeats here; worker 2 sends two to other controllers after each one here; worker
+    // 3 is never answered; worker 4 sends copies of one heartbeat.
     for (round, second) in (0..5).map(|n| (n, 3 * n)) {
         let now = at(second);
         table.record_worker_heartbeat(1, (1, 10 + round), now);
@@ -76,21 +77,21 @@
     }
     let now = at(13);
     let row_now = row(&table, now);
-    let heard: Vec<u32> = (1..=4)
+    let reporting: Vec<u32> = (1..=4)
         .filter(|n| row_now.reporting_workers.contains(*n))
         .collect();
-    let reached: Vec<u32> = (1..=4)
+    let reachable: Vec<u32> = (1..=4)
         .filter(|n| row_now.reachable_workers.contains(*n))
         .collect();
-    assert_eq!((heard, reached), (vec![1, 2, 3], vec![1]));
-    // Reports stop: nobody is heard any more, and nobody is kept for ever.
+    assert_eq!((reporting, reachable), (vec![1, 2, 3], vec![1]));
+    // Without further heartbeats the workers are left out of the row, and later removed.
     assert!(row(&table, at(40)).reporting_workers.is_empty());
     table.evaluate(at(120));
     assert!(table.workers.is_empty());
 }
 
 #[test]
-fn a_pause_of_the_process_is_no_evidence_of_silence() {
+fn pause_of_the_process_is_no_evidence_against_peers_and_workers() {
     let start = Instant::now();
     let mut table = table(start);
     for second in 0..10 {
@@ -98,20 +99,21 @@
         table.record_worker_heartbeat(1, (1, second + 1), now);
         table.record_peer_row("knot-1", now);
     }
-    let woken = start + Duration::from_secs(50);
-    table.resume_after_pause(woken);
-    let row = row(&table, woken);
-    assert!(row.reporting_workers.contains(1) && row.message.peers[0].inbound.usable());
+    let resumed_at = start + Duration::from_secs(50);
+    table.resume_after_pause(resumed_at);
+    let row = row(&table, resumed_at);
+    assert!(row.reporting_workers.contains(1) && row.message.peers[0].inbound.is_usable());
     assert_eq!(
         row.message.peers[0].inbound.evidence_age_ms,
         Some(41_000),
-        "the age is not altered"
+        "the time of the evidence does not change"
     );
 }
 
-/// A row is published once a second, so it must stay small at 4,000 machines and seven controllers.
+/// Each controller publishes a row once a second, so a row must stay small with 4,000 machines and seven
+/// controllers.
 #[test]
-fn a_row_of_4000_workers_is_far_below_the_size_limit() {
+fn row_of_4000_workers_is_smaller_than_half_of_the_size_limit() {
     let start = Instant::now();
     let mut table = table(start);
     for worker in (0..8_000).step_by(2) {
@@ -125,6 +127,9 @@
         (4_000, 4_000)
     );
     let message = row.to_message();
-    let bytes = message.reporting_workers.len() + message.reachable_workers.len();
-    assert!(bytes * 2 < crate::row::ROW_BYTES_MAX, "{bytes}");
+    let encoded_bytes = message.reporting_workers.len() + message.reachable_workers.len();
+    assert!(
+        encoded_bytes * 2 < crate::row::ROW_BYTES_MAX,
+        "{encoded_bytes} bytes"
+    );
 }
--- a/crates/links/src/table/workers.rs
+++ b/crates/links/src/table/workers.rs
@@ -1,24 +1,26 @@
-//! Links between the workers and this controller: whose heartbeats arrive, and who confirms responses.
+//! Links between the workers and this controller: whose heartbeats arrive, and which workers confirm
+//! responses.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use crate::detector::PhiAccrual;
+use crate::detector::PhiAccrualDetector;
 use crate::workers::WorkerSet;
 
-/// Missed heartbeats after which a worker is removed: it sends them to another controller.
-const HEARTBEATS_MISSED_UNTIL_REMOVED: u32 = 20;
+/// Heartbeat intervals without a heartbeat after which a worker is removed, because it sends its heartbeats
+/// to another controller.
+const REMOVAL_INTERVALS: u32 = 20;
 
 /// The links of one worker.
 #[derive(Debug)]
 struct WorkerLink {
-    detector: PhiAccrual,
-    /// Epoch and sequence number of its newest heartbeat.
-    newest: (u64, u64),
-    /// That heartbeat was answered with 200.
-    answered: bool,
-    /// It has confirmed a response, and there was no evidence to the contrary since.
-    reached: bool,
+    detector: PhiAccrualDetector,
+    /// Epoch and sequence number of the newest heartbeat.
+    newest_heartbeat: (u64, u64),
+    /// Whether the newest heartbeat was answered with status 200.
+    newest_answered: bool,
+    /// Whether the newest heartbeat confirms that the response to the one before it arrived.
+    response_confirmed: bool,
 }
 
 /// The workers that send heartbeats to this controller.
@@ -29,7 +31,6 @@
 }
 
 impl WorkerLinks {
-    /// No workers yet, with heartbeats expected at this interval.
     pub(super) fn new(heartbeat_interval: Duration) -> Self {
         Self {
             heartbeat_interval,
@@ -37,76 +38,79 @@
         }
     }
 
-    /// A heartbeat arrived, with its epoch and sequence number. A copy of an older one is no evidence.
-    pub(super) fn heartbeat(&mut self, worker: u32, newest: (u64, u64), now: Instant) {
-        let expected = self.heartbeat_interval;
+    /// Records the arrival of a heartbeat with this epoch and sequence number. Copies and older heartbeats
+    /// are ignored.
+    pub(super) fn record_heartbeat(&mut self, worker: u32, heartbeat: (u64, u64), now: Instant) {
+        let expected_interval = self.heartbeat_interval;
         let link = self.links.entry(worker).or_insert_with(|| WorkerLink {
-            detector: PhiAccrual::new(expected),
-            newest: (0, 0),
-            answered: false,
-            reached: false,
+            detector: PhiAccrualDetector::new(expected_interval),
+            newest_heartbeat: (0, 0),
+            newest_answered: false,
+            response_confirmed: false,
         });
-        if newest <= link.newest {
+        if heartbeat <= link.newest_heartbeat {
             return;
         }
-        // A worker without a response tries another controller next, unless it knows only this one. So
-        // only the direct successor of an answered heartbeat confirms that the response arrived.
-        let consecutive = newest.0 == link.newest.0 && newest.1 == link.newest.1 + 1;
-        link.reached = consecutive && link.answered;
-        link.newest = newest;
-        link.answered = false;
-        link.detector.heartbeat(now);
+        // A worker without a response sends the next heartbeat to another controller, unless it has the
+        // address of this one only. So only the direct successor of an answered heartbeat confirms that the
+        // response arrived.
+        let is_successor =
+            heartbeat.0 == link.newest_heartbeat.0 && heartbeat.1 == link.newest_heartbeat.1 + 1;
+        link.response_confirmed = is_successor && link.newest_answered;
+        link.newest_heartbeat = heartbeat;
+        link.newest_answered = false;
+        link.detector.record_arrival(now);
     }
 
-    /// The newest heartbeat of the worker was answered with 200.
-    pub(super) fn answered(&mut self, worker: u32) {
+    /// Records that the newest heartbeat of the worker was answered with status 200.
+    pub(super) fn record_response(&mut self, worker: u32) {
         if let Some(link) = self.links.get_mut(&worker) {
-            link.answered = true;
+            link.newest_answered = true;
         }
     }
 
-    /// Removes workers that have sent nothing for many intervals.
+    /// Removes the workers without a heartbeat for [`REMOVAL_INTERVALS`].
     pub(super) fn remove_expired(&mut self, now: Instant) {
-        let expiry = self.heartbeat_interval * HEARTBEATS_MISSED_UNTIL_REMOVED;
+        let expiry = self.heartbeat_interval * REMOVAL_INTERVALS;
         self.links.retain(|_, link| {
-            let last = link.detector.last();
-            last.is_some_and(|at| now.saturating_duration_since(at) < expiry)
+            let last_arrival_at = link.detector.last_arrival_at();
+            last_arrival_at.is_some_and(|at| now.saturating_duration_since(at) < expiry)
         });
     }
 
-    /// The process was paused: silence meanwhile is no evidence against a worker.
-    pub(super) fn resume(&mut self, now: Instant) {
+    /// Makes the next heartbeat of each worker due one interval after a pause of this process, during which
+    /// none could be received.
+    pub(super) fn resume_after_pause(&mut self, now: Instant) {
         for link in self.links.values_mut() {
-            link.detector.heartbeat(now);
+            link.detector.record_arrival(now);
         }
     }
 
-    /// The workers whose heartbeats arrive, and those among them that confirm responses.
-    pub(super) fn sets(&self, phi_down: f64, now: Instant) -> ReportingWorkers {
-        let mut workers = ReportingWorkers::default();
+    /// The sets of workers for a row. Workers whose phi is at least `phi_down_threshold` are left out.
+    pub(super) fn row_workers(&self, phi_down_threshold: f64, now: Instant) -> RowWorkers {
+        let mut workers = RowWorkers::default();
         for (number, link) in &self.links {
-            if link.detector.phi(now) < phi_down {
-                workers.heard.insert(*number);
-                if link.reached {
-                    workers.reached.insert(*number);
+            if link.detector.phi(now) < phi_down_threshold {
+                workers.reporting.insert(*number);
+                if link.response_confirmed {
+                    workers.reachable.insert(*number);
                 }
             }
         }
         workers
     }
 
-    /// Whether no worker is known.
     #[cfg(test)]
     pub(super) fn is_empty(&self) -> bool {
         self.links.is_empty()
     }
 }
 
-/// The workers that a row of the connectivity matrix names.
+/// The sets of workers in a row of the connectivity matrix.
 #[derive(Debug, Default)]
-pub(super) struct ReportingWorkers {
+pub(super) struct RowWorkers {
     /// Workers whose heartbeats arrive.
-    pub(super) heard: WorkerSet,
-    /// Of these, workers that confirm responses.
-    pub(super) reached: WorkerSet,
+    pub(super) reporting: WorkerSet,
+    /// The subset of these workers that confirm responses.
+    pub(super) reachable: WorkerSet,
 }
--- a/crates/links/src/test_support.rs
+++ b/crates/links/src/test_support.rs
@@ -15,7 +15,7 @@
     }
 }
 
-/// The defaults of the service.
+/// The service's default parameters.
 pub const DETECTION_PARAMS: DetectionParams = DetectionParams {
     phi_down_threshold: 8.0,
     damping_enabled: true,
