--- a/crates/links/src/contact.rs
+++ b/crates/links/src/contact.rs
@@ -4,7 +4,8 @@
 use std::time::{Duration, Instant};
 
 /// Time of failing requests after which contact with the key-value store counts as lost. A controller that
-/// has lost contact refuses client requests if a peer has not. A peer's answer is valid for the same time.
+/// has lost contact refuses client requests if a peer still has contact, or if no peer answers. A peer's
+/// answer is valid for the same time.
 pub const CONTACT_LOST_AFTER: Duration = Duration::from_secs(4);
 
 /// Contact of this controller with the key-value store.
--- a/crates/links/src/gate.rs
+++ b/crates/links/src/gate.rs
@@ -49,7 +49,7 @@
 #[derive(Debug)]
 pub struct PlacementGate {
     decision: GateDecision,
-    /// Duration of all refusals before the last decision.
+    /// Total duration of the refusals before the current decision.
     past_refusals: Duration,
 }
 
--- a/crates/links/src/row.rs
+++ b/crates/links/src/row.rs
@@ -152,9 +152,9 @@
         self.message.store_read.is_usable() && !self.message.store_write.counts_as_down()
     }
 
-    /// Whether the sender can read, and has written at most `age_max` before it created the row. Without this
-    /// evidence, a leader whose transactions are refused would hand over to a follower that has not written
-    /// either.
+    /// Whether the sender can read and write, and sent its newest successful transaction at most `age_max`
+    /// before it created the row. Without this evidence, a leader whose transactions are refused would hand
+    /// over to a follower that has not tried to write.
     pub fn store_proven(&self, age_max: Duration) -> bool {
         let write = &self.message.store_write;
         let age = write.evidence_age_ms.map(Duration::from_millis);
