--- a/src/actors/election/campaign.rs
+++ b/src/actors/election/campaign.rs
@@ -74,7 +74,7 @@
             }
             Err(error) => {
                 debug!(%error, "lease not granted");
-                if error.contact_lost() {
+                if error.store_unavailable() {
                     self.shared.store_failed(StoreOperation::Lease, sent);
                 }
                 None
--- a/src/actors/election/renewal.rs
+++ b/src/actors/election/renewal.rs
@@ -52,7 +52,7 @@
         };
         let now = Instant::now();
         let due = self.renewals.due(lease.id());
-        let due = due.unwrap_or(lease.renewed_at() + self.renewal_interval);
+        let due = due.unwrap_or(lease.renewal_sent_at() + self.renewal_interval);
         let early = due.saturating_duration_since(now);
         if !early.is_zero() {
             return early;
@@ -110,7 +110,7 @@
         }
         Err(error) => {
             debug!(%error, "lease renewal failed");
-            if error.contact_lost() {
+            if error.store_unavailable() {
                 shared.store_failed(StoreOperation::Lease, sent);
             }
             shared.wake_ups.election.notify_one();
--- a/src/actors/fleet.rs
+++ b/src/actors/fleet.rs
@@ -129,7 +129,7 @@
     /// Keeps below the cloud's rate limit; a burst of a second's worth is allowed.
     async fn wait_for_rate_limit(&mut self) {
         loop {
-            let wait = self.calls.wait(1.0, Instant::now());
+            let wait = self.calls.time_until_available(1.0, Instant::now());
             if wait.is_zero() {
                 break;
             }
@@ -234,7 +234,10 @@
         let (interval, rate) = (secs(cloud.list_lag_s), cloud.rps * RATE_PART);
         let mut first = true;
         while self.listing.due(interval, rate, Instant::now()) {
-            let free = self.calls.wait(1.0, Instant::now()).is_zero();
+            let free = self
+                .calls
+                .time_until_available(1.0, Instant::now())
+                .is_zero();
             if !first && !free {
                 return;
             }
--- a/src/actors/peers/summaries.rs
+++ b/src/actors/peers/summaries.rs
@@ -87,7 +87,9 @@
                 continue;
             };
             if full {
-                peer.recipient.borrow_mut().full_sent(self.number, now);
+                peer.recipient
+                    .borrow_mut()
+                    .record_full_summary(self.number, now);
             }
             self.count(full, body.len());
             self.send(peer, body.clone());
@@ -144,7 +146,7 @@
                 return;
             };
             let out_of_sync = response.status() == StatusCode::CONFLICT;
-            recipient.borrow_mut().answered(number, out_of_sync);
+            recipient.borrow_mut().record_reply(number, out_of_sync);
             // Read to its end so that the connection can be used again.
             let body = response.body().await.unwrap_or_default();
             if let Some(SummaryReply { misdirected }) = peer::decode(&body) {
--- a/src/api/users/cancel.rs
+++ b/src/api/users/cancel.rs
@@ -53,7 +53,10 @@
         }
         let (version, live) = {
             let replica = shared.replica.lock();
-            let live = replica.live.get(id).filter(|live| !live.has_own_key);
+            let live = replica
+                .descriptions
+                .get(id)
+                .filter(|live| !live.has_own_key);
             (
                 replica.job_version(id),
                 live.map(|live| live.record.clone()),
@@ -63,7 +66,7 @@
         let record = JobRecord {
             verdict: Verdict::Cancelled,
             tasks,
-            live,
+            description: live,
         };
         let group = Transaction::new(
             vec![Condition::new(keys::job(id), version)],
--- a/src/api/users/status.rs
+++ b/src/api/users/status.rs
@@ -49,7 +49,7 @@
         return cluster.count(id);
     }
     let summary = shared.summary_cache.lock();
-    summary.counts.get(id).copied().unwrap_or((0, 0))
+    summary.task_counts.get(id).copied().unwrap_or((0, 0))
 }
 
 /// The verdict on a job with its number of tasks. A final verdict never changes and is taken from the
--- a/src/api/users/submit.rs
+++ b/src/api/users/submit.rs
@@ -15,7 +15,7 @@
 use crate::policy::SchedulingPolicy;
 use crate::service::Shared;
 use crate::store::actor::{Commit, StoreActor};
-use crate::store::keys::{self, JobRecord, LiveRecord};
+use crate::store::keys::{self, JobDescription, JobRecord};
 use crate::store::{
     to_value, Change, Condition, StoreError, Transaction, TransactionOutcome, WritePriority,
 };
@@ -119,7 +119,7 @@
     let job = JobRecord {
         verdict: Verdict::Accepted,
         tasks,
-        live: Some(LiveRecord {
+        description: Some(JobDescription {
             spec,
             submitted_ms,
             started: false,
--- a/src/cluster/commands.rs
+++ b/src/cluster/commands.rs
@@ -6,7 +6,7 @@
 use super::{Cluster, InstanceId, InstancePhase, Job, Machine, TaskInstance, WorkerTiming};
 use crate::model::{FencingToken, JobId, MachineId};
 use crate::rate_limit::TokenBucket;
-use crate::state_summary::{Counts, MachineSummary, SummaryContents};
+use crate::state_summary::{MachineSummary, SummaryContents, TaskCounts};
 use crate::wire::{DirectCommand, WorkerCommand};
 
 /// A stop is repeated in every answer to a heartbeat; directly only after this long.
@@ -183,14 +183,14 @@
             if self.jobs.contains_key(id) {
                 let (done, running) = self.count(id);
                 let id = id.clone();
-                contents.counts.push(Counts { id, done, running });
+                contents.task_counts.push(TaskCounts { id, done, running });
             } else {
-                contents.over.push(id.clone());
+                contents.ended_jobs.push(id.clone());
             }
         }
         for id in machines {
             let Some(machine) = self.machines.get(id) else {
-                contents.gone.push(id.clone());
+                contents.removed_machines.push(id.clone());
                 continue;
             };
             let images = machine.images.iter();
@@ -202,7 +202,7 @@
                     .collect(),
             };
             if machine.last_heartbeat.is_some() {
-                contents.hints.push((id.clone(), hint));
+                contents.machines.push((id.clone(), hint));
             }
         }
         contents
--- a/src/cluster/dispatch_log.rs
+++ b/src/cluster/dispatch_log.rs
@@ -5,7 +5,7 @@
 
 use super::job::DispatchTargets;
 use crate::model::{JobId, MachineId, Term};
-use crate::store::keys::{self, SentRecord};
+use crate::store::keys::{self, DispatchedJobsRecord};
 use crate::store::replica::Versioned;
 use crate::store::{to_value, Change, Condition};
 
@@ -66,7 +66,7 @@
     /// From the records, with what they say of each job.
     pub fn load(
         term: Term,
-        records: &BTreeMap<String, Versioned<SentRecord>>,
+        records: &BTreeMap<String, Versioned<DispatchedJobsRecord>>,
         value_kb: f64,
     ) -> (Self, HashMap<JobId, DispatchTargets>) {
         let mut log = Self {
@@ -152,9 +152,9 @@
         let spare = self.spare().next().cloned();
         let key = spare.unwrap_or_else(|| {
             self.given_out += 1;
-            keys::sent(self.term, self.given_out)
+            keys::dispatch(self.term, self.given_out)
         });
-        let record = SentRecord {
+        let record = DispatchedJobsRecord {
             jobs: entries
                 .iter()
                 .map(|entry| {
--- a/src/cluster/records.rs
+++ b/src/cluster/records.rs
@@ -11,7 +11,7 @@
 use super::quota::blocked_by;
 use super::{Cluster, Job};
 use crate::model::{JobId, MachineId, Priority, Verdict};
-use crate::store::keys::{self, DoneRecord, InventoryRecord, JobRecord};
+use crate::store::keys::{self, CompletedTasksRecord, InventoryRecord, JobRecord};
 use crate::store::replica::{Replica, Versioned};
 use crate::store::{to_value, Change, Condition, Transaction, TransactionOutcome, WritePriority};
 
@@ -146,13 +146,13 @@
 
 /// The changes that delete a job's records, but for its verdict.
 fn delete_records(id: &JobId, job: &Job, verdict: Verdict) -> Vec<Change> {
-    let record = JobRecord::bare(verdict, job.spec.tasks);
+    let record = JobRecord::without_description(verdict, job.spec.tasks);
     let mut apply = vec![Change::put(keys::job(id), to_value(&record))];
     if job.has_own_key {
-        apply.push(Change::delete(keys::live(id)));
+        apply.push(Change::delete(keys::description(id)));
     }
     let chunks = (0..job.done.chunks()).filter(|c| job.done.chunk_written(*c));
-    apply.extend(chunks.map(|chunk| Change::delete(keys::done(id, chunk))));
+    apply.extend(chunks.map(|chunk| Change::delete(keys::completed_tasks(id, chunk))));
     apply
 }
 
@@ -204,7 +204,8 @@
     }
 
     fn of_chunk(&self, key: &str, id: &JobId, chunk: usize) -> u64 {
-        self.own(key).max(self.replica.done_version(id, chunk))
+        self.own(key)
+            .max(self.replica.completed_tasks_version(id, chunk))
     }
 
     fn of_shard(&self, key: &str, shard: usize) -> u64 {
@@ -225,10 +226,10 @@
     let chunk = job.done.dirty_chunk().filter(|_| rested)?;
     job.progress_written_at = Some(now);
     let digits = job.done.encode(chunk);
-    let record = DoneRecord {
+    let record = CompletedTasksRecord {
         bits: digits.clone(),
     };
-    let key = keys::done(id, chunk);
+    let key = keys::completed_tasks(id, chunk);
     let version = versions.of_chunk(&key, id, chunk);
     let conditions = vec![
         Condition::new(keys::job(id), job.version),
@@ -378,7 +379,7 @@
                 self.dispatch_written(key, entries, committed, version);
             }
             RecordKind::Progress { job, chunk, digits } => {
-                self.note_version(keys::done(job, *chunk), version);
+                self.note_version(keys::completed_tasks(job, *chunk), version);
                 self.progress_written(job, *chunk, digits, committed);
             }
             RecordKind::Finished { job } | RecordKind::Retired { job } => {
--- a/src/cluster/recovery.rs
+++ b/src/cluster/recovery.rs
@@ -30,8 +30,11 @@
         let inventory =
             records::MachineInventory::load(&replica.inventory, settings.params.state.value_kb);
         let unreconciled: BTreeSet<MachineId> = inventory.machines().cloned().collect();
-        let (dispatch_log, recovered_targets) =
-            DispatchLog::load(term, &replica.sent, settings.params.state.value_kb);
+        let (dispatch_log, recovered_targets) = DispatchLog::load(
+            term,
+            &replica.dispatch_records,
+            settings.params.state.value_kb,
+        );
         let mut cluster = Self {
             term,
             since: now,
@@ -77,7 +80,7 @@
 
     /// Adds the jobs that are not over.
     fn recover_jobs(&mut self, replica: &Replica, now: Instant, wall: SystemTime) {
-        let ids: Vec<JobId> = replica.live.keys().cloned().collect();
+        let ids: Vec<JobId> = replica.descriptions.keys().cloned().collect();
         for id in ids {
             self.sync_job(&id, replica, now, wall, true);
         }
@@ -90,7 +93,7 @@
     /// Takes an earlier leader's summary of the machines. Those that are gone must not come back
     /// by late copies of their heartbeats.
     pub fn adopt_summary(&mut self, summary: &SummaryCache) {
-        self.hints = summary.hints.clone();
+        self.hints = summary.machines.clone();
         for id in &self.unreconciled {
             if let (Some(machine), Some(hint)) = (self.machines.get_mut(id), self.hints.get(id)) {
                 machine.address.clone_from(&hint.address);
@@ -98,7 +101,7 @@
             }
         }
         let gone = summary
-            .gone
+            .removed_machines
             .iter()
             .filter(|id| !self.unreconciled.contains(*id));
         self.terminated_machines.extend(gone.cloned());
--- a/src/cluster/sync.rs
+++ b/src/cluster/sync.rs
@@ -8,14 +8,14 @@
 use super::{Cluster, DispatchTargets, Job, Listed, Machine, Persistence, TerminationEvidence};
 use crate::model::{JobId, MachineId, MachinePool, Verdict};
 use crate::pending_reason::PendingReason;
-use crate::state_summary::GONE_MACHINES_KEPT;
-use crate::store::keys::{self, LiveRecord};
+use crate::state_summary::REMOVED_MACHINES_MAX;
+use crate::store::keys::{self, JobDescription};
 use crate::store::replica::Replica;
 use crate::time::{secs, unix_ms};
 use crate::wire::ListedMachine;
 
 /// Where starts may have been sent by a job's own record.
-fn targets_of(record: &LiveRecord) -> DispatchTargets {
+fn targets_of(record: &JobDescription) -> DispatchTargets {
     match &record.hosts {
         Some(names) => DispatchTargets::Machines(
             names
@@ -69,7 +69,10 @@
         // Our own retirement of the job: the records are deleted, and no task of it is left. A
         // controller of 0.3.0 that cancels deletes the description sooner.
         let gone = !self.jobs.get(id).is_some_and(Job::has_placements);
-        if gone && !replica.live.contains_key(id) && verdict.record.verdict != Verdict::Accepted {
+        if gone
+            && !replica.descriptions.contains_key(id)
+            && verdict.record.verdict != Verdict::Accepted
+        {
             self.forget_job(id);
         }
     }
@@ -83,7 +86,7 @@
         wall: SystemTime,
     ) -> Option<Job> {
         let verdict = replica.jobs.get(id)?;
-        let live = replica.live.get(id)?;
+        let live = replica.descriptions.get(id)?;
         let record = &live.record;
         let recovered = self.recovered_targets.remove(id);
         let started = record.started || recovered.is_some();
@@ -93,7 +96,7 @@
         }
         let age = Duration::from_millis(unix_ms(wall).saturating_sub(record.submitted_ms));
         let mut done = DoneSet::new(record.spec.tasks, self.chunk);
-        for (chunk, digits) in replica.done_chunks(id) {
+        for (chunk, digits) in replica.completed_task_chunks(id) {
             done.mark_durable(chunk, &digits.bits);
         }
         Some(Job {
@@ -134,7 +137,8 @@
             return;
         };
         for chunk in 0..job.done.chunks() {
-            self.written_versions.remove(&keys::done(id, chunk));
+            self.written_versions
+                .remove(&keys::completed_tasks(id, chunk));
         }
         self.dispatch_log.over(id);
         for machine in self.machines.values_mut().filter(|m| m.commands_pending()) {
@@ -154,7 +158,7 @@
         self.inventory.remove(id);
         // Heartbeats of it may still be on their way; they must not bring it back.
         self.terminated_machines.insert(id.clone());
-        if self.terminated_machines.len() > GONE_MACHINES_KEPT {
+        if self.terminated_machines.len() > REMOVED_MACHINES_MAX {
             self.terminated_machines.pop_first();
         }
         self.scheduling_needed = true;
--- a/src/leader/election_state.rs
+++ b/src/leader/election_state.rs
@@ -7,7 +7,8 @@
 use crate::model::Term;
 use crate::store::keys::LeaderRecord;
 use crate::timing::{
-    heartbeat_staleness_limit, keep_alive_limit, leader_lease, slowness, start_staleness_limit,
+    heartbeat_staleness_limit, keep_alive_limit, leader_lease, start_staleness_limit,
+    timeout_factor,
 };
 
 /// Subtracted from the own view of the lease: for drift of the clocks, and for the time between a
@@ -44,7 +45,7 @@
         Self {
             member: settings.member.clone(),
             leader_lease: leader_lease(settings),
-            start_staleness_limit: start_staleness_limit(slowness(settings)),
+            start_staleness_limit: start_staleness_limit(timeout_factor(settings)),
             keep_alive_limit: keep_alive_limit(settings),
             heartbeat_staleness_limit: heartbeat_staleness_limit(settings),
             freshness: ReplicaFreshness::default(),
--- a/src/leader/lease.rs
+++ b/src/leader/lease.rs
@@ -25,7 +25,7 @@
 
     /// When the last successful renewal was sent. The lease counts from then, since the store may
     /// have executed the renewal at any later moment.
-    pub fn renewed_at(&self) -> Instant {
+    pub fn renewal_sent_at(&self) -> Instant {
         self.renewed_at
     }
 
--- a/src/rate_limit.rs
+++ b/src/rate_limit.rs
@@ -71,7 +71,7 @@
     }
 
     /// Time until `amount` tokens can be taken at once, or a full bucket if they are more than that.
-    pub fn wait(&mut self, amount: f64, now: Instant) -> Duration {
+    pub fn time_until_available(&mut self, amount: f64, now: Instant) -> Duration {
         self.refill(now);
         let missing = amount.min(self.capacity()) - self.level;
         if missing <= 0.0 || self.rate <= 0.0 {
--- a/src/state_summary.rs
+++ b/src/state_summary.rs
@@ -7,7 +7,7 @@
 
 use serde::{Deserialize, Serialize};
 
-pub use self::cache::{SummaryCache, GONE_MACHINES_KEPT};
+pub use self::cache::{SummaryCache, REMOVED_MACHINES_MAX};
 pub use self::recipient::SummaryRecipient;
 use crate::model::{JobId, MachineId, Term};
 
@@ -43,13 +43,13 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct SummaryContents {
     /// Unfinished jobs.
-    pub counts: Vec<Counts>,
+    pub task_counts: Vec<TaskCounts>,
     /// Jobs that finished or were cancelled.
-    pub over: Vec<JobId>,
+    pub ended_jobs: Vec<JobId>,
     /// Machines, for the next leader.
-    pub hints: Vec<(MachineId, MachineSummary)>,
+    pub machines: Vec<(MachineId, MachineSummary)>,
     /// Machines that were released or terminated.
-    pub gone: Vec<MachineId>,
+    pub removed_machines: Vec<MachineId>,
 }
 
 impl SummaryContents {
@@ -59,19 +59,23 @@
     pub fn shorten(&mut self, limit: usize) {
         let limit = limit.saturating_sub(HEAD_BYTES);
         let jobs_limit = (limit as f64 * JOBS_PART) as usize;
-        let over = truncate_to(&mut self.over, jobs_limit / 2, |id| text_bytes(id.as_str()));
-        let counts = truncate_to(&mut self.counts, jobs_limit - over, |count| {
+        let over = truncate_to(&mut self.ended_jobs, jobs_limit / 2, |id| {
+            text_bytes(id.as_str())
+        });
+        let counts = truncate_to(&mut self.task_counts, jobs_limit - over, |count| {
             text_bytes(count.id.as_str()) + 2 * NUMBER_BYTES
         });
         let machines_limit = limit - over - counts;
         let gone_limit = machines_limit / 4;
-        let gone = truncate_to(&mut self.gone, gone_limit, |id| text_bytes(&id.0));
+        let gone = truncate_to(&mut self.removed_machines, gone_limit, |id| {
+            text_bytes(&id.0)
+        });
         let hints_limit = machines_limit - gone;
-        let bare = truncate_to(&mut self.hints, hints_limit, |(id, hint)| {
+        let bare = truncate_to(&mut self.machines, hints_limit, |(id, hint)| {
             text_bytes(&id.0) + hint.bytes_without_images()
         });
-        let each = (hints_limit - bare) / self.hints.len().max(1);
-        for (_, hint) in &mut self.hints {
+        let each = (hints_limit - bare) / self.machines.len().max(1);
+        for (_, hint) in &mut self.machines {
             hint.keep_latest_images(each);
         }
     }
@@ -105,7 +109,7 @@
 
 /// Completed and running tasks of a job.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Counts {
+pub struct TaskCounts {
     /// The job.
     pub id: JobId,
     /// Completed.
--- a/src/state_summary/cache.rs
+++ b/src/state_summary/cache.rs
@@ -7,7 +7,7 @@
 
 /// Released machines that are remembered: late copies of their heartbeats arrive within minutes, in
 /// which a fleet of 4,000 may have been replaced more than once. Each takes some 60 bytes.
-pub const GONE_MACHINES_KEPT: usize = 12_288;
+pub const REMOVED_MACHINES_MAX: usize = 12_288;
 
 /// A follower's cache of the leader's state summary.
 #[derive(Debug, Default)]
@@ -15,11 +15,11 @@
     term: Term,
     number: u64,
     /// Completed and running tasks of unfinished jobs.
-    pub counts: HashMap<JobId, (u32, u32)>,
+    pub task_counts: HashMap<JobId, (u32, u32)>,
     /// Machines.
-    pub hints: HashMap<MachineId, MachineSummary>,
+    pub machines: HashMap<MachineId, MachineSummary>,
     /// Machines that were released or terminated, newest last.
-    pub gone: VecDeque<MachineId>,
+    pub removed_machines: VecDeque<MachineId>,
 }
 
 impl SummaryCache {
@@ -30,24 +30,24 @@
             return false;
         }
         if summary.full {
-            self.counts.clear();
-            self.hints.clear();
+            self.task_counts.clear();
+            self.machines.clear();
         }
         self.term = summary.term;
         self.number = summary.number;
-        let counts = summary.contents.counts.into_iter();
-        self.counts
+        let counts = summary.contents.task_counts.into_iter();
+        self.task_counts
             .extend(counts.map(|c| (c.id, (c.done, c.running))));
-        for id in &summary.contents.over {
-            self.counts.remove(id);
+        for id in &summary.contents.ended_jobs {
+            self.task_counts.remove(id);
         }
-        self.hints.extend(summary.contents.hints);
-        for id in summary.contents.gone {
-            self.hints.remove(&id);
-            self.gone.push_back(id);
+        self.machines.extend(summary.contents.machines);
+        for id in summary.contents.removed_machines {
+            self.machines.remove(&id);
+            self.removed_machines.push_back(id);
         }
-        while self.gone.len() > GONE_MACHINES_KEPT {
-            self.gone.pop_front();
+        while self.removed_machines.len() > REMOVED_MACHINES_MAX {
+            self.removed_machines.pop_front();
         }
         true
     }
--- a/src/state_summary/recipient.rs
+++ b/src/state_summary/recipient.rs
@@ -29,14 +29,14 @@
     }
 
     /// A full summary was sent to it. Should it not arrive, the response to the next changes shows it.
-    pub fn full_sent(&mut self, number: u64, now: Instant) {
+    pub fn record_full_summary(&mut self, number: u64, now: Instant) {
         self.out_of_sync = false;
         self.last_full = Some(FullSummary { number, sent: now });
     }
 
     /// It answered a summary. The response to one from before the last full summary says nothing of
     /// the peer's present state; it would only cause another full summary.
-    pub fn answered(&mut self, number: u64, out_of_sync: bool) {
+    pub fn record_reply(&mut self, number: u64, out_of_sync: bool) {
         let outdated = self.last_full.is_some_and(|full| number < full.number);
         if !outdated {
             self.out_of_sync = out_of_sync;
--- a/src/state_summary/recipient/tests.rs
+++ b/src/state_summary/recipient/tests.rs
@@ -15,10 +15,10 @@
         if second > 3 {
             let number = second - 3;
             let had_full = full.first().is_some_and(|first| number >= *first);
-            peer.answered(number, !had_full);
+            peer.record_reply(number, !had_full);
         }
         if peer.needs_full(at(second)) {
-            peer.full_sent(second, at(second));
+            peer.record_full_summary(second, at(second));
             full.push(second);
         }
     }
@@ -32,9 +32,9 @@
     let mut peer = SummaryRecipient::default();
     let mut full = 0;
     for second in 1..=60 {
-        peer.answered(second, true);
+        peer.record_reply(second, true);
         if peer.needs_full(at(second)) {
-            peer.full_sent(second, at(second));
+            peer.record_full_summary(second, at(second));
             full += 1;
         }
     }
--- a/src/state_summary/tests.rs
+++ b/src/state_summary/tests.rs
@@ -5,13 +5,13 @@
 
 fn contents(done: u32) -> SummaryContents {
     SummaryContents {
-        counts: vec![Counts {
+        task_counts: vec![TaskCounts {
             id: JobId::parse("wk-000001").unwrap(),
             done,
             running: 5,
         }],
-        over: Vec::new(),
-        hints: vec![(
+        ended_jobs: Vec::new(),
+        machines: vec![(
             MachineId("m-1".into()),
             MachineSummary {
                 address: "127.0.0.1:9".to_owned(),
@@ -19,7 +19,7 @@
                 images: vec![("img".to_owned(), 2.5)],
             },
         )],
-        gone: Vec::new(),
+        removed_machines: Vec::new(),
     }
 }
 
@@ -41,7 +41,7 @@
     );
     assert!(cache.apply(summary(3, 8, true, contents(1))));
     assert!(cache.apply(summary(3, 9, false, contents(2))));
-    assert_eq!(cache.counts[&id], (2, 5));
+    assert_eq!(cache.task_counts[&id], (2, 5));
     assert!(
         !cache.apply(summary(3, 11, false, contents(4))),
         "one is missing"
@@ -51,12 +51,12 @@
         "an older leader's"
     );
     let mut last = SummaryContents::default();
-    last.over.push(id.clone());
-    last.gone.push(MachineId("m-1".into()));
+    last.ended_jobs.push(id.clone());
+    last.removed_machines.push(MachineId("m-1".into()));
     assert!(cache.apply(summary(3, 10, false, last)));
-    assert!(cache.counts.is_empty() && cache.hints.is_empty());
+    assert!(cache.task_counts.is_empty() && cache.machines.is_empty());
     assert!(cache.apply(summary(4, 1, true, contents(1))), "a new term");
-    assert_eq!(cache.counts[&id], (1, 5));
+    assert_eq!(cache.task_counts[&id], (1, 5));
 }
 
 #[test]
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -13,7 +13,7 @@
 };
 use crate::config::Settings;
 use crate::http::{OutgoingRequest, Remote, RequestFailure};
-use crate::timing::slowness;
+use crate::timing::timeout_factor;
 use crate::wire;
 
 /// Without a response by then the outcome is unknown. The store responds within a few hundred
@@ -77,7 +77,7 @@
         let largest = response_bytes_max(settings.params.resources.mem_mb);
         Self {
             remote: Remote::new(settings.external.state, http, largest),
-            response_timeout: RESPONSE_TIMEOUT.mul_f64(slowness(settings)),
+            response_timeout: RESPONSE_TIMEOUT.mul_f64(timeout_factor(settings)),
         }
     }
 
@@ -166,7 +166,11 @@
     }
 
     /// Reads one page of the keys below a prefix, beginning after the key `after`.
-    pub async fn page(&self, prefix: &str, after: Option<&str>) -> Result<KeyPage, StoreError> {
+    pub async fn read_page(
+        &self,
+        prefix: &str,
+        after: Option<&str>,
+    ) -> Result<KeyPage, StoreError> {
         let mut path = format!("/keys?under={prefix}&limit={KEYS_PER_PAGE}");
         if let Some(after) = after {
             path.push_str("&after=");
--- a/src/store/context.rs
+++ b/src/store/context.rs
@@ -15,7 +15,7 @@
 use super::shared_replica::SharedReplica;
 use super::{StoreError, Transaction, TransactionOutcome, WritePriority};
 use crate::config::{Settings, StateSettings};
-use crate::timing::slowness;
+use crate::timing::timeout_factor;
 
 /// Commits that may be queued, as a bound on memory.
 const COMMITS_QUEUED_MAX: usize = 1024;
@@ -30,7 +30,7 @@
     pub(super) replica: Arc<SharedReplica>,
     pub(super) observer: Arc<dyn StoreObserver>,
     pub(super) pending_reads: PendingReads,
-    /// See [`crate::timing::slowness`].
+    /// See [`crate::timing::timeout_factor`].
     pub(super) slowness: f64,
     pub(super) limiter: RefCell<Limiter>,
     pub(super) commits: RefCell<CommitQueue>,
@@ -53,7 +53,7 @@
         Self {
             client,
             limits,
-            slowness: slowness(settings),
+            slowness: timeout_factor(settings),
             replica,
             observer,
             pending_reads: PendingReads::default(),
@@ -129,7 +129,9 @@
         failure: Option<&StoreError>,
     ) {
         match failure {
-            Some(error) if error.contact_lost() => self.observer.request_failed(operation, sent),
+            Some(error) if error.store_unavailable() => {
+                self.observer.request_failed(operation, sent)
+            }
             _ => self.observer.request_answered(operation, sent),
         }
     }
--- a/src/store/keys.rs
+++ b/src/store/keys.rs
@@ -31,12 +31,12 @@
 }
 
 /// The description as versions up to 0.3.0 wrote it; it is read, and deleted after the job's end.
-pub fn live(id: &JobId) -> String {
+pub fn description(id: &JobId) -> String {
     format!("{LIVE}{id}")
 }
 
 /// One chunk of the job's set of completed tasks.
-pub fn done(id: &JobId, chunk: usize) -> String {
+pub fn completed_tasks(id: &JobId, chunk: usize) -> String {
     format!("{DONE}{id}/{chunk}")
 }
 
@@ -46,7 +46,7 @@
 }
 
 /// One dispatch record: where starts of several jobs may have been sent. Its number is used only once.
-pub fn sent(term: Term, number: u32) -> String {
+pub fn dispatch(term: Term, number: u32) -> String {
     format!("{SENT}{:010}-{number:06}", term.0)
 }
 
@@ -67,13 +67,13 @@
     Settings,
     /// See [`job`].
     Job(JobId),
-    /// See [`live`].
+    /// See [`description`].
     Live(JobId),
-    /// See [`done`].
+    /// See [`completed_tasks`].
     Done(JobId, usize),
     /// See [`inventory`].
     Inventory(usize),
-    /// See [`sent`].
+    /// See [`dispatch`].
     Sent(String),
     /// See [`misdirected`].
     Misdirected(String),
@@ -136,30 +136,30 @@
     pub tasks: u32,
     /// The description, while any task of the job may run. It is in the same value as the verdict, so
     /// that a small job costs one change to accept and one to end.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub live: Option<LiveRecord>,
+    #[serde(rename = "live", default, skip_serializing_if = "Option::is_none")]
+    pub description: Option<JobDescription>,
 }
 
 impl JobRecord {
     /// A verdict without a description.
-    pub fn bare(verdict: Verdict, tasks: u32) -> Self {
+    pub fn without_description(verdict: Verdict, tasks: u32) -> Self {
         Self {
             verdict,
             tasks,
-            live: None,
+            description: None,
         }
     }
 }
 
-/// A job's description: in its [`JobRecord`], or below [`live`].
+/// A job's description: in its [`JobRecord`], or below [`description`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct LiveRecord {
+pub struct JobDescription {
     /// The job.
     pub spec: JobSpec,
     /// When it was accepted, in milliseconds since the Unix epoch.
     pub submitted_ms: u64,
     /// Whether any start of a task of it may have been sent, as versions up to 0.3.0 recorded it. Newer
-    /// versions write [`SentRecord`]s.
+    /// versions write [`DispatchedJobsRecord`]s.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub started: bool,
     /// The only machines to which starts may have been sent; `None`: any machine.
@@ -167,17 +167,17 @@
     pub hosts: Option<Vec<String>>,
 }
 
-/// Record below [`done`]: one bit per task, four bits per hexadecimal digit.
+/// Record below [`completed_tasks`]: one bit per task, four bits per hexadecimal digit.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct DoneRecord {
+pub struct CompletedTasksRecord {
     /// The digits.
     pub bits: String,
 }
 
-/// Record below [`sent`]: starts of these jobs may have been sent to these machines, or to any machine
+/// Record below [`dispatch`]: starts of these jobs may have been sent to these machines, or to any machine
 /// where none is named. Several records of one job add up.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
-pub struct SentRecord {
+pub struct DispatchedJobsRecord {
     /// Jobs with their machines.
     pub jobs: Vec<(JobId, Option<Vec<String>>)>,
 }
--- a/src/store/limiter.rs
+++ b/src/store/limiter.rs
@@ -53,8 +53,8 @@
 
     /// Time until so many requests and changes are allowed; `None` if they are allowed now.
     pub fn wait(&mut self, requests: f64, writes: f64, now: Instant) -> Option<Duration> {
-        let requests = self.requests.wait(requests, now);
-        let wait = requests.max(self.writes.wait(writes, now));
+        let requests = self.requests.time_until_available(requests, now);
+        let wait = requests.max(self.writes.time_until_available(writes, now));
         (!wait.is_zero()).then_some(wait)
     }
 
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -56,7 +56,7 @@
 
     /// Whether the error shows that contact with the store is lost, so that writes of others may go
     /// unseen. A request refused by the rate limits was answered.
-    pub fn contact_lost(&self) -> bool {
+    pub fn store_unavailable(&self) -> bool {
         match self {
             StoreError::Refused(status) => *status != STATUS_RATE_LIMITED,
             StoreError::OutcomeUnknown => true,
@@ -233,10 +233,10 @@
 pub struct WatchEvent {
     /// The key written.
     #[serde(rename = "set", default)]
-    pub put: Option<String>,
+    pub put_key: Option<String>,
     /// The key deleted.
     #[serde(rename = "drop", default)]
-    pub delete: Option<String>,
+    pub deleted_key: Option<String>,
     /// The value written.
     #[serde(rename = "v", default)]
     pub value: Option<Value>,
--- a/src/store/replica.rs
+++ b/src/store/replica.rs
@@ -5,8 +5,8 @@
 use serde::de::DeserializeOwned;
 
 use super::keys::{
-    self, DoneRecord, InventoryRecord, JobRecord, Key, LeaderRecord, LiveRecord, MisdirectedRecord,
-    SentRecord, TermRecord,
+    self, CompletedTasksRecord, DispatchedJobsRecord, InventoryRecord, JobDescription, JobRecord,
+    Key, LeaderRecord, MisdirectedRecord, TermRecord,
 };
 use super::{from_value, KeyValue, Value, WatchEvent};
 use crate::model::{JobId, Term, Verdict};
@@ -79,24 +79,24 @@
     /// Whether any was evicted: then a job without a verdict here may exist.
     has_evicted: bool,
     /// Descriptions of jobs with tasks that may run.
-    pub live: BTreeMap<JobId, Live>,
+    pub descriptions: BTreeMap<JobId, ReplicatedDescription>,
     /// Completed tasks.
-    pub done: BTreeMap<(JobId, usize), Versioned<DoneRecord>>,
+    pub completed_tasks: BTreeMap<(JobId, usize), Versioned<CompletedTasksRecord>>,
     /// The machine inventory, by shard.
     pub inventory: BTreeMap<usize, Versioned<InventoryRecord>>,
     /// Versions of the controllers' counts of misdirected heartbeats.
     pub misdirected: BTreeMap<String, u64>,
     /// The dispatch records, by key: where starts may have been sent.
-    pub sent: BTreeMap<String, Versioned<SentRecord>>,
+    pub dispatch_records: BTreeMap<String, Versioned<DispatchedJobsRecord>>,
 }
 
 /// The description of a job.
 #[derive(Debug, Clone)]
-pub struct Live {
+pub struct ReplicatedDescription {
     /// The version of its key.
     pub version: u64,
     /// The description.
-    pub record: LiveRecord,
+    pub record: JobDescription,
     /// Whether it has a key of its own, as versions up to 0.3.0 wrote it.
     pub has_own_key: bool,
 }
@@ -160,7 +160,7 @@
         // Two requests may deliver the same changes, the older response last: a change that is applied
         // already must not overwrite later ones.
         for event in events.iter().filter(|e| e.version > before) {
-            let change = match (&event.put, &event.delete, &event.value) {
+            let change = match (&event.put_key, &event.deleted_key, &event.value) {
                 (Some(key), _, Some(value)) => self.put(key, value, event.version),
                 (None, Some(key), _) => self.delete(key, event.version),
                 _ => None,
@@ -193,7 +193,8 @@
             Key::Job(id) => self.put_job(id, from_value(value)?, version),
             Key::Live(id) => self.put_own_description(id, from_value(value)?, version),
             Key::Done(id, chunk) => {
-                self.done.insert((id, chunk), versioned(value, version)?);
+                self.completed_tasks
+                    .insert((id, chunk), versioned(value, version)?);
                 None
             }
             Key::Inventory(shard) => {
@@ -206,7 +207,8 @@
                 Some(ReplicaChange::Misdirected(member, record.count))
             }
             Key::Sent(key) => {
-                self.sent.insert(key, versioned(value, version)?);
+                self.dispatch_records
+                    .insert(key, versioned(value, version)?);
                 None
             }
         }
@@ -225,7 +227,7 @@
             record: verdict,
         };
         self.jobs.insert(id.clone(), versioned_verdict);
-        self.put_description_of_record(&id, record.live, version);
+        self.put_description_of_record(&id, record.description, version);
         if verdict.is_final() {
             self.final_verdicts.push_back(id.clone());
             self.evict_final_verdicts();
@@ -234,32 +236,45 @@
     }
 
     /// Takes the description in a job's record; one with a key of its own does not depend on that record.
-    fn put_description_of_record(&mut self, id: &JobId, live: Option<LiveRecord>, version: u64) {
+    fn put_description_of_record(
+        &mut self,
+        id: &JobId,
+        live: Option<JobDescription>,
+        version: u64,
+    ) {
         if let Some(record) = live {
-            let live = Live {
+            let live = ReplicatedDescription {
                 version,
                 record,
                 has_own_key: false,
             };
-            self.live.insert(id.clone(), live);
-        } else if self.live.get(id).is_some_and(|live| !live.has_own_key) {
-            self.live.remove(id);
+            self.descriptions.insert(id.clone(), live);
+        } else if self
+            .descriptions
+            .get(id)
+            .is_some_and(|live| !live.has_own_key)
+        {
+            self.descriptions.remove(id);
         }
     }
 
     fn put_own_description(
         &mut self,
         id: JobId,
-        record: LiveRecord,
+        record: JobDescription,
         version: u64,
     ) -> Option<ReplicaChange> {
-        if self.live.get(&id).is_none_or(|old| old.version < version) {
-            let live = Live {
+        if self
+            .descriptions
+            .get(&id)
+            .is_none_or(|old| old.version < version)
+        {
+            let live = ReplicatedDescription {
                 version,
                 record,
                 has_own_key: true,
             };
-            self.live.insert(id.clone(), live);
+            self.descriptions.insert(id.clone(), live);
         }
         Some(ReplicaChange::Job(id))
     }
@@ -271,13 +286,17 @@
                 Some(ReplicaChange::Leader)
             }
             Key::Live(id) => {
-                if self.live.get(&id).is_some_and(|old| old.version < version) {
-                    self.live.remove(&id);
+                if self
+                    .descriptions
+                    .get(&id)
+                    .is_some_and(|old| old.version < version)
+                {
+                    self.descriptions.remove(&id);
                 }
                 Some(ReplicaChange::Job(id))
             }
             Key::Done(id, chunk) => {
-                self.done.remove(&(id, chunk));
+                self.completed_tasks.remove(&(id, chunk));
                 None
             }
             Key::Inventory(shard) => {
@@ -285,7 +304,7 @@
                 None
             }
             Key::Sent(key) => {
-                self.sent.remove(&key);
+                self.dispatch_records.remove(&key);
                 None
             }
             // No controller deletes these.
@@ -302,7 +321,7 @@
             let Some(oldest) = self.final_verdicts.pop_front() else {
                 return;
             };
-            if self.live.contains_key(&oldest) {
+            if self.descriptions.contains_key(&oldest) {
                 // A task of it may run somewhere still, and then the leader needs the verdict.
                 self.final_verdicts.push_back(oldest);
             } else {
@@ -327,8 +346,8 @@
     }
 
     /// The version of a chunk of completed tasks; 0: there is none.
-    pub fn done_version(&self, id: &JobId, chunk: usize) -> u64 {
-        let kept = self.done.get(&(id.clone(), chunk));
+    pub fn completed_tasks_version(&self, id: &JobId, chunk: usize) -> u64 {
+        let kept = self.completed_tasks.get(&(id.clone(), chunk));
         kept.map_or(0, |kept| kept.version)
     }
 
@@ -343,11 +362,11 @@
     }
 
     /// The chunks of completed tasks of a job, for recovery.
-    pub fn done_chunks<'a>(
+    pub fn completed_task_chunks<'a>(
         &'a self,
         id: &'a JobId,
-    ) -> impl Iterator<Item = (usize, &'a DoneRecord)> + 'a {
-        self.done
+    ) -> impl Iterator<Item = (usize, &'a CompletedTasksRecord)> + 'a {
+        self.completed_tasks
             .range((id.clone(), 0)..=(id.clone(), usize::MAX))
             .map(|((_, chunk), kept)| (*chunk, &kept.record))
     }
--- a/src/store/replica/tests.rs
+++ b/src/store/replica/tests.rs
@@ -5,7 +5,7 @@
 
 fn put(replica: &mut Replica, number: u32, verdict: Verdict, version: u64) {
     let id = JobId::parse(&format!("wk-{number:06}")).unwrap();
-    let record = to_value(&JobRecord::bare(verdict, 1));
+    let record = to_value(&JobRecord::without_description(verdict, 1));
     replica.put(&keys::job(&id), &record, version);
 }
 
--- a/src/store/watch.rs
+++ b/src/store/watch.rs
@@ -145,7 +145,10 @@
     loop {
         let after = keys_read.last().map(|last| last.key.clone());
         context.wait_for_limit(1.0, 0.0).await;
-        let page = context.client.page(keys::ROOT, after.as_deref()).await?;
+        let page = context
+            .client
+            .read_page(keys::ROOT, after.as_deref())
+            .await?;
         // With the first page's revision the watch repeats all changes made during the read.
         let first_revision = *revision.get_or_insert(page.revision);
         let last = page.key_values.is_empty() || !page.more;
--- a/src/timing.rs
+++ b/src/timing.rs
@@ -48,7 +48,7 @@
 }
 
 /// Factor by which this process may take longer to handle a response than on a machine of usual size.
-pub fn slowness(settings: &Settings) -> f64 {
+pub fn timeout_factor(settings: &Settings) -> f64 {
     leader_lease(settings).as_secs_f64() / LEADER_LEASE_MIN.as_secs_f64()
 }
 
--- a/tests/common/scene.rs
+++ b/tests/common/scene.rs
@@ -17,7 +17,9 @@
 };
 use knotlanding::policy::SchedulingPolicy;
 use knotlanding::sched::{self, Decisions};
-use knotlanding::store::keys::{self, InventoryRecord, JobRecord, LiveRecord, SentRecord};
+use knotlanding::store::keys::{
+    self, DispatchedJobsRecord, InventoryRecord, JobDescription, JobRecord,
+};
 use knotlanding::store::replica::Replica;
 use knotlanding::store::{to_value, KeyValue, StoreError, TransactionOutcome};
 use knotlanding::wire::{
@@ -198,11 +200,15 @@
     pub fn cancel(&mut self, id: &str) {
         self.note(&format!("cancelled by its user: {id}"));
         let id = JobId::parse(id).unwrap();
-        let live = self.replica().live.get(&id).map(|live| live.record.clone());
+        let live = self
+            .replica()
+            .descriptions
+            .get(&id)
+            .map(|live| live.record.clone());
         let record = JobRecord {
             verdict: Verdict::Cancelled,
             tasks: 1,
-            live,
+            description: live,
         };
         self.record(keys::job(&id), to_value(&record));
         self.sync(&id);
@@ -437,7 +443,7 @@
 
 pub fn accepted(spec: &JobSpec, started: bool) -> Vec<(String, knotlanding::store::Value)> {
     let submitted = wall().duration_since(SystemTime::UNIX_EPOCH);
-    let live = LiveRecord {
+    let live = JobDescription {
         spec: spec.clone(),
         submitted_ms: submitted.unwrap().as_millis() as u64,
         started: false,
@@ -446,7 +452,7 @@
     let job = JobRecord {
         verdict: Verdict::Accepted,
         tasks: spec.tasks,
-        live: Some(live),
+        description: Some(live),
     };
     let mut records = vec![(keys::job(&spec.id), to_value(&job))];
     if started {
@@ -458,25 +464,25 @@
 /// A list that says where starts of a job may have been sent.
 pub fn sent(id: &JobId, hosts: Option<&[&str]>) -> (String, knotlanding::store::Value) {
     let hosts = hosts.map(|hosts| hosts.iter().map(|host| (*host).to_owned()).collect());
-    let record = SentRecord {
+    let record = DispatchedJobsRecord {
         jobs: vec![(id.clone(), hosts)],
     };
     let number: u32 = id.as_str()[3..].parse().unwrap();
-    (keys::sent(Term(0), number), to_value(&record))
+    (keys::dispatch(Term(0), number), to_value(&record))
 }
 
 /// The same job as version 0.3.0 wrote it down.
 pub fn accepted_apart(spec: &JobSpec, hosts: &[&str]) -> Vec<(String, knotlanding::store::Value)> {
-    let live = LiveRecord {
+    let live = JobDescription {
         spec: spec.clone(),
         submitted_ms: 0,
         started: true,
         hosts: Some(hosts.iter().map(|host| (*host).to_owned()).collect()),
     };
-    let job = JobRecord::bare(Verdict::Accepted, spec.tasks);
+    let job = JobRecord::without_description(Verdict::Accepted, spec.tasks);
     vec![
         (keys::job(&spec.id), to_value(&job)),
-        (keys::live(&spec.id), to_value(&live)),
+        (keys::description(&spec.id), to_value(&live)),
     ]
 }
 
--- a/tests/common/world.rs
+++ b/tests/common/world.rs
@@ -49,7 +49,7 @@
 use knotlanding::policy::SchedulingPolicy;
 use knotlanding::sched::{self, Decisions};
 use knotlanding::service::Shared;
-use knotlanding::store::keys::{self, JobRecord, LeaderRecord, LiveRecord, TermRecord};
+use knotlanding::store::keys::{self, JobDescription, JobRecord, LeaderRecord, TermRecord};
 use knotlanding::store::replica::VerdictState;
 use knotlanding::store::{
     to_value, Change, Condition, KeyValue, StoreError, Transaction, TransactionOutcome, Value,
--- a/tests/common/world/controllers.rs
+++ b/tests/common/world/controllers.rs
@@ -76,7 +76,7 @@
         let sent_at = self.start + Duration::from_secs_f64(sent);
         let shared = self.nodes[n].shared.clone();
         let failed = answered.failure().cloned();
-        if failed.as_ref().is_some_and(StoreError::contact_lost) {
+        if failed.as_ref().is_some_and(StoreError::store_unavailable) {
             shared.election.lock().freshness().invalidate(now);
         }
         self.note_store(n, &why, failed.as_ref(), sent);
@@ -170,7 +170,10 @@
         let shared = self.nodes[n].shared.clone();
         let (verdict, version, live) = {
             let replica = shared.replica.lock();
-            let live = replica.live.get(&job).map(|live| live.record.clone());
+            let live = replica
+                .descriptions
+                .get(&job)
+                .map(|live| live.record.clone());
             let verdict = known_verdict(replica.verdict(&job));
             (verdict, replica.job_version(&job), live)
         };
@@ -181,7 +184,7 @@
         let record = JobRecord {
             verdict: Verdict::Cancelled,
             tasks: self.jobs[id].spec.tasks,
-            live,
+            description: live,
         };
         let group = Transaction {
             conditions: vec![Condition::new(keys::job(&job), version)],
@@ -269,7 +272,7 @@
             }
             let lease = shared.election.lock().lease().unwrap();
             if !self.nodes[n].renewing
-                && now >= lease.renewed_at() + lease_renewal_interval(LEADER_LEASE_MIN)
+                && now >= lease.renewal_sent_at() + lease_renewal_interval(LEADER_LEASE_MIN)
             {
                 self.nodes[n].renewing = true;
                 self.ask(
--- a/tests/common/world/run_hash.rs
+++ b/tests/common/world/run_hash.rs
@@ -31,8 +31,8 @@
         self.store.revision.hash(hasher);
         for (version, event) in &self.store.events[run.events..] {
             version.hash(hasher);
-            event.put.hash(hasher);
-            event.delete.hash(hasher);
+            event.put_key.hash(hasher);
+            event.deleted_key.hash(hasher);
             event.value.as_ref().map(wire::encode).hash(hasher);
         }
         run.events = self.store.events.len();
--- a/tests/common/world/state_service.rs
+++ b/tests/common/world/state_service.rs
@@ -92,8 +92,8 @@
                 self.keys
                     .insert(key.clone(), (value.clone(), version, *lease));
                 WatchEvent {
-                    put: Some(key.clone()),
-                    delete: None,
+                    put_key: Some(key.clone()),
+                    deleted_key: None,
                     value: Some(value.clone()),
                     version,
                 }
@@ -103,8 +103,8 @@
                     return;
                 }
                 WatchEvent {
-                    put: None,
-                    delete: Some(key.clone()),
+                    put_key: None,
+                    deleted_key: Some(key.clone()),
                     value: None,
                     version,
                 }
--- a/tests/common/world/users.rs
+++ b/tests/common/world/users.rs
@@ -37,7 +37,7 @@
         let job = JobRecord {
             verdict: Verdict::Accepted,
             tasks: self.jobs[id].spec.tasks,
-            live: Some(LiveRecord {
+            description: Some(JobDescription {
                 spec: self.jobs[id].spec.clone(),
                 submitted_ms: self
                     .wall()
--- a/tests/formats/peers.rs
+++ b/tests/formats/peers.rs
@@ -11,7 +11,7 @@
 use knotlanding::peer::summary::SUMMARY;
 use knotlanding::peer::{decode, encode, BINCODE};
 use knotlanding::state_summary::{
-    Counts, MachineSummary, StateSummary, SummaryContents, SummaryReply,
+    MachineSummary, StateSummary, SummaryContents, SummaryReply, TaskCounts,
 };
 use knotlanding::wire::{ExitCause, Heartbeat, TaskPhase, TaskStatus};
 use knotlanding_links::link::LinkState;
@@ -55,14 +55,14 @@
         number: 300,
         full: true,
         contents: SummaryContents {
-            counts: vec![Counts {
+            task_counts: vec![TaskCounts {
                 id: JobId::parse("wk-000412").unwrap(),
                 done: 3,
                 running: 13,
             }],
-            over: vec![JobId::parse("wk-000411").unwrap()],
-            hints: vec![(MachineId("m-000231".into()), hint)],
-            gone: vec![MachineId("m-000230".into())],
+            ended_jobs: vec![JobId::parse("wk-000411").unwrap()],
+            machines: vec![(MachineId("m-000231".into()), hint)],
+            removed_machines: vec![MachineId("m-000230".into())],
         },
     };
     assert_message("peer-digest.hex", &summary);
--- a/tests/formats/records.rs
+++ b/tests/formats/records.rs
@@ -3,8 +3,8 @@
 use knotlanding::model::{JobId, JobKind, JobSpec, Priority, Resources, Term, Verdict};
 use knotlanding::service::operator::OperatorSettings;
 use knotlanding::store::keys::{
-    self, DoneRecord, InventoryRecord, JobRecord, LeaderRecord, LiveRecord, MisdirectedRecord,
-    ProbeRecord, SentRecord, TermRecord,
+    self, CompletedTasksRecord, DispatchedJobsRecord, InventoryRecord, JobDescription, JobRecord,
+    LeaderRecord, MisdirectedRecord, ProbeRecord, TermRecord,
 };
 use knotlanding::store::{from_value, to_value, Value};
 use knotlanding::wire;
@@ -72,8 +72,8 @@
     }
 }
 
-fn live(spec: JobSpec) -> LiveRecord {
-    LiveRecord {
+fn live(spec: JobSpec) -> JobDescription {
+    JobDescription {
         spec,
         submitted_ms: 1_800_000_000_123,
         started: false,
@@ -89,10 +89,10 @@
     assert_eq!(keys::TERM, "kl/term");
     assert_eq!(keys::SETTINGS, "kl/settings");
     assert_eq!(keys::job(&job), "kl/job/wk-000412");
-    assert_eq!(keys::live(&job), "kl/live/wk-000412");
-    assert_eq!(keys::done(&job, 3), "kl/done/wk-000412/3");
+    assert_eq!(keys::description(&job), "kl/live/wk-000412");
+    assert_eq!(keys::completed_tasks(&job, 3), "kl/done/wk-000412/3");
     assert_eq!(keys::inventory(7), "kl/roster/0007");
-    assert_eq!(keys::sent(Term(12), 34), "kl/sent/0000000012-000034");
+    assert_eq!(keys::dispatch(Term(12), 34), "kl/sent/0000000012-000034");
     assert_eq!(keys::misdirected("knot-1"), "kl/knocks/knot-1");
     assert_eq!(keys::probe("knot-1"), "kl/probe/knot-1");
 }
@@ -124,7 +124,7 @@
         ("record-job-done.hex", Verdict::Done),
         ("record-job-cancelled.hex", Verdict::Cancelled),
     ] {
-        assert_record(name, &JobRecord::bare(verdict, 16));
+        assert_record(name, &JobRecord::without_description(verdict, 16));
     }
     for (name, spec) in [
         ("record-job-gang.hex", full_spec()),
@@ -144,7 +144,7 @@
         let record = JobRecord {
             verdict: Verdict::Accepted,
             tasks: spec.tasks,
-            live: Some(live(spec)),
+            description: Some(live(spec)),
         };
         assert_record(name, &record);
     }
@@ -152,13 +152,13 @@
 
 #[test]
 fn descriptions_of_older_versions_are_read() {
-    let started = LiveRecord {
+    let started = JobDescription {
         started: true,
         hosts: Some(vec!["m-000231".to_owned(), "m-000232".to_owned()]),
         ..live(full_spec())
     };
     assert_record("record-live-with-hosts.hex", &started);
-    let anywhere = LiveRecord {
+    let anywhere = JobDescription {
         started: true,
         ..live(spec(JobKind::Array, Priority::Standard))
     };
@@ -168,7 +168,7 @@
 
 #[test]
 fn records_of_starts_tasks_and_machines_keep_their_form() {
-    let sent = SentRecord {
+    let sent = DispatchedJobsRecord {
         jobs: vec![
             (id("wk-000412"), Some(vec!["m-000231".to_owned()])),
             (id("wk-000413"), None),
@@ -176,7 +176,7 @@
         ],
     };
     assert_record("record-sent.hex", &sent);
-    let done = DoneRecord {
+    let done = CompletedTasksRecord {
         bits: "f03".to_owned(),
     };
     assert_record("record-done.hex", &done);
--- a/tests/formats/requests.rs
+++ b/tests/formats/requests.rs
@@ -125,12 +125,12 @@
 
     let page = cbor!({"rows" => [row], "more" => true, "epoch" => 431});
     recorder.answer(200, page.unwrap());
-    let read = client.page("kl/", None).await.unwrap();
+    let read = client.read_page("kl/", None).await.unwrap();
     assert_eq!(
         (read.key_values.len(), read.more, read.revision),
         (1, true, 431)
     );
-    client.page("kl/", Some("kl/term")).await.unwrap();
+    client.read_page("kl/", Some("kl/term")).await.unwrap();
 
     let followed = cbor!({"epoch" => 433, "events" => [
         {"set" => "c/9", "v" => 5, "stamp" => 433}, {"drop" => "c/d", "stamp" => 432}
@@ -139,9 +139,9 @@
     let hold = Duration::from_millis(1500);
     let read = client.watch("kl/", 431, hold, LIMIT).await.unwrap();
     assert_eq!(read.revision, 433);
-    assert_eq!(read.events[0].put.as_deref(), Some("c/9"));
+    assert_eq!(read.events[0].put_key.as_deref(), Some("c/9"));
     assert_eq!(read.events[0].value, Some(Value::from(5)));
-    assert_eq!(read.events[1].delete.as_deref(), Some("c/d"));
+    assert_eq!(read.events[1].deleted_key.as_deref(), Some("c/d"));
     assert_eq!(read.events[1].version, 432);
     recorder.answer(410, cbor!({"error" => "gone"}).unwrap());
     let read = client.watch("kl/", 1, hold, LIMIT).await;
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -13,7 +13,7 @@
 use knotlanding::cluster::RecordKind;
 use knotlanding::model::{JobId, MachineId, Term};
 use knotlanding::state_summary::{
-    StateSummary, SummaryCache, GONE_MACHINES_KEPT, SUMMARY_BYTES_MAX,
+    StateSummary, SummaryCache, REMOVED_MACHINES_MAX, SUMMARY_BYTES_MAX,
 };
 use knotlanding::store::{Change, TransactionOutcome};
 use knotlanding::wire;
@@ -106,18 +106,18 @@
         }
     }
     let replica = scene.replica();
-    for id in replica.live.keys() {
+    for id in replica.descriptions.keys() {
         let wall = scene::wall();
         scene.cluster.sync_job(id, &replica, scene.now, wall, false);
     }
     let mut contents = scene.cluster.full_summary();
     assert_eq!(
-        (contents.hints.len(), contents.counts.len()),
+        (contents.machines.len(), contents.task_counts.len()),
         (MACHINES, 20_000)
     );
     contents.shorten(SUMMARY_BYTES_MAX);
     let latest: Vec<_> = contents
-        .hints
+        .machines
         .iter()
         .map(|(_, hint)| hint.images.last())
         .collect();
@@ -140,10 +140,10 @@
     }
     let mut view = SummaryCache::default();
     assert!(view.apply(knotlanding::peer::decode(&bytes).unwrap()));
-    assert_eq!(view.hints.len(), MACHINES, "every machine is told");
-    assert_eq!(view.counts.len(), 20_000);
+    assert_eq!(view.machines.len(), MACHINES, "every machine is told");
+    assert_eq!(view.task_counts.len(), 20_000);
     assert!(view
-        .hints
+        .machines
         .values()
         .all(|hint| hint.address.starts_with("10.")));
 }
@@ -153,21 +153,23 @@
     let mut contents = knotlanding::state_summary::SummaryContents::default();
     for number in 0..200_000 {
         let id = JobId::parse(&format!("wk-{number:06}")).unwrap();
-        contents.over.push(id.clone());
+        contents.ended_jobs.push(id.clone());
         contents
-            .gone
+            .removed_machines
             .push(MachineId(format!("m-{number:06}").into()));
         let (done, running) = (u32::MAX, u32::MAX);
         contents
-            .counts
-            .push(knotlanding::state_summary::Counts { id, done, running });
+            .task_counts
+            .push(knotlanding::state_summary::TaskCounts { id, done, running });
     }
     for limit in [64 * 1024, SUMMARY_BYTES_MAX] {
         let mut contents = contents.clone();
         contents.shorten(limit);
         assert!(knotlanding::peer::encode(&contents).unwrap().len() <= limit);
         assert!(
-            !contents.counts.is_empty() && !contents.over.is_empty() && !contents.gone.is_empty()
+            !contents.task_counts.is_empty()
+                && !contents.ended_jobs.is_empty()
+                && !contents.removed_machines.is_empty()
         );
     }
 }
@@ -267,7 +269,7 @@
             .cluster
             .machine_gone(&MachineId(format!("m-z{number:06}").into()));
     }
-    const { assert!(GONE_MACHINES_KEPT > 2 * MACHINES) };
+    const { assert!(REMOVED_MACHINES_MAX > 2 * MACHINES) };
     scene.heartbeat("m-c000000n", &[]);
     assert!(!scene.cluster.machines.contains_key(&first));
 }
--- a/tests/meetings.rs
+++ b/tests/meetings.rs
@@ -111,15 +111,15 @@
     fn learn_of_the_cancellation(&self) {
         let id = JobId::parse("wk-000001").unwrap();
         let event = {
-            let live = self.shared.replica.lock().live[&id].record.clone();
+            let live = self.shared.replica.lock().descriptions[&id].record.clone();
             let record = JobRecord {
                 verdict: Verdict::Cancelled,
                 tasks: 1,
-                live: Some(live),
+                description: Some(live),
             };
             knotlanding::store::WatchEvent {
-                put: Some(keys::job(&id)),
-                delete: None,
+                put_key: Some(keys::job(&id)),
+                deleted_key: None,
                 value: Some(to_value(&record)),
                 version: 20,
             }
--- a/tests/reports.rs
+++ b/tests/reports.rs
@@ -191,7 +191,7 @@
     let told: Vec<String> = s
         .cluster
         .take_summary_changes()
-        .gone
+        .removed_machines
         .iter()
         .map(|m| m.to_string())
         .collect();
--- a/tests/take_over.rs
+++ b/tests/take_over.rs
@@ -162,7 +162,7 @@
     records.push(inventory(&["m-g1n"]));
     let mut s = Scene::with(records);
     let mut told = SummaryCache::default();
-    told.gone.push_back(MachineId("m-g9n".into()));
+    told.removed_machines.push_back(MachineId("m-g9n".into()));
     s.cluster.adopt_summary(&told);
     s.note("copies: of a roster machine without the task, of one gone, of one nobody knows");
     s.report_as("m-g1n", (1, 3, 0), &[], true);
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -14,7 +14,7 @@
 use knotlanding::config::Settings;
 use knotlanding::model::*;
 use knotlanding::policy::SchedulingPolicy;
-use knotlanding::store::keys::{self, DoneRecord};
+use knotlanding::store::keys::{self, CompletedTasksRecord};
 use knotlanding::store::{to_value, StoreError, TransactionOutcome};
 use knotlanding::wire::{ExitCause, TaskPhase};
 use scene::*;
@@ -448,10 +448,10 @@
 fn done_tasks_of_an_earlier_term_never_run_again() {
     let mut records = accepted(&array("wk-000001", 3), true);
     let id = JobId::parse("wk-000001").unwrap();
-    let bits = DoneRecord {
+    let bits = CompletedTasksRecord {
         bits: "5".to_owned(),
     };
-    records.push((keys::done(&id, 0), to_value(&bits)));
+    records.push((keys::completed_tasks(&id, 0), to_value(&bits)));
     let mut s = Scene::with(records);
     s.report_as("m-g1n", (1, 1, 1), &[], true);
     s.round();
