--- a/src/actors/election/campaign.rs
+++ b/src/actors/election/campaign.rs
@@ -74,7 +74,7 @@
             }
             Err(error) => {
                 debug!(%error, "lease not granted");
-                if error.store_unavailable() {
+                if error.shows_outage() {
                     self.shared.store_failed(StoreOperation::Lease, sent);
                 }
                 None
--- a/src/actors/election/renewal.rs
+++ b/src/actors/election/renewal.rs
@@ -110,7 +110,7 @@
         }
         Err(error) => {
             debug!(%error, "lease renewal failed");
-            if error.store_unavailable() {
+            if error.shows_outage() {
                 shared.store_failed(StoreOperation::Lease, sent);
             }
             shared.wake_ups.election.notify_one();
--- a/src/leader/election_state.rs
+++ b/src/leader/election_state.rs
@@ -1,4 +1,4 @@
-//! The state of the election as this process knows it.
+//! The election state of this process: its lease, its leadership, and the leaders it has observed.
 
 use std::time::{Duration, Instant};
 
@@ -11,14 +11,14 @@
     timeout_factor,
 };
 
-/// Subtracted from the own view of the lease: for drift of the clocks, and for the time between a
-/// look at the clock and the action that follows.
+/// Subtracted from the lease duration when this process checks its own lease. It covers clock drift and
+/// the time between a clock reading and the action that follows.
 pub(super) const LEADER_LEASE_MARGIN: Duration = Duration::from_millis(150);
-/// How long a controller that handed over does not campaign, so that the others go first. If none of
-/// them is able to lead, the cluster has no leader for that long.
+/// Time for which a controller that handed over does not campaign, so that the other controllers campaign
+/// first. If none of them can lead, the cluster has no leader for this time.
 const ELECTION_BACKOFF: Duration = Duration::from_secs(5);
 
-/// Everything that decides the role of this process.
+/// The state from which [`role`](Self::role) derives the role of this process.
 #[derive(Debug)]
 pub struct ElectionState {
     pub(super) member: String,
@@ -27,20 +27,21 @@
     pub(super) keep_alive_limit: Duration,
     pub(super) heartbeat_staleness_limit: Duration,
     freshness: ReplicaFreshness,
-    /// Since when the lease has been renewed without a gap.
+    /// When the first renewal after the lease last lapsed was sent. `None` until the first renewal of a
+    /// leadership.
     renewed_without_gap_since: Option<Instant>,
     /// The lease under which this process campaigns or leads.
     lease: Option<HeldLease>,
     leadership: Option<Leadership>,
-    /// The leader by the replica.
+    /// The leader's record in the replica.
     recorded_leader: Option<LeaderRecord>,
-    /// The leader of the highest term that announced itself to this process.
+    /// The leader with the highest term among those that announced themselves to this process.
     announced_leader: Option<LeaderHint>,
     backoff_until: Option<Instant>,
 }
 
 impl ElectionState {
-    /// A follower that knows of no leader.
+    /// Creates the state of a follower that has observed no leader.
     pub fn new(settings: &Settings) -> Self {
         Self {
             member: settings.member.clone(),
@@ -58,7 +59,7 @@
         }
     }
 
-    /// What this process may do now.
+    /// The role at `now`. It changes with time alone, so that callers must query it for each action.
     pub fn role(&self, now: Instant) -> Role {
         match (&self.leadership, &self.lease) {
             (Some(leadership), Some(lease)) => self.role_in_own_term(leadership, lease, now),
@@ -87,7 +88,7 @@
         Role::Follower(None)
     }
 
-    /// The leader of the highest term that this process knows of, unless that is itself.
+    /// The observed leader with the highest term; `None` if that leader is this process.
     fn leader_hint(&self) -> Option<LeaderHint> {
         let recorded = self.recorded_leader.as_ref().map(|record| LeaderHint {
             term: record.term,
@@ -98,7 +99,7 @@
         newest.filter(|leader| leader.member != self.member)
     }
 
-    /// The leadership, while it lasts.
+    /// The leadership, if the role at `now` is [`Role::Leader`].
     pub fn leadership(&self, now: Instant) -> Option<Leadership> {
         match self.role(now) {
             Role::Leader(leadership) => Some(leadership),
@@ -106,19 +107,19 @@
         }
     }
 
-    /// The leadership, if starts may be decided and sent under it.
+    /// The leadership, if the replica is also fresh enough to decide and send starts.
     pub fn leadership_for_starts(&self, now: Instant) -> Option<Leadership> {
         self.leadership(now)
             .filter(|_| self.replica_allows_starts(now))
     }
 
-    /// The staleness bound of the replica.
+    /// The staleness bound of the replica, for recording confirmations and failures.
     pub fn freshness(&mut self) -> &mut ReplicaFreshness {
         &mut self.freshness
     }
 
-    /// Whether a read is needed at once: the leadership lasts by its lease, and only the staleness of
-    /// the replica forbids starts.
+    /// Whether a read is needed at once: this process leads under an unexpired lease, and only the
+    /// staleness of the replica forbids starts.
     pub fn needs_confirming_read(&self, now: Instant) -> bool {
         self.leads_by_lease(now) && !self.replica_allows_starts(now)
     }
@@ -128,15 +129,15 @@
             .allows_starts(self.start_staleness_limit, now)
     }
 
-    /// Whether this process should hand over since renewals succeed and reads fail. That is the case
-    /// after half of the time for which a stale replica still allows heartbeats to be answered, so
-    /// that workers reach another controller before their leases expire.
+    /// Whether this process should hand over because renewals succeed while reads fail. This holds after
+    /// half of the time for which a stale replica still allows heartbeats to be answered, so that workers
+    /// reach another controller before their leases expire.
     pub fn replica_too_stale_to_lead(&self, now: Instant) -> bool {
         let limit = self.heartbeat_staleness_limit / 2;
-        let renewed_for_long = self
+        let renewed_beyond_limit = self
             .renewed_without_gap_since
             .is_some_and(|at| now.saturating_duration_since(at) > limit);
-        self.leads_by_lease(now) && renewed_for_long && !self.freshness.within(limit, now)
+        self.leads_by_lease(now) && renewed_beyond_limit && !self.freshness.within(limit, now)
     }
 
     fn leads_by_lease(&self, now: Instant) -> bool {
@@ -144,46 +145,47 @@
         self.leadership.is_some() && self.lease.is_some_and(|lease| lease.age(now) < limit)
     }
 
-    /// The term in which this process leads, whether its lease has expired or not.
+    /// The term of the leadership, even if its lease has expired. `None` if this process does not lead.
     pub fn own_term(&self) -> Option<Term> {
         self.leadership.as_ref().map(|leadership| leadership.term)
     }
 
-    /// The lease under which this process campaigns or leads.
+    /// The lease under which this process campaigns or leads; it may have expired.
     pub fn lease(&self) -> Option<HeldLease> {
         self.lease
     }
 
-    /// Whether that lease is held.
+    /// Whether this process campaigns or leads under the lease with this id.
     pub fn holds_lease(&self, id: u64) -> bool {
         self.lease.is_some_and(|lease| lease.id() == id)
     }
 
-    /// A lease was granted by a request that was sent at `sent`.
-    pub fn hold_lease(&mut self, id: u64, sent: Instant) {
-        self.lease = Some(HeldLease::new(id, sent));
+    /// Records a lease that was granted by a request sent at `sent_at`.
+    pub fn hold_lease(&mut self, id: u64, sent_at: Instant) {
+        self.lease = Some(HeldLease::new(id, sent_at));
     }
 
-    /// The lease was renewed by a request that was sent at `sent`.
-    pub fn lease_renewed(&mut self, id: u64, sent: Instant) {
+    /// Records that a renewal sent at `sent_at` succeeded. Renewals of any other lease are ignored.
+    pub fn lease_renewed(&mut self, id: u64, sent_at: Instant) {
         let Some(lease) = self.lease.as_mut().filter(|lease| lease.id() == id) else {
             return;
         };
-        let gap = lease.age(sent) >= self.leader_lease - LEADER_LEASE_MARGIN;
-        lease.renew(sent);
-        if gap || self.renewed_without_gap_since.is_none() {
-            self.renewed_without_gap_since = Some(sent);
+        let had_expired = lease.age(sent_at) >= self.leader_lease - LEADER_LEASE_MARGIN;
+        lease.renew(sent_at);
+        if had_expired || self.renewed_without_gap_since.is_none() {
+            self.renewed_without_gap_since = Some(sent_at);
         }
     }
 
-    /// Begins to lead, once the replica shows the own record and the cluster state is recovered.
+    /// Starts a leadership. The caller must have observed this process's leader record in the replica and
+    /// recovered the cluster state.
     pub fn become_leader(&mut self, leadership: Leadership) {
         self.leadership = Some(leadership);
         self.renewed_without_gap_since = None;
     }
 
-    /// Ends the leadership and gives up the lease, which the caller may revoke in the store. Without
-    /// its lease a leadership has no end by the clock, so that neither is ended alone from outside.
+    /// Ends the leadership and returns the lease, which the caller may revoke in the store. Both end
+    /// together, since a leadership without a lease would have no time at which it expires.
     pub fn step_down(&mut self) -> Option<HeldLease> {
         self.leadership = None;
         self.lease.take()
@@ -194,12 +196,13 @@
         self.backoff_until = Some(now + ELECTION_BACKOFF);
     }
 
-    /// Whether the election backoff lasts.
+    /// Whether this process must not campaign at `now`.
     pub fn in_backoff(&self, now: Instant) -> bool {
         self.backoff_until.is_some_and(|until| now < until)
     }
 
-    /// Takes the leader's record from the replica. Returns whether the own leadership was lost by it.
+    /// Applies the leader's record from the replica. A leadership that the record does not confirm ends;
+    /// returns whether one ended.
     pub fn observe_leader_record(&mut self, record: Option<&LeaderRecord>) -> bool {
         self.recorded_leader = record.cloned();
         let Some(leadership) = &self.leadership else {
@@ -213,7 +216,7 @@
         !confirmed
     }
 
-    /// Takes what a leader announces of itself.
+    /// Records a leader that announced itself, unless one with a higher term has done so.
     pub fn observe_leader(&mut self, term: Term, member: &str) {
         let newest = self.announced_leader.as_ref();
         if newest.is_none_or(|newest| term >= newest.term) {
@@ -222,7 +225,7 @@
         }
     }
 
-    /// Whether a leader's record is that of this process, under the lease that it holds.
+    /// Whether this process wrote a leader's record under its present lease.
     pub fn is_own_record(&self, record: &LeaderRecord) -> bool {
         record.member == self.member && self.holds_lease(record.lease)
     }
--- a/src/leader/freshness.rs
+++ b/src/leader/freshness.rs
@@ -2,40 +2,40 @@
 
 use std::time::{Duration, Instant};
 
-/// Up to when the replica is complete. This is the only owner of that fact: whatever was confirmed to
-/// anybody before the newest answered read was sent is in the replica, and in the cluster state
-/// derived from it.
+/// The time up to which the replica is known to be complete. No other state records this: the replica,
+/// and the cluster state derived from it, contain everything that any controller confirmed to a client
+/// before the newest answered read was sent.
 ///
-/// Renewals of the lease confirm nothing about the replica. A key-value store that refuses this
-/// process alone, and then everybody, gives every lease its full time again: an old leader then
-/// finds itself leading, with a replica as old as the refusal.
+/// Lease renewals do not confirm the replica. A key-value store that first refuses only this process and
+/// then all processes grants every lease its full duration again afterwards. A former leader then
+/// renews its lease successfully while its replica is as old as the first refusal.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ReplicaFreshness {
-    /// When the newest read was sent whose answer was applied completely.
+    /// When the newest read whose response was applied completely was sent.
     confirmed_at: Option<Instant>,
-    /// When a request last failed.
+    /// When the newest failure of a request was recorded.
     invalidated_at: Option<Instant>,
 }
 
 impl ReplicaFreshness {
-    /// A read sent at `sent` was answered, and its answer was applied completely.
-    pub fn confirm(&mut self, sent: Instant) {
-        self.confirmed_at = self.confirmed_at.max(Some(sent));
+    /// Records that the response to a read sent at `sent_at` was applied completely.
+    pub fn confirm(&mut self, sent_at: Instant) {
+        self.confirmed_at = self.confirmed_at.max(Some(sent_at));
     }
 
-    /// A request failed: contact with the store may have been lost before `now` already.
+    /// Records at `now` that a request failed. The connection to the store may have been lost earlier.
     pub fn invalidate(&mut self, now: Instant) {
         self.invalidated_at = self.invalidated_at.max(Some(now));
     }
 
-    /// Whether the replica is less than `limit` old.
+    /// Whether the replica was confirmed less than `limit` ago.
     pub fn within(&self, limit: Duration, now: Instant) -> bool {
         self.confirmed_at
             .is_some_and(|at| now.saturating_duration_since(at) < limit)
     }
 
-    /// Whether tasks may be started by the replica: it was confirmed after the last failure, and is
-    /// less than `limit` old.
+    /// Whether tasks may be started on the basis of the replica: it was confirmed after the newest
+    /// failure, and less than `limit` ago.
     pub fn allows_starts(&self, limit: Duration, now: Instant) -> bool {
         self.confirmed_at > self.invalidated_at && self.within(limit, now)
     }
--- a/src/leader/lease.rs
+++ b/src/leader/lease.rs
@@ -2,41 +2,41 @@
 
 use std::time::{Duration, Instant};
 
-/// A lease that this process holds.
+/// A lease that the key-value store granted to this process. It may have expired.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HeldLease {
     id: u64,
-    renewed_at: Instant,
+    renewal_sent_at: Instant,
 }
 
 impl HeldLease {
-    /// A lease granted by a request that was sent at `sent`.
-    pub(super) fn new(id: u64, sent: Instant) -> Self {
+    /// Creates a lease granted by a request that was sent at `sent_at`.
+    pub(super) fn new(id: u64, sent_at: Instant) -> Self {
         Self {
             id,
-            renewed_at: sent,
+            renewal_sent_at: sent_at,
         }
     }
 
-    /// Its id in the key-value store.
+    /// The id that the key-value store assigned.
     pub fn id(&self) -> u64 {
         self.id
     }
 
-    /// When the last successful renewal was sent. The lease counts from then, since the store may
-    /// have executed the renewal at any later moment.
+    /// When the newest successful renewal, or else the grant, was sent. The lease duration counts from
+    /// this time: the store may have executed the request at any later time, so it cannot expire earlier.
     pub fn renewal_sent_at(&self) -> Instant {
-        self.renewed_at
+        self.renewal_sent_at
     }
 
-    /// Time since it was last renewed.
+    /// Time since the newest successful renewal was sent.
     pub(super) fn age(&self, now: Instant) -> Duration {
-        now.saturating_duration_since(self.renewed_at)
+        now.saturating_duration_since(self.renewal_sent_at)
     }
 
-    /// A renewal sent at `sent` succeeded.
-    pub(super) fn renew(&mut self, sent: Instant) {
-        // Renewals may be answered out of order.
-        self.renewed_at = self.renewed_at.max(sent);
+    /// Records that a renewal sent at `sent_at` succeeded.
+    pub(super) fn renew(&mut self, sent_at: Instant) {
+        // Responses to renewals may arrive out of order.
+        self.renewal_sent_at = self.renewal_sent_at.max(sent_at);
     }
 }
--- a/src/leader/mod.rs
+++ b/src/leader/mod.rs
@@ -1,8 +1,8 @@
 //! Leader election: the role of this process, its lease, and the staleness of its replica.
 //!
-//! Everything here is pure state. The election actor feeds it the answers of the key-value store,
-//! the peers feed it what they know of the leader, and the handlers of requests query
-//! [`ElectionState::role`]. The states and their transitions are described in [`role`].
+//! This module holds state and performs no I/O. The election actor applies the key-value store's
+//! responses to it, the peer handlers apply leader announcements, and request handlers query
+//! [`ElectionState::role`]. [`role`] describes the states and their transitions.
 
 pub mod election_state;
 pub mod freshness;
--- a/src/leader/role.rs
+++ b/src/leader/role.rs
@@ -1,4 +1,4 @@
-//! What this process may do, and how that changes.
+//! The roles of this process in the election, and the transitions between them.
 //!
 //! ```text
 //!                no leader on record,           leader record committed,
@@ -16,8 +16,8 @@
 //!          stale, keep-alive limit reached                     +-------------------+
 //! ```
 //!
-//! A candidate is a follower that holds a lease and has no leadership yet, so that [`Role`] has no
-//! variant for it. Only [`ElectionState`](super::ElectionState) makes transitions:
+//! [`Role`] has no variant for a candidate: a candidate is a follower that holds a lease and has no
+//! leadership yet. Only [`ElectionState`](super::ElectionState) makes transitions:
 //!
 //! | transition | cause |
 //! | --- | --- |
@@ -27,38 +27,38 @@
 //! | keep-alive leader to leader | `lease_renewed` |
 //! | any to follower | `step_down`, `observe_leader_record`, `observe_leader`, time passes |
 //!
-//! What changes with time alone is derived from the clock on every call of
-//! [`ElectionState::role`](super::ElectionState::role): no timer has to fire for a role to end.
+//! [`ElectionState::role`](super::ElectionState::role) derives every change that comes with time alone
+//! from the clock on each call, so that no timer has to fire for a role to end.
 
 use crate::model::Term;
 
-/// What this process may do now.
+/// The actions that this process may take.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Role {
-    /// It may decide and send everything.
+    /// It may make all decisions and send all messages. Starts also need a fresh replica.
     Leader(Leadership),
-    /// It may only extend the workers' leases and stop tasks, but start none. Its lease has expired
-    /// by its own clock, and a newer leader waits for longer than this role lasts.
+    /// It may extend the workers' leases and stop tasks, but start none. Its lease has expired by its own
+    /// clock, and a newer leader waits for longer than this role lasts.
     KeepAlive(Term),
-    /// It may do nothing but redirect to that leader, if one is known.
+    /// It may only redirect requests to that leader. `None` if no leader is known.
     Follower(Option<LeaderHint>),
 }
 
-/// Another controller that leads, as far as this one knows.
+/// Another controller that, according to the newest information of this process, leads.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LeaderHint {
-    /// Its term.
+    /// The term in which it leads. Hints are ordered by the term first.
     pub term: Term,
-    /// Its name.
+    /// The controller's name, as in the settings.
     pub member: String,
 }
 
 /// A term in which this process leads.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Leadership {
-    /// The term.
+    /// The term that this process recorded in the store when it was elected.
     pub term: Term,
-    /// Version of the leader's key. Every write of the leader is conditional on it, so that no
-    /// write of an earlier leader succeeds after a failover.
+    /// Version of the leader's key. Every write of the leader is conditional on it, so that no write of
+    /// an earlier leader succeeds after a failover.
     pub version: u64,
 }
--- a/src/leader/tests.rs
+++ b/src/leader/tests.rs
@@ -27,25 +27,29 @@
     election
 }
 
-/// Seen as a start of a job that had been cancelled a minute before: after an outage every
-/// lease has its full time again, and the first renewal let an old leader lead again.
+/// After an outage of the store every lease has its full duration again. When the first renewal alone
+/// restored a former leader's role, the leader started a job that had been cancelled a minute before.
 #[test]
-fn a_renewal_confirms_nothing_about_the_replica() {
+fn lease_renewal_does_not_confirm_the_replica() {
     let start = Instant::now();
     let mut election = election(start);
-    let back = start + Duration::from_secs(60);
-    assert_eq!(election.role(back), Role::Follower(None));
-    election.lease_renewed(7, back);
-    assert_eq!(election.role(back), Role::Follower(None), "not even 200s");
-    assert!(election.needs_confirming_read(back));
-    election.freshness().confirm(back);
-    assert!(election.leadership_for_starts(back).is_some());
+    let outage_end = start + Duration::from_secs(60);
+    assert_eq!(election.role(outage_end), Role::Follower(None));
+    election.lease_renewed(7, outage_end);
+    assert_eq!(
+        election.role(outage_end),
+        Role::Follower(None),
+        "heartbeats must not be answered either"
+    );
+    assert!(election.needs_confirming_read(outage_end));
+    election.freshness().confirm(outage_end);
+    assert!(election.leadership_for_starts(outage_end).is_some());
 }
 
-/// Refused alone for two seconds: the lease still lasts, and others may have confirmed
-/// cancellations meanwhile.
+/// While the store refuses only this process for two seconds, its lease does not expire, and other
+/// controllers may confirm cancellations.
 #[test]
-fn no_start_is_sent_between_a_failure_and_the_next_read() {
+fn starts_are_forbidden_between_a_failed_request_and_the_next_read() {
     let start = Instant::now();
     let mut election = election(start);
     let at = |ms: u64| start + Duration::from_millis(ms);
@@ -54,7 +58,7 @@
     election.freshness().confirm(at(400));
     assert!(
         election.leadership(at(600)).is_some(),
-        "answers and stops go on"
+        "heartbeats are still answered and tasks stopped"
     );
     assert!(election.leadership_for_starts(at(600)).is_none());
     assert!(election.needs_confirming_read(at(600)));
@@ -63,13 +67,13 @@
     assert!(!election.needs_confirming_read(at(800)));
 }
 
-/// Renewals that succeed while reads don't: no start after a while, no 200 after the
-/// replica's time, and the leadership is handed over before that.
+/// Renewals succeed while reads fail: starts end at the staleness limit for starts and responses to
+/// heartbeats at the one for heartbeats, and the leader hands over before the latter.
 #[test]
-fn a_leader_whose_reads_fail_answers_for_a_bounded_time_and_hands_over_before() {
+fn leader_with_failing_reads_hands_over_before_it_stops_answering_heartbeats() {
     let start = Instant::now();
     let mut election = election(start);
-    let mut handed_over = None;
+    let mut handover_age = None;
     for ms in (0..60_000).step_by(500) {
         let now = start + Duration::from_millis(ms);
         election.lease_renewed(7, now);
@@ -78,28 +82,28 @@
             election.leadership_for_starts(now).is_some(),
             age < election.start_staleness_limit
         );
-        let answers = matches!(election.role(now), Role::Leader(_));
-        assert_eq!(answers, age < election.heartbeat_staleness_limit, "{age:?}");
-        if handed_over.is_none() && election.replica_too_stale_to_lead(now) {
-            handed_over = Some(age);
+        let leads = matches!(election.role(now), Role::Leader(_));
+        assert_eq!(leads, age < election.heartbeat_staleness_limit, "{age:?}");
+        if handover_age.is_none() && election.replica_too_stale_to_lead(now) {
+            handover_age = Some(age);
         }
     }
-    assert!(handed_over.is_some_and(|age| age < election.heartbeat_staleness_limit));
+    assert!(handover_age.is_some_and(|age| age < election.heartbeat_staleness_limit));
 }
 
 #[test]
-fn a_leadership_ends_before_its_lease_and_is_followed_by_keep_alive_for_a_while() {
+fn leadership_ends_before_the_lease_expires_and_keep_alive_follows_until_its_limit() {
     let now = Instant::now();
     let election = election(now);
     assert!(matches!(election.role(now), Role::Leader(_)));
-    let almost = now + LEADER_LEASE_MIN - LEADER_LEASE_MARGIN;
-    assert_eq!(election.role(almost), Role::KeepAlive(Term(4)));
-    let late = now + LEADER_LEASE_MIN + Duration::from_secs(10);
-    assert_eq!(election.role(late), Role::Follower(None));
+    let leadership_end = now + LEADER_LEASE_MIN - LEADER_LEASE_MARGIN;
+    assert_eq!(election.role(leadership_end), Role::KeepAlive(Term(4)));
+    let keep_alive_end = now + LEADER_LEASE_MIN + Duration::from_secs(10);
+    assert_eq!(election.role(keep_alive_end), Role::Follower(None));
 }
 
 #[test]
-fn a_newer_leader_that_announces_itself_ends_a_leadership_that_is_cut_off_from_the_store() {
+fn announcement_of_a_newer_leader_ends_the_leadership_without_the_store() {
     let now = Instant::now();
     let mut election = election(now);
     election.observe_leader(Term(3), "knot-1");
@@ -113,7 +117,7 @@
 }
 
 #[test]
-fn a_record_of_another_lease_is_not_our_own_even_under_our_name() {
+fn leader_record_with_the_own_name_and_another_lease_is_not_the_own_record() {
     let now = Instant::now();
     let mut election = election(now);
     let record = LeaderRecord {
@@ -125,15 +129,16 @@
     assert!(!election.is_own_record(&record));
     assert!(
         election.observe_leader_record(Some(&record)),
-        "the old leadership is lost"
+        "a record of another term ends the leadership"
     );
     assert_eq!(election.role(now), Role::Follower(None));
 }
 
-/// Seen on a lean site: three leaders within twelve seconds of a quiet day, each lost to the burst
-/// of workers that came to it.
+/// On a site of small machines, three leaders in succession lost their leases within twelve seconds
+/// under little load, each during the burst of workers that connected to it. Such a burst delays the
+/// responses to renewals.
 #[test]
-fn late_renewals_count_from_when_they_were_sent() {
+fn renewals_answered_out_of_order_count_from_when_the_newest_was_sent() {
     let start = Instant::now();
     let mut election = election(start);
     let at = |ms: u64| start + Duration::from_millis(ms);
@@ -141,8 +146,11 @@
     election.lease_renewed(7, at(700));
     assert!(
         election.leadership(at(4200)).is_some(),
-        "the later one counts"
+        "the renewal sent last counts"
     );
     election.lease_renewed(8, at(4000));
-    assert!(election.leadership(at(4300)).is_none(), "another lease's");
+    assert!(
+        election.leadership(at(4300)).is_none(),
+        "a renewal of another lease is ignored"
+    );
 }
--- a/src/state_summary.rs
+++ b/src/state_summary.rs
@@ -1,6 +1,7 @@
-//! The state summary that a leader publishes to the other nodes, and the cache in which they keep it.
+//! The state summary that a leader publishes to the other controllers, and the cache in which these keep it.
 //!
-//! [`recipient`] is the leader's side: which peer needs the full state. [`cache`] is the follower's.
+//! [`recipient`] is the leader's side and tracks which peer needs the full state. [`cache`] is the
+//! follower's side.
 
 pub mod cache;
 pub mod recipient;
@@ -11,145 +12,144 @@
 pub use self::recipient::SummaryRecipient;
 use crate::model::{JobId, MachineId, Term};
 
-/// Largest summary accepted. Senders leave out what does not fit, see [`SummaryContents::shorten`]; the
-/// limit is the same in all versions since 0.3.0.
+/// Largest encoded summary that a controller accepts, the same in all versions since 0.3.0. The sender
+/// shortens larger ones, see [`SummaryContents::shorten`].
 pub const SUMMARY_BYTES_MAX: usize = 2 * 1024 * 1024;
-/// Bytes reserved for the head of a summary.
-const HEAD_BYTES: usize = 1024;
-/// Most bytes that `bincode` takes for a number or the length of a text.
-const NUMBER_BYTES: usize = 9;
-/// Longest text whose length `bincode` puts into one byte.
-const SHORT_TEXT: usize = 250;
-/// Part of a summary's limit for jobs; the rest is for machines.
-const JOBS_PART: f64 = 0.4;
+/// Bytes reserved for the fields of a summary other than its contents.
+const HEADER_BYTES: usize = 1024;
+/// Largest number of bytes in which `bincode` encodes a number or the length of a string.
+const NUMBER_BYTES_MAX: usize = 9;
+/// Length in bytes of the longest string whose length `bincode` encodes in one byte.
+const SHORT_STRING_BYTES_MAX: usize = 250;
+/// Share of a summary's limit that jobs may use; machines may use the rest.
+const JOBS_SHARE: f64 = 0.4;
 
-/// What a leader publishes to the others once a second. It serves display and hints only; no decision
-/// that must be correct depends on it.
+/// The message that a leader publishes to the other controllers once a second. It only serves display and
+/// hints; no decision that must be correct depends on it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct StateSummary {
-    /// The leader's term.
+    /// The leader's term. A summary of an older term is rejected.
     pub term: Term,
-    /// The leader's name.
+    /// The leader's name, as in the settings.
     pub member: String,
-    /// The number of the summary within the term.
+    /// Number of the summary within the term. Consecutive summaries have consecutive numbers.
     pub number: u64,
-    /// Whether it holds the full state, not only the changes since the summary before.
+    /// Whether the contents are the full state instead of the changes since the previous summary.
     pub full: bool,
-    /// The state or the changes.
+    /// The full state, or the changes.
     pub contents: SummaryContents,
 }
 
-/// The contents of a summary.
+/// The contents of a summary: the full state, or the changes since the previous summary.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct SummaryContents {
-    /// Unfinished jobs.
+    /// Task counts of jobs that have not ended.
     pub task_counts: Vec<TaskCounts>,
     /// Jobs that finished or were cancelled.
     pub ended_jobs: Vec<JobId>,
-    /// Machines, for the next leader.
+    /// Machines that have sent a heartbeat, as hints for the next leader.
     pub machines: Vec<(MachineId, MachineSummary)>,
     /// Machines that were released or terminated.
     pub removed_machines: Vec<MachineId>,
 }
 
 impl SummaryContents {
-    /// Leaves out what would make a summary larger than peers accept: counts of jobs first, which are
-    /// only displayed, then images of machines, the least recently used first. Otherwise a peer would
-    /// reject every summary of a large fleet.
+    /// Removes entries so that the encoded summary has at most `limit` bytes; otherwise a peer would reject
+    /// every summary of a large fleet. Jobs, which are only displayed, are limited to their share and removed
+    /// machines to a quarter of the rest. Of the other machines, the least recently used images are removed
+    /// first.
     pub fn shorten(&mut self, limit: usize) {
-        let limit = limit.saturating_sub(HEAD_BYTES);
-        let jobs_limit = (limit as f64 * JOBS_PART) as usize;
-        let over = truncate_to(&mut self.ended_jobs, jobs_limit / 2, |id| {
-            text_bytes(id.as_str())
+        let limit = limit.saturating_sub(HEADER_BYTES);
+        let jobs_limit = (limit as f64 * JOBS_SHARE) as usize;
+        let ended_bytes = truncate(&mut self.ended_jobs, jobs_limit / 2, |id| size(id.as_str()));
+        let counts_bytes = truncate(&mut self.task_counts, jobs_limit - ended_bytes, |count| {
+            size(count.id.as_str()) + 2 * NUMBER_BYTES_MAX
         });
-        let counts = truncate_to(&mut self.task_counts, jobs_limit - over, |count| {
-            text_bytes(count.id.as_str()) + 2 * NUMBER_BYTES
+        let all_machines_limit = limit - ended_bytes - counts_bytes;
+        let removed_limit = all_machines_limit / 4;
+        let removed_bytes = truncate(&mut self.removed_machines, removed_limit, |id| size(&id.0));
+        let machines_limit = all_machines_limit - removed_bytes;
+        let bytes_without_images = truncate(&mut self.machines, machines_limit, |(id, machine)| {
+            size(&id.0) + machine.bytes_without_images()
         });
-        let machines_limit = limit - over - counts;
-        let gone_limit = machines_limit / 4;
-        let gone = truncate_to(&mut self.removed_machines, gone_limit, |id| {
-            text_bytes(&id.0)
-        });
-        let hints_limit = machines_limit - gone;
-        let bare = truncate_to(&mut self.machines, hints_limit, |(id, hint)| {
-            text_bytes(&id.0) + hint.bytes_without_images()
-        });
-        let each = (hints_limit - bare) / self.machines.len().max(1);
-        for (_, hint) in &mut self.machines {
-            hint.keep_latest_images(each);
+        let images_limit = (machines_limit - bytes_without_images) / self.machines.len().max(1);
+        for (_, machine) in &mut self.machines {
+            machine.keep_latest_images(images_limit);
         }
     }
 }
 
-/// Most bytes that `bincode` takes for a text.
-fn text_bytes(text: &str) -> usize {
-    let length = if text.len() <= SHORT_TEXT {
+/// Largest number of bytes that a string takes when `bincode` encodes it.
+fn size(string: &str) -> usize {
+    let length_bytes = if string.len() <= SHORT_STRING_BYTES_MAX {
         1
     } else {
-        NUMBER_BYTES
+        NUMBER_BYTES_MAX
     };
-    length + text.len()
+    length_bytes + string.len()
 }
 
-/// Keeps as many items from the front as fit `limit` bytes; the bytes of those kept.
-fn truncate_to<T>(items: &mut Vec<T>, limit: usize, bytes: impl Fn(&T) -> usize) -> usize {
+/// Keeps as many items from the front as fit into `limit` bytes, and returns the bytes of these items.
+fn truncate<T>(items: &mut Vec<T>, limit: usize, bytes: impl Fn(&T) -> usize) -> usize {
     let mut kept_bytes = 0;
     let mut kept = 0;
     for item in items.iter() {
-        let next = kept_bytes + bytes(item);
-        if next > limit {
+        let next_bytes = kept_bytes + bytes(item);
+        if next_bytes > limit {
             break;
         }
-        kept_bytes = next;
+        kept_bytes = next_bytes;
         kept += 1;
     }
     items.truncate(kept);
     kept_bytes
 }
 
-/// Completed and running tasks of a job.
+/// Numbers of completed and running tasks of a job.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TaskCounts {
-    /// The job.
+    /// The job that the tasks belong to.
     pub id: JobId,
-    /// Completed.
+    /// Number of completed tasks.
     pub done: u32,
-    /// Running.
+    /// Number of running tasks.
     pub running: u32,
 }
 
-/// What a new leader can't learn from heartbeats, or can use before the first one.
+/// Information on a machine that a new leader cannot derive from heartbeats, or can use before the first
+/// heartbeat.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct MachineSummary {
-    /// The address that takes direct commands.
+    /// The address at which the machine's agent accepts direct commands.
     pub address: String,
-    /// Its agent epoch.
+    /// The epoch of the machine's agent.
     pub epoch: u64,
-    /// Images it has with their sizes in GB, most recently used last.
+    /// Images on the machine with their sizes in GB, the most recently used last.
     pub images: Vec<(String, f32)>,
 }
 
 impl MachineSummary {
     fn bytes_without_images(&self) -> usize {
-        text_bytes(&self.address) + 2 * NUMBER_BYTES
+        size(&self.address) + 2 * NUMBER_BYTES_MAX
     }
 
-    /// Keeps the most recently used images, as many as fit `limit` bytes.
+    /// Keeps as many of the most recently used images as fit into `limit` bytes.
     fn keep_latest_images(&mut self, limit: usize) {
-        let mut sum = 0;
+        let mut bytes = 0;
         let fitting = self.images.iter().rev().take_while(|(name, _)| {
-            sum += text_bytes(name) + std::mem::size_of::<f32>();
-            sum <= limit
+            bytes += size(name) + std::mem::size_of::<f32>();
+            bytes <= limit
         });
         let count = fitting.count();
         self.images.drain(..self.images.len() - count);
     }
 }
 
-/// A node's response to a summary. Nodes of 0.2.0 answer without a body.
+/// A controller's response to a summary. Controllers of version 0.2.0 respond without a body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SummaryReply {
-    /// Misdirected heartbeats: those that this node neither decided nor forwarded since it started.
+    /// Misdirected heartbeats since this controller started: those that it answered with a status other
+    /// than 200.
     pub misdirected: u64,
 }
 
--- a/src/state_summary/cache.rs
+++ b/src/state_summary/cache.rs
@@ -5,8 +5,9 @@
 use super::{MachineSummary, StateSummary};
 use crate::model::{JobId, MachineId, Term};
 
-/// Released machines that are remembered: late copies of their heartbeats arrive within minutes, in
-/// which a fleet of 4,000 may have been replaced more than once. Each takes some 60 bytes.
+/// Largest number of removed machines kept, so that delayed copies of their heartbeats do not add them
+/// again. Such copies arrive within minutes, in which a fleet of 4,000 machines may be replaced more than
+/// once. Each entry takes about 60 bytes.
 pub const REMOVED_MACHINES_MAX: usize = 12_288;
 
 /// A follower's cache of the leader's state summary.
@@ -14,19 +15,20 @@
 pub struct SummaryCache {
     term: Term,
     number: u64,
-    /// Completed and running tasks of unfinished jobs.
+    /// Numbers of completed and of running tasks of jobs that have not ended.
     pub task_counts: HashMap<JobId, (u32, u32)>,
-    /// Machines.
+    /// Hints on the machines, for use if this controller becomes leader.
     pub machines: HashMap<MachineId, MachineSummary>,
-    /// Machines that were released or terminated, newest last.
+    /// At most [`REMOVED_MACHINES_MAX`] machines that were released or terminated, the newest last.
     pub removed_machines: VecDeque<MachineId>,
 }
 
 impl SummaryCache {
-    /// Applies a summary; whether that was possible. Changes apply only on top of the summary before.
+    /// Applies a summary unless it is of an older term, or holds changes and does not directly follow the
+    /// last applied summary. Returns whether it was applied.
     pub fn apply(&mut self, summary: StateSummary) -> bool {
-        let follows = summary.term == self.term && summary.number == self.number + 1;
-        if summary.term < self.term || !(summary.full || follows) {
+        let follows_last = summary.term == self.term && summary.number == self.number + 1;
+        if summary.term < self.term || !(summary.full || follows_last) {
             return false;
         }
         if summary.full {
--- a/src/state_summary/tests.rs
+++ b/src/state_summary/tests.rs
@@ -23,9 +23,9 @@
     }
 }
 
-/// A lost summary, or one of an older leader, must not leave a mixture of states.
+/// After a lost summary, or one of an older leader, the cache must not mix entries of different states.
 #[test]
-fn a_summary_of_changes_is_applied_only_on_top_of_the_one_before() {
+fn changes_are_applied_only_directly_after_the_previous_summary() {
     let summary = |term, number, full, contents| StateSummary {
         term: Term(term),
         member: "knot-1".to_owned(),
@@ -37,30 +37,33 @@
     let mut cache = SummaryCache::default();
     assert!(
         !cache.apply(summary(3, 7, false, contents(1))),
-        "no base yet"
+        "changes before any full summary are rejected"
     );
     assert!(cache.apply(summary(3, 8, true, contents(1))));
     assert!(cache.apply(summary(3, 9, false, contents(2))));
     assert_eq!(cache.task_counts[&id], (2, 5));
     assert!(
         !cache.apply(summary(3, 11, false, contents(4))),
-        "one is missing"
+        "changes after a missing summary are rejected"
     );
     assert!(
         !cache.apply(summary(2, 10, true, contents(4))),
-        "an older leader's"
+        "a summary of an older term is rejected"
     );
     let mut last = SummaryContents::default();
     last.ended_jobs.push(id.clone());
     last.removed_machines.push(MachineId("m-1".into()));
     assert!(cache.apply(summary(3, 10, false, last)));
     assert!(cache.task_counts.is_empty() && cache.machines.is_empty());
-    assert!(cache.apply(summary(4, 1, true, contents(1))), "a new term");
+    assert!(
+        cache.apply(summary(4, 1, true, contents(1))),
+        "a full summary of a new term is applied"
+    );
     assert_eq!(cache.task_counts[&id], (1, 5));
 }
 
 #[test]
-fn a_summary_arrives_as_it_was_sent_and_malformed_bytes_do_not() {
+fn summary_is_decoded_as_encoded_and_malformed_bytes_are_rejected() {
     let summary = StateSummary {
         term: Term(3),
         member: "knot-1".to_owned(),
--- a/src/store/actor.rs
+++ b/src/store/actor.rs
@@ -1,5 +1,5 @@
-//! The actor that owns all traffic with the key-value store. Its messages are the interface of the
-//! rest of the process; the work is done by the watch and by the sender of transactions.
+//! The actor through which the process commits transactions and queries verdicts in the key-value store.
+//! The watch and the sender of transactions, which it spawns, do the work.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -18,7 +18,8 @@
 use crate::config::Settings;
 use crate::model::JobId;
 
-/// Commits a transaction, with its priority in the queue.
+/// Queues a transaction with a priority, and resolves to its outcome. A transaction that is not accepted
+/// into the queue fails with [`StoreError::RATE_LIMITED`].
 #[derive(Message)]
 #[rtype(result = "TransactionOutcome")]
 pub struct Commit(pub Transaction, pub WritePriority);
@@ -31,16 +32,17 @@
 /// The verdict on a job; `None` if there is no such job.
 pub type VerdictResult = Result<Option<JobVerdict>, StoreError>;
 
-/// Switches between the leader's share of the rate limits and a follower's.
+/// Switches to the leader's share of the rate limits, or with `false` to a follower's.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct SetLeading(pub bool);
 
-/// The actor.
+/// The actor; see the module. All its tasks run on the actor's thread.
 pub struct StoreActor(Rc<StoreContext>);
 
 impl StoreActor {
-    /// An actor that uses `client`, keeps `replica` up to date and notifies `observer`.
+    /// Creates an actor that sends requests with `client`, keeps `replica` up to date and notifies
+    /// `observer`.
     pub fn new(
         settings: &Settings,
         client: StoreClient,
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -1,4 +1,4 @@
-//! A client of the key-value store over pooled connections. It stays on one thread.
+//! A client of the key-value store over pooled HTTP connections, for use on one thread.
 
 use std::time::Duration;
 
@@ -16,26 +16,26 @@
 use crate::timing::timeout_factor;
 use crate::wire;
 
-/// Without a response by then the outcome is unknown. The store responds within a few hundred
-/// milliseconds, and the response to a user counts as late after a second.
+/// Time without a response after which the outcome of a request is unknown. The store responds within a
+/// few hundred milliseconds, and a response to a user counts as late after a second.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Share of the memory that the body of one response may take. Decoded it takes several times as
-/// much, and the store does not limit the size of a watch's response.
+/// Share of the process's memory that the body of one response may occupy. The decoded response occupies
+/// several times as much, and the store does not limit the size of a response to a watch.
 const RESPONSE_MEMORY_SHARE: f64 = 0.05;
-/// Smallest limit on a response: a page of keys may have 512 KiB in the form by which the store
-/// measures it.
+/// Smallest limit on the body of a response: a page of keys may have 512 KiB in the encoding by which the
+/// store measures it.
 const RESPONSE_BYTES_MIN: usize = 1024 * 1024;
-/// Keys per page, so that no page is refused for its size.
+/// Largest number of keys per page. It is low enough that the store refuses no page for its size.
 const KEYS_PER_PAGE: usize = 500;
 
-/// Largest response that a process with so much memory accepts. A watch with a larger one counts as
-/// compacted, and all keys are read again page by page.
+/// Largest response body, in bytes, that a process with `mem_mb` MiB of memory accepts. A larger response
+/// to a watch is treated as compacted history, so that all keys are read again page by page.
 pub fn response_bytes_max(mem_mb: f64) -> usize {
     let part = mem_mb * 1024.0 * 1024.0 * RESPONSE_MEMORY_SHARE;
     (part as usize).max(RESPONSE_BYTES_MIN)
 }
 
-/// A client of the key-value store.
+/// A client of the key-value store. Clones share the connections.
 #[derive(Clone)]
 pub struct StoreClient {
     remote: Remote,
@@ -71,12 +71,12 @@
 }
 
 impl StoreClient {
-    /// A client of the store in the settings. Its limits follow from the memory of the process and
-    /// its share of a processor.
+    /// Creates a client of the store that the settings name. The limit on responses follows from the
+    /// memory of the process, and the response timeout from its share of a processor.
     pub fn new(settings: &Settings, http: Client) -> Self {
-        let largest = response_bytes_max(settings.params.resources.mem_mb);
+        let body_bytes_max = response_bytes_max(settings.params.resources.mem_mb);
         Self {
-            remote: Remote::new(settings.external.state, http, largest),
+            remote: Remote::new(settings.external.state, http, body_bytes_max),
             response_timeout: RESPONSE_TIMEOUT.mul_f64(timeout_factor(settings)),
         }
     }
@@ -94,8 +94,8 @@
             body,
             limit,
         };
-        let sent = self.remote.send(request).await;
-        sent.map_err(|failure| match failure {
+        let response = self.remote.send(request).await;
+        response.map_err(|failure| match failure {
             RequestFailure::NoAnswer => StoreError::OutcomeUnknown,
             RequestFailure::AnswerTooLarge => StoreError::ResponseTooLarge,
         })
@@ -105,15 +105,15 @@
         wire::decode(body).map_err(|error| StoreError::MalformedResponse(error.to_string()))
     }
 
-    /// Decodes the body of a successful response; any other status is an error.
+    /// Decodes the body of a response with status 200; any other status is an error.
     fn decode_ok<T: DeserializeOwned>((status, body): (u16, Vec<u8>)) -> Result<T, StoreError> {
         match status {
             200 => Self::decode(&body),
-            _ => Err(Self::error_of(status, &body)),
+            _ => Err(Self::status_error(status, &body)),
         }
     }
 
-    fn error_of(status: u16, body: &[u8]) -> StoreError {
+    fn status_error(status: u16, body: &[u8]) -> StoreError {
         match status {
             STATUS_RATE_LIMITED | 503 => StoreError::Refused(status),
             404 => StoreError::LeaseExpired,
@@ -121,38 +121,38 @@
             _ => StoreError::MalformedResponse(format!(
                 "status {status}: {}",
                 wire::decode::<super::Value>(body)
-                    .map(|v| format!("{v:?}"))
+                    .map(|value| format!("{value:?}"))
                     .unwrap_or_default()
             )),
         }
     }
 
-    /// Executes one compare-and-swap transaction.
+    /// Executes a compare-and-swap transaction. It is not retried.
     pub async fn transact(&self, transaction: &Transaction) -> TransactionOutcome {
         let body = wire::encode(&TransactionRequest {
             conditions: &transaction.conditions,
             changes: &transaction.changes,
         });
-        let sent = self.call(Method::POST, "/multi", Some(body), self.response_timeout);
-        match sent.await {
+        let response = self.call(Method::POST, "/multi", Some(body), self.response_timeout);
+        match response.await {
             Err(error) => TransactionOutcome::Failed(error),
             Ok((200, body)) => match Self::decode::<TransactionResponse>(&body) {
-                Ok(read) => TransactionOutcome::Committed(read.revision),
-                // It was committed, but at a revision that can not be decoded.
+                Ok(response) => TransactionOutcome::Committed(response.revision),
+                // The store committed it, but the revision cannot be decoded.
                 Err(_) => TransactionOutcome::Failed(StoreError::OutcomeUnknown),
             },
             Ok((409, body)) => match Self::decode::<TransactionResponse>(&body) {
-                Ok(read) => TransactionOutcome::Conflict {
-                    failed: read.failed,
-                    revision: read.revision,
+                Ok(response) => TransactionOutcome::Conflict {
+                    failed: response.failed,
+                    revision: response.revision,
                 },
                 Err(error) => TransactionOutcome::Failed(error),
             },
-            Ok((status, body)) => TransactionOutcome::Failed(Self::error_of(status, &body)),
+            Ok((status, body)) => TransactionOutcome::Failed(Self::status_error(status, &body)),
         }
     }
 
-    /// Reads a key, if it exists.
+    /// Reads a key; `None` if it does not exist.
     pub async fn get(&self, key: &str) -> Result<Option<super::KeyValue>, StoreError> {
         let path = format!("/keys/{key}");
         match self
@@ -161,11 +161,11 @@
         {
             (200, body) => Self::decode(&body).map(Some),
             (404, _) => Ok(None),
-            (status, body) => Err(Self::error_of(status, &body)),
+            (status, body) => Err(Self::status_error(status, &body)),
         }
     }
 
-    /// Reads one page of the keys below a prefix, beginning after the key `after`.
+    /// Reads one page of the keys with a prefix: the first page, or the one after the key `after`.
     pub async fn read_page(
         &self,
         prefix: &str,
@@ -180,8 +180,8 @@
         Self::decode_ok(response.await?)
     }
 
-    /// Watches the keys below a prefix: resolves once there are changes after a revision, or after
-    /// `timeout`. No response within `limit` is an unknown outcome.
+    /// Watches the keys with a prefix: the store responds once there are changes after the revision
+    /// `after`, or after `timeout`. Without a response within `limit` the outcome is unknown.
     pub async fn watch(
         &self,
         prefix: &str,
@@ -194,33 +194,34 @@
             timeout.as_millis()
         );
         let response = match self.call(Method::GET, &path, None, limit).await {
-            // Reading all keys page by page stays within the limit on a response.
+            // Each page of a complete read is within the limit on a response.
             Err(StoreError::ResponseTooLarge) => return Err(StoreError::HistoryCompacted),
-            answered => answered?,
+            response => response?,
         };
         Self::decode_ok(response)
     }
 
-    /// Grants a new lease.
+    /// Requests a new lease of duration `ttl`, and returns its id.
     pub async fn grant(&self, ttl: Duration) -> Result<u64, StoreError> {
         let body = wire::encode(&LeaseRequest {
             ttl_ms: ttl.as_millis() as u64,
         });
-        let sent = self.call(Method::POST, "/leases", Some(body), self.response_timeout);
-        let response: LeaseResponse = Self::decode_ok(sent.await?)?;
+        let granted = self.call(Method::POST, "/leases", Some(body), self.response_timeout);
+        let response: LeaseResponse = Self::decode_ok(granted.await?)?;
         Ok(response.lease)
     }
 
-    /// Renews a lease.
+    /// Renews a lease for its full duration. Without a response within `limit` the outcome is unknown.
     pub async fn renew(&self, lease: u64, limit: Duration) -> Result<(), StoreError> {
         let path = format!("/leases/{lease}/renew");
         match self.call(Method::POST, &path, None, limit).await? {
             (200, _) => Ok(()),
-            (status, body) => Err(Self::error_of(status, &body)),
+            (status, body) => Err(Self::status_error(status, &body)),
         }
     }
 
-    /// Revokes a lease; the store deletes the keys that depend on it.
+    /// Revokes a lease, with which the store deletes the attached keys. A lease that has ended already
+    /// counts as revoked.
     pub async fn revoke(&self, lease: u64) -> Result<(), StoreError> {
         let path = format!("/leases/{lease}");
         match self
@@ -228,7 +229,7 @@
             .await?
         {
             (200 | 204 | 404, _) => Ok(()),
-            (status, body) => Err(Self::error_of(status, &body)),
+            (status, body) => Err(Self::status_error(status, &body)),
         }
     }
 }
--- a/src/store/commit_queue.rs
+++ b/src/store/commit_queue.rs
@@ -7,10 +7,10 @@
 use super::{Change, Transaction, TransactionOutcome, WritePriority};
 use crate::config::StateSettings;
 
-/// Conditions allowed in a transaction for every change allowed.
+/// Number of conditions that a transaction may have for each change that it may have.
 pub(super) const CONDITIONS_PER_CHANGE: usize = 4;
-/// Largest estimated size of a batch. It stays below the store's limit on a transaction, since the
-/// store measures sizes in another encoding than the one sent.
+/// Largest estimated size of a batch. It is below the store's limit on a transaction, because the store
+/// measures sizes in an encoding other than the one that is sent.
 const BATCH_BYTES_MAX: usize = 48 * 1024;
 /// Estimated bytes of a condition besides its key.
 const CONDITION_OVERHEAD_BYTES: usize = 32;
@@ -25,7 +25,7 @@
 }
 
 impl QueuedCommit {
-    /// A transaction to be queued, and where its outcome arrives.
+    /// Creates an entry of the queue, and the receiver of the transaction's outcome.
     pub(super) fn new(transaction: Transaction) -> (Self, oneshot::Receiver<TransactionOutcome>) {
         let (reply, outcome) = oneshot::channel();
         let commit = Self {
@@ -36,26 +36,26 @@
         (commit, outcome)
     }
 
-    /// Sends the outcome to whoever waits for it.
+    /// Sends the outcome to the caller that waits for it.
     pub(super) fn complete(self, outcome: TransactionOutcome) {
-        // The receiver may be dropped by now; what was committed stays committed.
+        // The caller may have dropped the receiver; the transaction is committed all the same.
         let _ = self.reply.send(outcome);
     }
 }
 
-/// Transactions that wait, by priority.
+/// The queued transactions, by priority.
 #[derive(Default)]
 pub(super) struct CommitQueue {
     commits: BTreeMap<WritePriority, VecDeque<QueuedCommit>>,
 }
 
 impl CommitQueue {
-    /// Number of transactions queued.
+    /// Number of queued transactions.
     pub(super) fn len(&self) -> usize {
         self.commits.values().map(VecDeque::len).sum()
     }
 
-    /// Number of changes queued at this priority or a higher one.
+    /// Number of changes in the queued transactions of this priority or a higher one.
     pub(super) fn changes_up_to(&self, priority: WritePriority) -> usize {
         let commits = self.commits.range(..=priority);
         commits
@@ -64,19 +64,19 @@
             .sum()
     }
 
-    /// Adds a transaction behind those of the same priority.
+    /// Appends a transaction to those of the same priority.
     pub(super) fn push(&mut self, priority: WritePriority, commit: QueuedCommit) {
         self.commits.entry(priority).or_default().push_back(commit);
     }
 
-    /// The transaction whose turn is next.
+    /// The oldest transaction of the highest priority that has any.
     pub(super) fn first(&self) -> Option<&QueuedCommit> {
         self.commits.values().find_map(VecDeque::front)
     }
 
-    /// Removes the transactions that are sent together: in order, within the limits of a transaction,
-    /// without two changes of one key, and with at most `changes_max` changes. The first is taken
-    /// whatever the limits are.
+    /// Removes the transactions to send as one batch: from the front of the queue, within the limits on a
+    /// transaction, with at most one transaction that changes a given key, and with at most `changes_max`
+    /// changes. The first transaction is removed regardless of all limits.
     pub(super) fn next_batch(
         &mut self,
         limits: &StateSettings,
@@ -98,7 +98,7 @@
     }
 }
 
-/// A batch while it is filled.
+/// A batch under construction, with the totals that its limits apply to.
 struct Batch<'a> {
     limits: &'a StateSettings,
     changes_max: f64,
@@ -133,10 +133,10 @@
             && changes as f64 <= self.changes_max
             && conditions <= self.limits.txn_ops * CONDITIONS_PER_CHANGE
             && self.bytes + commit.estimated_bytes <= BATCH_BYTES_MAX
-            && self.changes_no_key_of(&commit.transaction)
+            && self.is_disjoint_from(&commit.transaction)
     }
 
-    fn changes_no_key_of(&self, transaction: &Transaction) -> bool {
+    fn is_disjoint_from(&self, transaction: &Transaction) -> bool {
         let mut changes = transaction.changes.iter();
         changes.all(|change| !self.changed_keys.contains(change.key()))
     }
@@ -154,20 +154,20 @@
 
 fn estimated_bytes(transaction: &Transaction) -> usize {
     let conditions = transaction.conditions.iter();
-    let conditions: usize = conditions
+    let condition_bytes: usize = conditions
         .map(|condition| condition.key.len() + CONDITION_OVERHEAD_BYTES)
         .sum();
-    let changes: usize = transaction.changes.iter().map(estimated_change_bytes).sum();
-    conditions + changes
+    let change_bytes: usize = transaction.changes.iter().map(estimated_change_bytes).sum();
+    condition_bytes + change_bytes
 }
 
 fn estimated_change_bytes(change: &Change) -> usize {
-    let value = match change {
-        // The store measures the longer JSON form of a value.
+    let value_bytes = match change {
+        // The store measures values as JSON, which is longer than the encoding that is sent.
         Change::Put { value, .. } => crate::wire::encode(value).len() * 3 / 2,
         Change::Delete { .. } => 0,
     };
-    change.key().len() + value + CHANGE_OVERHEAD_BYTES
+    change.key().len() + value_bytes + CHANGE_OVERHEAD_BYTES
 }
 
 #[cfg(test)]
--- a/src/store/commit_queue/tests.rs
+++ b/src/store/commit_queue/tests.rs
@@ -16,9 +16,10 @@
         .collect()
 }
 
-/// Many jobs of low priority used up the rate limits, and urgent submissions came too late.
+/// Without priorities, many jobs of low priority used up the rate limits, and urgent submissions were
+/// committed too late.
 #[test]
-fn a_batch_takes_the_highest_priority_first_and_no_more_than_the_limits_allow() {
+fn batch_holds_the_highest_priority_first_and_stays_within_the_limits() {
     let limits = StateSettings {
         rps: 80.0,
         write_rps: 30.0,
@@ -38,7 +39,7 @@
     assert_eq!(
         keys(&queue.next_batch(&limits, 2.0)),
         ["many/0"],
-        "the first is sent in any case"
+        "the first transaction is sent regardless of the limits"
     );
     assert_eq!(queue.len(), 0);
 }
--- a/src/store/commit_sender.rs
+++ b/src/store/commit_sender.rs
@@ -1,8 +1,8 @@
 //! Sends the queued transactions in batches.
 //!
-//! Transactions that wait together are sent as one, so that batches grow with the load. When
-//! conditions of a batch fail, the transactions with these conditions are completed with the
-//! conflict, and the others are sent again.
+//! Queued transactions are merged into one, so that batches grow with the load. When conditions of a batch
+//! fail, the transactions with these conditions are completed with the conflict, and the others are sent
+//! again.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -14,22 +14,23 @@
 use super::context::StoreContext;
 use super::{StoreError, Transaction, TransactionOutcome};
 
-/// Transactions in flight: one slow response must not delay all others.
+/// Largest number of batches in flight. With only one, a slow response would delay all other transactions.
 const TRANSACTIONS_IN_FLIGHT_MAX: usize = 3;
-/// How many times a batch refused by the store's rate limit is sent again, each after a pause.
+/// Number of times that a batch refused by the store's rate limit is sent again.
 const REFUSALS_MAX: u32 = 3;
+/// Time between such a refusal and the next attempt.
 const REFUSAL_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Sends what is queued, for as long as the process lives. A batch is made only when the rate limits
-/// allow it to be sent, so that it contains everything queued meanwhile, the highest priority first.
+/// Sends the queued transactions until the process ends. A batch is formed only when the rate limits allow
+/// it to be sent, so that it includes transactions queued until then, the highest priority first.
 pub(super) async fn run(context: Rc<StoreContext>) {
     loop {
         let Some(first_changes) = next_commit_changes(&context) else {
             context.wake_sender.notified().await;
             continue;
         };
-        if let Some(wait) = context.limit_wait(1.0, first_changes as f64) {
-            // A smaller transaction of a higher priority may be queued meanwhile.
+        if let Some(wait) = context.time_until_allowed(1.0, first_changes as f64) {
+            // A smaller transaction of a higher priority may be queued during this wait.
             let _ = actix::clock::timeout(wait, context.wake_sender.notified()).await;
             continue;
         }
@@ -46,7 +47,7 @@
     }
 }
 
-/// Number of changes of the transaction whose turn is next, if another one may be in flight.
+/// Number of changes of the next transaction; `None` if none is queued or no other batch may be in flight.
 fn next_commit_changes(context: &StoreContext) -> Option<usize> {
     if context.transactions_in_flight.get() >= TRANSACTIONS_IN_FLIGHT_MAX {
         return None;
@@ -60,7 +61,7 @@
 fn take_batch(context: &StoreContext) -> Vec<QueuedCommit> {
     let now = Instant::now();
     let mut limiter = context.limiter.borrow_mut();
-    let changes_max = limiter.writes.level(now);
+    let changes_max = limiter.changes.level(now);
     let mut commits = context.commits.borrow_mut();
     let batch = commits.next_batch(&context.limits, changes_max);
     let changes: usize = batch
@@ -71,25 +72,27 @@
     batch
 }
 
-/// Sends a batch that the rate limits have allowed already. What is sent again waits for them anew.
+/// Sends a batch that has been counted against the rate limits already. A batch that is sent again waits
+/// for the rate limits and is counted again.
 async fn send_batch(context: &StoreContext, mut batch: Vec<QueuedCommit>) {
-    let mut first = true;
+    let mut first_attempt = true;
     let mut refusals = 0;
     while !batch.is_empty() {
         let merged = merge(&batch);
-        if !std::mem::replace(&mut first, false) {
+        if !std::mem::replace(&mut first_attempt, false) {
             context
                 .wait_for_limit(1.0, merged.changes.len() as f64)
                 .await;
         }
-        let sent = Instant::now();
+        let sent_at = Instant::now();
         let outcome = context.client.transact(&merged).await;
-        context.notify_request(StoreOperation::Write, sent, outcome.failure());
+        context.notify_request(StoreOperation::Write, sent_at, outcome.failure());
         match outcome {
             TransactionOutcome::Conflict { failed, revision } => {
                 batch = complete_conflicts(batch, failed, revision);
             }
-            // Nothing was executed: several controllers used saved-up rate at the same time.
+            // The store executed nothing: several controllers used their accumulated tokens at the same
+            // time.
             TransactionOutcome::Failed(StoreError::RATE_LIMITED) if refusals < REFUSALS_MAX => {
                 refusals += 1;
                 actix::clock::sleep(REFUSAL_RETRY_DELAY).await;
@@ -103,7 +106,7 @@
     }
 }
 
-/// One transaction with the conditions and changes of all.
+/// Merges the conditions, without duplicates, and the changes of a batch into one transaction.
 fn merge(batch: &[QueuedCommit]) -> Transaction {
     let mut merged = Transaction::default();
     for commit in batch {
@@ -118,7 +121,7 @@
     merged
 }
 
-/// Completes the transactions with a failed condition; returns the others.
+/// Completes the transactions that have a failed condition, and returns the others.
 fn complete_conflicts(
     batch: Vec<QueuedCommit>,
     failed: Vec<String>,
@@ -129,8 +132,10 @@
         conditions.any(|condition| failed.contains(&condition.key))
     });
     if conflicting.is_empty() {
-        // The conflict names no condition of the batch; nothing was changed.
-        let error = StoreError::MalformedResponse("conflict without a cause".to_owned());
+        // The response names no condition of the batch. The store changed nothing.
+        let error = StoreError::MalformedResponse(
+            "conflict names no condition of the transaction".to_owned(),
+        );
         complete_all(others, &TransactionOutcome::Failed(error));
         return Vec::new();
     }
--- a/src/store/context.rs
+++ b/src/store/context.rs
@@ -1,4 +1,4 @@
-//! What the watch and the sender of transactions share. Everything stays on one thread.
+//! The state that the watch, the verdict lookup and the sender of transactions share on one thread.
 
 use std::cell::{Cell, RefCell};
 use std::sync::Arc;
@@ -17,10 +17,10 @@
 use crate::config::{Settings, StateSettings};
 use crate::timing::timeout_factor;
 
-/// Commits that may be queued, as a bound on memory.
+/// Largest number of queued commits, other than those of the election. It bounds the memory of the queue.
 const COMMITS_QUEUED_MAX: usize = 1024;
-/// How long a commit that somebody waits for may stay in the queue for the rate limits. A commit that
-/// would wait for longer is refused at once, so that its user knows to retry later.
+/// Longest time that a commit which a user waits for may stay in the queue because of the rate limits. A
+/// commit that would stay longer is refused at once, so that the user can retry later.
 const QUEUE_TIME_MAX: Duration = Duration::from_secs(2);
 
 /// The state of the store's actor.
@@ -31,16 +31,16 @@
     pub(super) observer: Arc<dyn StoreObserver>,
     pub(super) pending_reads: PendingReads,
     /// See [`crate::timing::timeout_factor`].
-    pub(super) slowness: f64,
+    pub(super) timeout_factor: f64,
     pub(super) limiter: RefCell<Limiter>,
     pub(super) commits: RefCell<CommitQueue>,
     pub(super) transactions_in_flight: Cell<usize>,
-    /// Wakes the sender: another commit is queued, or another transaction may be sent.
+    /// Wakes the sender when another commit is queued or another batch may be in flight.
     pub(super) wake_sender: Notify,
 }
 
 impl StoreContext {
-    /// A context with nothing queued, and with a follower's share of the rate limits.
+    /// Creates a context with an empty queue and a follower's share of the rate limits.
     pub(super) fn new(
         settings: &Settings,
         client: StoreClient,
@@ -53,7 +53,7 @@
         Self {
             client,
             limits,
-            slowness: timeout_factor(settings),
+            timeout_factor: timeout_factor(settings),
             replica,
             observer,
             pending_reads: PendingReads::default(),
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Queues a transaction; `None` if it is refused.
+    /// Queues a transaction and returns the receiver of its outcome; `None` if the transaction is refused.
     pub(super) fn enqueue(
         &self,
         transaction: Transaction,
@@ -79,9 +79,9 @@
         Some(outcome)
     }
 
-    /// Whether a transaction is refused at once, since by the rate limits its turn would come too late
-    /// for whoever waits for it. The election is never refused. Progress records, and everything of a
-    /// leader, are refused only when the queue is full.
+    /// Whether a transaction is refused at once because it would stay in the queue for too long. Writes of
+    /// the election are never refused. Writes with priority `Progress`, and all writes of a leader, are
+    /// refused only when the queue is full.
     fn refuses(&self, transaction: &Transaction, priority: WritePriority) -> bool {
         let commits = self.commits.borrow();
         if priority == WritePriority::Election {
@@ -95,17 +95,17 @@
             return false;
         }
         let changes = commits.changes_up_to(priority) + transaction.changes.len();
-        let wait = self
+        let queueing_time = self
             .limiter
             .borrow_mut()
-            .writes
-            .wait_beyond(changes as f64, Instant::now());
-        wait > QUEUE_TIME_MAX
+            .changes
+            .queueing_time(changes as f64, Instant::now());
+        queueing_time > QUEUE_TIME_MAX
     }
 
-    /// Waits until the rate limits allow so many requests and changes, then takes them.
+    /// Waits until the rate limits allow this many requests and changes, then counts them.
     pub(super) async fn wait_for_limit(&self, requests: f64, changes: f64) {
-        while let Some(wait) = self.limit_wait(requests, changes) {
+        while let Some(wait) = self.time_until_allowed(requests, changes) {
             actix::clock::sleep(wait).await;
         }
         self.limiter
@@ -113,26 +113,24 @@
             .take(requests, changes, Instant::now());
     }
 
-    /// Time until the rate limits allow so many requests and changes. A function of its own, so that
-    /// no borrow of the limiter lasts across an await.
-    pub(super) fn limit_wait(&self, requests: f64, changes: f64) -> Option<Duration> {
+    /// Time until the rate limits allow this many requests and changes; `None` if they allow them now. This
+    /// is a separate function so that the limiter is not borrowed across an await.
+    pub(super) fn time_until_allowed(&self, requests: f64, changes: f64) -> Option<Duration> {
         self.limiter
             .borrow_mut()
-            .wait(requests, changes, Instant::now())
+            .time_until_allowed(requests, changes, Instant::now())
     }
 
-    /// Notifies the observer whether a request sent at `sent` was answered.
+    /// Notifies the observer whether the store is available, by the outcome of a request sent at `sent_at`.
     pub(super) fn notify_request(
         &self,
         operation: StoreOperation,
-        sent: Instant,
+        sent_at: Instant,
         failure: Option<&StoreError>,
     ) {
         match failure {
-            Some(error) if error.store_unavailable() => {
-                self.observer.request_failed(operation, sent)
-            }
-            _ => self.observer.request_answered(operation, sent),
+            Some(error) if error.shows_outage() => self.observer.request_failed(operation, sent_at),
+            _ => self.observer.request_answered(operation, sent_at),
         }
     }
 }
--- a/src/store/keys.rs
+++ b/src/store/keys.rs
@@ -1,62 +1,66 @@
-//! The keys in the key-value store and the records at these keys. Nothing else knows their names, which
-//! stay as they are between versions.
+//! The keys in the key-value store and the records stored below them. No other module contains key names.
+//! They must not change between versions.
 //!
-//! All keys share one prefix, so that one watch per controller delivers all changes, and so that a
-//! controller whose replica has reached a revision knows all records as of that revision.
+//! All keys share one prefix. One watch per controller therefore delivers all changes, and a replica that
+//! has reached a revision contains all records as of that revision.
 
 use serde::{Deserialize, Serialize};
 
 use crate::model::{JobId, JobSpec, Term, Verdict};
 
-/// Prefix of all keys.
+/// Prefix of all keys that the service uses.
 pub const ROOT: &str = "kl/";
-/// The leader; the store deletes the key with the leader's lease.
+/// The leader. The key is attached to the leader's lease, so that the store deletes it when this lease
+/// ends.
 pub const LEADER: &str = "kl/leader";
-/// The highest term of all elections.
+/// The highest term of any election.
 pub const TERM: &str = "kl/term";
-/// The operators' settings.
+/// Settings that operators change while the service runs.
 pub const SETTINGS: &str = "kl/settings";
 
 const JOB: &str = "kl/job/";
-const LIVE: &str = "kl/live/";
-const DONE: &str = "kl/done/";
+const DESCRIPTION: &str = "kl/live/";
+const COMPLETED_TASKS: &str = "kl/done/";
 const INVENTORY: &str = "kl/roster/";
-const SENT: &str = "kl/sent/";
+const DISPATCH: &str = "kl/sent/";
 const MISDIRECTED: &str = "kl/knocks/";
 const PROBE: &str = "kl/probe/";
 
-/// The verdict on a job, kept for ever, and the job's description while any task of it may run.
+/// Key of the verdict on a job, which is kept without a time limit, and of the job's description while any
+/// of its tasks may run.
 pub fn job(id: &JobId) -> String {
     format!("{JOB}{id}")
 }
 
-/// The description as versions up to 0.3.0 wrote it; it is read, and deleted after the job's end.
+/// Key of a job's description as versions up to 0.3.0 wrote it. Later versions read it, and delete it
+/// after the job has ended.
 pub fn description(id: &JobId) -> String {
-    format!("{LIVE}{id}")
+    format!("{DESCRIPTION}{id}")
 }
 
-/// One chunk of the job's set of completed tasks.
+/// Key of one chunk of a job's set of completed tasks.
 pub fn completed_tasks(id: &JobId, chunk: usize) -> String {
-    format!("{DONE}{id}/{chunk}")
+    format!("{COMPLETED_TASKS}{id}/{chunk}")
 }
 
-/// One shard of the machine inventory: the machines that may run tasks.
+/// Key of one shard of the machine inventory, which lists the machines that may run tasks.
 pub fn inventory(shard: usize) -> String {
     format!("{INVENTORY}{shard:04}")
 }
 
-/// One dispatch record: where starts of several jobs may have been sent. Its number is used only once.
+/// Key of one dispatch record: the machines to which starts of several jobs may have been sent. The leader
+/// of a term uses each number only once.
 pub fn dispatch(term: Term, number: u32) -> String {
-    format!("{SENT}{:010}-{number:06}", term.0)
+    format!("{DISPATCH}{:010}-{number:06}", term.0)
 }
 
-/// A controller's count of misdirected heartbeats, recorded here in case it has no connection to the
-/// leader.
+/// Key of a controller's count of misdirected heartbeats. The controller records the count in the store
+/// when it has no connection to the leader.
 pub fn misdirected(member: &str) -> String {
     format!("{MISDIRECTED}{member}")
 }
 
-/// A key, parsed.
+/// A parsed key.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Key {
     /// See [`LEADER`].
@@ -68,18 +72,18 @@
     /// See [`job`].
     Job(JobId),
     /// See [`description`].
-    Live(JobId),
-    /// See [`completed_tasks`].
-    Done(JobId, usize),
-    /// See [`inventory`].
+    Description(JobId),
+    /// The job and the number of the chunk, see [`completed_tasks`].
+    CompletedTasks(JobId, usize),
+    /// The number of the shard, see [`inventory`].
     Inventory(usize),
-    /// See [`dispatch`].
-    Sent(String),
-    /// See [`misdirected`].
+    /// The full key, see [`dispatch`].
+    Dispatch(String),
+    /// The controller's name, see [`misdirected`].
     Misdirected(String),
 }
 
-/// Parses a key.
+/// Parses a key; `None` if it has no known form or is a controller's probe.
 pub fn parse(key: &str) -> Option<Key> {
     match key {
         LEADER => return Some(Key::Leader),
@@ -90,15 +94,15 @@
     if let Some(id) = key.strip_prefix(JOB) {
         return JobId::parse(id).map(Key::Job);
     }
-    if let Some(id) = key.strip_prefix(LIVE) {
-        return JobId::parse(id).map(Key::Live);
+    if let Some(id) = key.strip_prefix(DESCRIPTION) {
+        return JobId::parse(id).map(Key::Description);
     }
-    if let Some(rest) = key.strip_prefix(DONE) {
+    if let Some(rest) = key.strip_prefix(COMPLETED_TASKS) {
         let (id, chunk) = rest.split_once('/')?;
-        return Some(Key::Done(JobId::parse(id)?, chunk.parse().ok()?));
+        return Some(Key::CompletedTasks(JobId::parse(id)?, chunk.parse().ok()?));
     }
-    if key.starts_with(SENT) {
-        return Some(Key::Sent(key.to_owned()));
+    if key.starts_with(DISPATCH) {
+        return Some(Key::Dispatch(key.to_owned()));
     }
     if let Some(member) = key.strip_prefix(MISDIRECTED) {
         return Some(Key::Misdirected(member.to_owned()));
@@ -110,38 +114,38 @@
 /// Record below [`LEADER`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaderRecord {
-    /// The leader's name.
+    /// The leader's name, as in the settings.
     pub member: String,
-    /// Its address for users and workers.
+    /// The leader's address for users and workers.
     pub address: String,
-    /// Its term.
+    /// The term that began with the leader's election.
     pub term: Term,
-    /// Its lease.
+    /// Id of the lease that this key is attached to.
     pub lease: u64,
 }
 
 /// Record below [`TERM`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct TermRecord {
-    /// The highest term.
+    /// The highest term in which any controller was elected.
     pub term: Term,
 }
 
 /// Record below [`job`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// The verdict.
+    /// The verdict, which never changes again once it is other than [`Verdict::Accepted`].
     pub verdict: Verdict,
-    /// Number of tasks, for display after the end.
+    /// Number of tasks, for display after the job has ended.
     pub tasks: u32,
-    /// The description, while any task of the job may run. It is in the same value as the verdict, so
-    /// that a small job costs one change to accept and one to end.
+    /// The description, present while any task of the job may run. It is in the same value as the verdict,
+    /// so that a small job needs only one change to be accepted and one to end.
     #[serde(rename = "live", default, skip_serializing_if = "Option::is_none")]
     pub description: Option<JobDescription>,
 }
 
 impl JobRecord {
-    /// A verdict without a description.
+    /// Creates the record of a job of which no task may run.
     pub fn without_description(verdict: Verdict, tasks: u32) -> Self {
         Self {
             verdict,
@@ -151,41 +155,42 @@
     }
 }
 
-/// A job's description: in its [`JobRecord`], or below [`description`].
+/// A job's description, stored in its [`JobRecord`] or, by versions up to 0.3.0, below [`description`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct JobDescription {
-    /// The job.
+    /// The job as it was submitted.
     pub spec: JobSpec,
-    /// When it was accepted, in milliseconds since the Unix epoch.
+    /// When the job was accepted, in milliseconds since the Unix epoch.
     pub submitted_ms: u64,
-    /// Whether any start of a task of it may have been sent, as versions up to 0.3.0 recorded it. Newer
+    /// Whether starts of its tasks may have been sent. Only versions up to 0.3.0 write this field; later
     /// versions write [`DispatchedJobsRecord`]s.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub started: bool,
-    /// The only machines to which starts may have been sent; `None`: any machine.
+    /// The only machines to which starts may have been sent; `None` means any machine.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub hosts: Option<Vec<String>>,
 }
 
-/// Record below [`completed_tasks`]: one bit per task, four bits per hexadecimal digit.
+/// Record below [`completed_tasks`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct CompletedTasksRecord {
-    /// The digits.
+    /// One bit per task of the chunk, four bits per hexadecimal digit.
     pub bits: String,
 }
 
-/// Record below [`dispatch`]: starts of these jobs may have been sent to these machines, or to any machine
-/// where none is named. Several records of one job add up.
+/// Record below [`dispatch`]. If several records name one job, its starts may have been sent to the
+/// machines of any of them.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct DispatchedJobsRecord {
-    /// Jobs with their machines.
+    /// Jobs with the machines to which their starts may have been sent; `None` means any machine.
     pub jobs: Vec<(JobId, Option<Vec<String>>)>,
 }
 
 /// Record below [`misdirected`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct MisdirectedRecord {
-    /// Heartbeats that the controller has redirected since it started.
+    /// Misdirected heartbeats since the controller started: those that it answered with a status other than
+    /// 200.
     #[serde(rename = "knocks")]
     pub count: u64,
 }
@@ -193,18 +198,18 @@
 /// Record below [`inventory`].
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct InventoryRecord {
-    /// The machines.
+    /// Names of the machines of this shard.
     pub machines: Vec<String>,
 }
 
-/// A write without effect, by which a leader whose transactions failed learns that they succeed again.
+/// Record below [`probe`]. A leader whose transactions failed writes it to detect when they succeed again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProbeRecord {
-    /// Number of the probe in this process.
+    /// Number of probes that this process has written before, or with, this one.
     pub count: u64,
 }
 
-/// Key of a controller's probes of the store. Nobody reads it.
+/// Key of a controller's probe writes. No process reads it.
 pub fn probe(member: &str) -> String {
     format!("{PROBE}{member}")
 }
--- a/src/store/limiter.rs
+++ b/src/store/limiter.rs
@@ -1,38 +1,41 @@
-//! The rate limits of a controller: a token bucket for requests and one for changes, which keep it to
-//! its share of what the key-value store accepts from all controllers together.
+//! The rate limits of a controller: one token bucket for requests and one for changes. They keep the
+//! controller within its share of the rates that the key-value store accepts from all controllers together.
 
 use std::time::{Duration, Instant};
 
 use crate::rate_limit::TokenBucket;
 
-/// Share of the store's limits that all controllers together use. The rest is left free, since the
-/// clocks of the controllers and of the store differ, and bursts coincide.
+/// Share of the store's limits that all controllers together use. The rest is a reserve, since the clocks
+/// of the controllers and of the store differ, and bursts coincide.
 const USED_SHARE: f64 = 0.9;
-/// The leader's share of that: it writes for all, the followers write verdicts only.
+/// The leader's part of [`USED_SHARE`]. The leader writes the records of all jobs, while followers only
+/// write verdicts.
 const LEADER_SHARE: f64 = 0.5;
 
-/// Seconds of its rate of changes that a controller may save up. The load balancer sends a burst of
-/// submissions to a few controllers at a time, and the shares of the others are unused then.
+/// Largest number of tokens for changes that a controller may accumulate, in seconds of its rate. The load
+/// balancer sends a burst of submissions to only a few controllers, while the shares of the others are
+/// unused.
 const BURST_MAX_S: f64 = 3.0;
-/// Share of the store's burst that one controller may save up. Only when several controllers use all
-/// they saved up at the same time the store refuses some changes, which are sent again.
+/// Share of the store's rate of changes that a controller may accumulate as a burst. The store refuses
+/// changes only when several controllers use their accumulated tokens at the same time; these changes are
+/// sent again.
 const BURST_SHARE: f64 = 0.25;
 
-/// Both token buckets of a controller.
+/// The token buckets with which a controller limits its requests to the key-value store.
 #[derive(Debug)]
 pub struct Limiter {
     controllers: usize,
     store_request_rate: f64,
     store_change_rate: f64,
-    /// Requests.
+    /// One token per request, whether it reads or writes.
     pub requests: TokenBucket,
-    /// Puts and deletes.
-    pub writes: TokenBucket,
+    /// One token per key that a transaction puts or deletes.
+    pub changes: TokenBucket,
 }
 
 impl Limiter {
-    /// A follower's limits among `controllers` controllers, by the store's rates of requests and
-    /// changes.
+    /// Creates a follower's limits, where `controllers` controllers share the store's rates of requests and
+    /// changes per second.
     pub fn new(
         store_request_rate: f64,
         store_change_rate: f64,
@@ -45,23 +48,28 @@
             store_request_rate,
             store_change_rate,
             requests: TokenBucket::new(store_request_rate * share, now),
-            writes: TokenBucket::new(store_change_rate * share, now),
+            changes: TokenBucket::new(store_change_rate * share, now),
         };
         limiter.set_leading(false, now);
         limiter
     }
 
-    /// Time until so many requests and changes are allowed; `None` if they are allowed now.
-    pub fn wait(&mut self, requests: f64, writes: f64, now: Instant) -> Option<Duration> {
-        let requests = self.requests.time_until_available(requests, now);
-        let wait = requests.max(self.writes.time_until_available(writes, now));
-        (!wait.is_zero()).then_some(wait)
+    /// Time until this many requests and changes are allowed; `None` if they are allowed now.
+    pub fn time_until_allowed(
+        &mut self,
+        requests: f64,
+        changes: f64,
+        now: Instant,
+    ) -> Option<Duration> {
+        let for_requests = self.requests.time_until_available(requests, now);
+        let time = for_requests.max(self.changes.time_until_available(changes, now));
+        (!time.is_zero()).then_some(time)
     }
 
-    /// Takes so many requests and changes.
-    pub fn take(&mut self, requests: f64, writes: f64, now: Instant) {
+    /// Takes the tokens for this many requests and changes, even if they are not available yet.
+    pub fn take(&mut self, requests: f64, changes: f64, now: Instant) {
         self.requests.take(requests, now);
-        self.writes.take(writes, now);
+        self.changes.take(changes, now);
     }
 
     fn share(controllers: usize, leading: bool) -> f64 {
@@ -75,13 +83,13 @@
         }
     }
 
-    /// Switches to the leader's or to a follower's share.
+    /// Switches to the leader's share if `leading`, else to a follower's.
     pub fn set_leading(&mut self, leading: bool, now: Instant) {
         let share = Self::share(self.controllers, leading);
         self.requests
             .set_rate(self.store_request_rate * share, 1.0, now);
         let burst_s = (BURST_SHARE / share).clamp(1.0, BURST_MAX_S);
-        self.writes
+        self.changes
             .set_rate(self.store_change_rate * share, burst_s, now);
     }
 }
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,8 +1,8 @@
 //! The external key-value store: its protocol and limits, the keys and records, and the replica of
-//! them that every controller keeps by a watch.
+//! them that every controller keeps up to date with a watch.
 //!
-//! Writes are compare-and-swap transactions: all conditions on key versions hold, or nothing changes.
-//! Reads come from the replica; a linearizable read brings it up to date first.
+//! Writes are compare-and-swap transactions: either all conditions on key versions hold, or nothing
+//! changes. Reads are served from the replica, after a linearizable read has brought it up to date.
 
 pub mod actor;
 pub mod client;
@@ -21,42 +21,43 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// A value as the store keeps it.
+/// A decoded CBOR value, as the store keeps it below a key.
 pub type Value = ciborium::Value;
 
-/// The status of requests beyond the rate limits.
+/// The HTTP status with which the store refuses requests beyond its rate limits.
 const STATUS_RATE_LIMITED: u16 = 429;
 
 /// Why a request to the key-value store failed.
 #[derive(Debug, Clone, Error, PartialEq)]
 pub enum StoreError {
     /// The store refused the request with this status, and executed nothing.
-    #[error("request refused with status {0}")]
+    #[error("key-value store refused the request with status {0}")]
     Refused(u16),
-    /// There was no response: the request may have been executed, or may be executed later.
-    #[error("no response, outcome unknown")]
+    /// There was no usable response: the store may have executed the request, or may execute it later.
+    #[error("no response; the outcome of the request is unknown")]
     OutcomeUnknown,
-    /// The response is not of the protocol's form.
-    #[error("malformed response: {0}")]
+    /// The response does not follow the protocol.
+    #[error("malformed response of the key-value store: {0}")]
     MalformedResponse(String),
     /// The lease expired or was revoked.
-    #[error("lease expired")]
+    #[error("lease expired or was revoked")]
     LeaseExpired,
-    /// The store no longer has the changes after the watch's revision; all keys have to be read again.
-    #[error("history compacted")]
+    /// The store no longer has all changes since the watch's revision, so that all keys have to be read
+    /// again.
+    #[error("history since the watched revision was compacted")]
     HistoryCompacted,
-    /// The response is larger than this process has memory for.
-    #[error("response too large")]
+    /// The response is larger than [`client::response_bytes_max`].
+    #[error("response exceeds the memory limit of this process")]
     ResponseTooLarge,
 }
 
 impl StoreError {
-    /// Refused for the rate limits.
+    /// The refusal of a request that exceeds the rate limits, by the store or by this process itself.
     pub const RATE_LIMITED: Self = StoreError::Refused(STATUS_RATE_LIMITED);
 
-    /// Whether the error shows that contact with the store is lost, so that writes of others may go
-    /// unseen. A request refused by the rate limits was answered.
-    pub fn store_unavailable(&self) -> bool {
+    /// Whether the error shows that the store may be unavailable to this process, which then may miss the
+    /// writes of other controllers. A refusal by the rate limits is a response of an available store.
+    pub fn shows_outage(&self) -> bool {
         match self {
             StoreError::Refused(status) => *status != STATUS_RATE_LIMITED,
             StoreError::OutcomeUnknown => true,
@@ -68,19 +69,19 @@
     }
 }
 
-/// A condition of a transaction: the key has this version (0: the key does not exist).
+/// A condition of a transaction on the version of one key.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Eq)]
 pub struct Condition {
-    /// The key.
+    /// The full key, with the prefix [`keys::ROOT`].
     #[serde(rename = "path")]
     pub key: String,
-    /// The version.
+    /// The required version; 0 if the key must not exist.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
 
 impl Condition {
-    /// A condition on this key and version.
+    /// Requires that `key` has `version`, or does not exist if `version` is 0.
     pub fn new(key: impl Into<String>, version: u64) -> Self {
         Self {
             key: key.into(),
@@ -93,28 +94,28 @@
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 #[serde(untagged)]
 pub enum Change {
-    /// Writes the key.
+    /// Creates the key or replaces its value.
     Put {
-        /// The key.
+        /// The key to write.
         #[serde(rename = "set")]
         key: String,
-        /// The value.
+        /// The new value, an encoded record of [`keys`].
         #[serde(rename = "v")]
         value: Value,
-        /// The lease with whose end the store deletes the key.
+        /// The lease that the key is attached to: the store deletes the key when this lease ends.
         #[serde(rename = "hold", skip_serializing_if = "Option::is_none", default)]
         lease: Option<u64>,
     },
-    /// Deletes the key.
+    /// Deletes the key, if it exists.
     Delete {
-        /// The key.
+        /// The key to delete.
         #[serde(rename = "drop")]
         key: String,
     },
 }
 
 impl Change {
-    /// A write without a lease.
+    /// Writes a key that is attached to no lease.
     pub fn put(key: impl Into<String>, value: Value) -> Self {
         Change::Put {
             key: key.into(),
@@ -123,12 +124,12 @@
         }
     }
 
-    /// A delete.
+    /// Deletes a key.
     pub fn delete(key: impl Into<String>) -> Self {
         Change::Delete { key: key.into() }
     }
 
-    /// The key changed.
+    /// The key that is written or deleted.
     pub fn key(&self) -> &str {
         match self {
             Change::Put { key, .. } | Change::Delete { key } => key,
@@ -136,17 +137,17 @@
     }
 }
 
-/// A compare-and-swap transaction: the changes are made atomically if all conditions hold.
+/// A compare-and-swap transaction: the store applies all changes atomically if all conditions hold.
 #[derive(Debug, Clone, Default)]
 pub struct Transaction {
-    /// The conditions.
+    /// The conditions, all of which must hold.
     pub conditions: Vec<Condition>,
-    /// The changes.
+    /// The changes; none in a transaction that only checks conditions.
     pub changes: Vec<Change>,
 }
 
 impl Transaction {
-    /// A transaction that makes these changes if these conditions hold.
+    /// Creates a transaction that applies `changes` if all `conditions` hold.
     pub fn new(conditions: Vec<Condition>, changes: Vec<Change>) -> Self {
         Self {
             conditions,
@@ -155,43 +156,42 @@
     }
 }
 
-/// The order of writes when there are more than the rate limits allow. Writes of the same priority
-/// are sent first in, first out.
+/// The order in which queued writes are sent. Writes of the same priority are sent first in, first out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum WritePriority {
-    /// The election.
+    /// Writes of the leader election, which are never refused.
     Election,
     /// Writes that users wait for: verdicts, and dispatch records that must precede starts.
     High,
-    /// The same for jobs of the lowest priority class.
+    /// As `High`, for jobs of the lowest priority class.
     Low,
-    /// Writes that nobody waits for.
+    /// Writes that no user waits for.
     Progress,
 }
 
-/// The outcome of a transaction.
+/// The outcome of a transaction, as far as this process can tell.
 #[derive(Debug, Clone, PartialEq)]
 pub enum TransactionOutcome {
-    /// It was committed at this revision.
+    /// The store committed it at this revision.
     Committed(u64),
-    /// Nothing was changed: these keys had other versions, as of this revision.
+    /// The store changed nothing, because at least one condition did not hold.
     Conflict {
-        /// The keys.
+        /// The keys whose conditions did not hold.
         failed: Vec<String>,
-        /// The revision.
+        /// The revision of the store at which the conditions were checked.
         revision: u64,
     },
-    /// It was not committed, or its outcome is unknown.
+    /// It was not committed, or its outcome is unknown ([`StoreError::OutcomeUnknown`]).
     Failed(StoreError),
 }
 
 impl TransactionOutcome {
-    /// Whether it is known to be committed.
+    /// Whether the store confirmed the commit. An unknown outcome is not confirmed.
     pub fn committed(&self) -> bool {
         matches!(self, TransactionOutcome::Committed(_))
     }
 
-    /// Why it was not committed, or why its outcome is unknown.
+    /// The error of a failed transaction; `None` for a commit or a conflict.
     pub fn failure(&self) -> Option<&StoreError> {
         match self {
             TransactionOutcome::Failed(error) => Some(error),
@@ -200,16 +200,16 @@
     }
 }
 
-/// A key with its value and version.
+/// A key with its value and version, as the store returns them for a read.
 #[derive(Debug, Clone, Deserialize)]
 pub struct KeyValue {
-    /// The key.
+    /// The full key, with the prefix [`keys::ROOT`].
     #[serde(rename = "path")]
     pub key: String,
-    /// The value.
+    /// An encoded record; [`keys`] defines its type for each key.
     #[serde(rename = "v")]
     pub value: Value,
-    /// The version.
+    /// The revision of the store at which the key was last written.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
@@ -217,51 +217,51 @@
 /// One page of a range of keys.
 #[derive(Debug, Deserialize)]
 pub struct KeyPage {
-    /// The keys.
+    /// The keys and values, in the order of the keys.
     #[serde(rename = "rows", default)]
     pub key_values: Vec<KeyValue>,
-    /// Whether more follow.
+    /// Whether the range has keys after this page.
     #[serde(default)]
     pub more: bool,
-    /// The revision of the store as of which the page was read.
+    /// The revision of the store at which the page was read.
     #[serde(rename = "epoch")]
     pub revision: u64,
 }
 
-/// A change that the watch delivered.
+/// A change that a watch delivered. Either `put_key` and `value` are present, or `deleted_key`.
 #[derive(Debug, Clone, Deserialize)]
 pub struct WatchEvent {
-    /// The key written.
+    /// The key that was written; absent for a deletion.
     #[serde(rename = "set", default)]
     pub put_key: Option<String>,
-    /// The key deleted.
+    /// The key that was deleted; absent for a write.
     #[serde(rename = "drop", default)]
     pub deleted_key: Option<String>,
-    /// The value written.
+    /// The value that was written; absent for a deletion.
     #[serde(rename = "v", default)]
     pub value: Option<Value>,
-    /// The version.
+    /// The revision of the store at which the change was committed.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
 
-/// The changes that a watch delivered.
+/// The response to a watch.
 #[derive(Debug, Deserialize)]
 pub struct WatchResponse {
-    /// The revision up to which the changes are complete.
+    /// The revision of the store up to which the events are complete.
     #[serde(rename = "epoch")]
     pub revision: u64,
-    /// The changes.
+    /// The changes since the requested revision; empty if the watch timed out.
     #[serde(default)]
     pub events: Vec<WatchEvent>,
 }
 
-/// Encodes a record as a value.
+/// Encodes a record as a value; null if it cannot be encoded.
 pub fn to_value<T: Serialize>(record: &T) -> Value {
     Value::serialized(record).unwrap_or(Value::Null)
 }
 
-/// Decodes a record; `None` if the value has no known form.
+/// Decodes a record; `None` if the value does not have the form of `T`.
 pub fn from_value<T: serde::de::DeserializeOwned>(value: &Value) -> Option<T> {
     value.deserialized().ok()
 }
--- a/src/store/pending_reads.rs
+++ b/src/store/pending_reads.rs
@@ -1,4 +1,4 @@
-//! Queries for verdicts that wait for a linearizable read.
+//! Verdict queries that wait for a linearizable read.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -9,38 +9,39 @@
 use super::StoreError;
 use crate::model::JobId;
 
-/// Everybody who waits for the verdict on one job.
+/// The senders of the result to all callers that wait for the verdict on one job.
 #[derive(Default)]
 pub(super) struct VerdictReplies(Vec<oneshot::Sender<VerdictResult>>);
 
 impl VerdictReplies {
-    /// Sends the result to all.
+    /// Sends the result to all waiting callers.
     pub(super) fn send(self, result: &VerdictResult) {
         for reply in self.0 {
-            // The receiver may be dropped by now.
+            // The caller may have dropped the receiver.
             let _ = reply.send(result.clone());
         }
     }
 }
 
-/// Queries by job.
+/// The waiting callers by job.
 pub(super) type VerdictQueries = BTreeMap<JobId, VerdictReplies>;
 
-/// Sends the same error to all who wait.
+/// Sends the same error to all waiting callers.
 pub(super) fn fail_all(queries: VerdictQueries, error: &StoreError) {
     for replies in queries.into_values() {
         replies.send(&Err(error.clone()));
     }
 }
 
-/// The queries that wait for the next read.
+/// The queries that the next read will answer.
 #[derive(Default)]
 pub(super) struct PendingReads {
     queries: RefCell<VerdictQueries>,
 }
 
 impl PendingReads {
-    /// Adds a query. The number of queries is bounded by the users' connections.
+    /// Adds a query and returns the receiver of its result. The limit on user connections bounds the
+    /// number of queries.
     pub(super) fn add(&self, id: JobId) -> oneshot::Receiver<VerdictResult> {
         let (reply, result) = oneshot::channel();
         let mut queries = self.queries.borrow_mut();
@@ -48,12 +49,11 @@
         result
     }
 
-    /// Whether no query waits.
     pub(super) fn is_empty(&self) -> bool {
         self.queries.borrow().is_empty()
     }
 
-    /// Removes all queries.
+    /// Removes and returns all queries.
     pub(super) fn take(&self) -> VerdictQueries {
         std::mem::take(&mut self.queries.borrow_mut())
     }
--- a/src/store/replica/tests.rs
+++ b/src/store/replica/tests.rs
@@ -9,9 +9,10 @@
     replica.put(&keys::job(&id), &record, version);
 }
 
-/// Verdicts are kept for ever, but not by a process of 128 MB.
+/// The store keeps verdicts without a time limit, and a process with 128 MB of memory cannot hold all of
+/// them.
 #[test]
-fn final_verdicts_are_kept_up_to_a_bound_and_open_ones_always() {
+fn final_verdicts_are_evicted_beyond_the_limit_and_accepted_jobs_are_kept() {
     let mut replica = Replica::with_final_verdicts_max(10);
     for number in 0..200 {
         put(
@@ -21,7 +22,11 @@
             u64::from(number) + 1,
         );
     }
-    assert_eq!(replica.jobs.len(), 200, "all may still change");
+    assert_eq!(
+        replica.jobs.len(),
+        200,
+        "verdicts that may still change are not evicted"
+    );
     for number in 0..150 {
         put(
             &mut replica,
@@ -34,13 +39,17 @@
     let last = JobId::parse("wk-000149").unwrap();
     assert_eq!(replica.jobs[&last].record.verdict, Verdict::Done);
     let first = JobId::parse("wk-000000").unwrap();
-    assert_eq!(replica.job_version(&first), 0, "evicted");
+    assert_eq!(
+        replica.job_version(&first),
+        0,
+        "the oldest final verdict is evicted"
+    );
     assert!(replica.final_verdicts.len() <= 10);
 }
 
-/// A count of misdirected reports that is written late must meet a condition that has moved on.
+/// A delayed write of an older count of misdirected heartbeats must fail by its condition on the version.
 #[test]
-fn the_version_of_a_node_s_misdirected_reports_moves_on_with_each_write() {
+fn version_of_a_misdirected_count_follows_each_write() {
     let mut replica = Replica::default();
     assert_eq!(replica.misdirected_version("knot-1"), 0);
     let record = to_value(&MisdirectedRecord { count: 9 });
--- a/src/store/shared_replica.rs
+++ b/src/store/shared_replica.rs
@@ -1,11 +1,11 @@
-//! The replica as the actors and handlers of a process share it.
+//! The replica in the form that the actors and request handlers of a process share.
 
 use parking_lot::{Mutex, MutexGuard};
 use tokio::sync::{watch, Notify};
 
 use super::replica::Replica;
 
-/// The replica behind a lock held for short times, with its revision for those who wait for one.
+/// The replica behind a mutex that is only held briefly, with a channel that publishes its revision.
 pub struct SharedReplica {
     replica: Mutex<Replica>,
     revision: watch::Sender<u64>,
@@ -13,7 +13,7 @@
 }
 
 impl SharedReplica {
-    /// Shares a new replica.
+    /// Wraps a replica. The published revision is 0 until the replica is loaded.
     pub fn new(replica: Replica) -> Self {
         Self {
             replica: Mutex::new(replica),
@@ -22,12 +22,12 @@
         }
     }
 
-    /// Locks the replica. The lock must not be held across an await.
+    /// Locks the replica. The guard must not be held across an await.
     pub fn lock(&self) -> MutexGuard<'_, Replica> {
         self.replica.lock()
     }
 
-    /// Subscribes to the revision up to which the replica is complete.
+    /// Subscribes to the store revision up to which the replica is complete.
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.revision.subscribe()
     }
@@ -36,13 +36,13 @@
         self.revision.send_replace(revision);
     }
 
-    /// Requests a linearizable read at once.
+    /// Requests that the watch sends a linearizable read at once if one is needed.
     pub fn request_read(&self) {
         self.read_requested.notify_one();
     }
 
-    /// Resolves when a read was requested.
-    pub(super) async fn read_requested(&self) {
+    /// Resolves after the next call of [`request_read`](Self::request_read).
+    pub(super) async fn wait_for_read_request(&self) {
         self.read_requested.notified().await;
     }
 }
--- a/src/store/verdict_lookup.rs
+++ b/src/store/verdict_lookup.rs
@@ -1,4 +1,4 @@
-//! Lookups of verdicts in the store itself, for jobs that the replica no longer keeps.
+//! Lookups of verdicts in the store itself, for jobs whose verdicts the replica may have evicted.
 
 use std::rc::Rc;
 use std::time::Instant;
@@ -15,12 +15,12 @@
 use super::{Condition, StoreError, Transaction, TransactionOutcome};
 use crate::model::JobId;
 
-/// Looks up verdicts that the replica may have evicted. Most queries are for jobs that never existed,
-/// and one transaction that only has conditions shows that for many of them.
+/// Answers queries for verdicts that the replica may have evicted. Most such queries are for jobs that
+/// never existed; a transaction without changes detects this for many jobs with one request.
 pub(super) async fn look_up(context: Rc<StoreContext>, mut queries: VerdictQueries) {
     while let Some((first, _)) = queries.first_key_value() {
         let first = first.clone();
-        let batch = split_batch(&context, &mut queries);
+        let batch = take_batch(&context, &mut queries);
         debug!(%first, jobs = batch.len(), "looking up evicted verdicts");
         let existing = existing_keys(&context, batch.keys()).await;
         for (id, replies) in batch {
@@ -36,8 +36,8 @@
     }
 }
 
-/// Removes as many queries as one transaction may have conditions.
-fn split_batch(context: &StoreContext, queries: &mut VerdictQueries) -> VerdictQueries {
+/// Removes and returns as many queries as one transaction may have conditions.
+fn take_batch(context: &StoreContext, queries: &mut VerdictQueries) -> VerdictQueries {
     let conditions_max = context.limits.txn_ops * CONDITIONS_PER_CHANGE;
     let rest = match queries.keys().nth(conditions_max).cloned() {
         Some(next) => queries.split_off(&next),
@@ -46,7 +46,8 @@
     std::mem::replace(queries, rest)
 }
 
-/// Which of the jobs have a record: the conditions that no such key exists fail for these.
+/// The keys of those jobs that have a record. Each condition requires that a key does not exist, so that
+/// the conditions of these keys fail.
 async fn existing_keys(
     context: &StoreContext,
     jobs: impl Iterator<Item = &JobId>,
@@ -54,9 +55,9 @@
     let conditions = jobs.map(|id| Condition::new(keys::job(id), 0));
     let transaction = Transaction::new(conditions.collect(), Vec::new());
     context.wait_for_limit(1.0, 0.0).await;
-    let sent = Instant::now();
+    let sent_at = Instant::now();
     let outcome = context.client.transact(&transaction).await;
-    context.notify_request(StoreOperation::Read, sent, outcome.failure());
+    context.notify_request(StoreOperation::Read, sent_at, outcome.failure());
     match outcome {
         TransactionOutcome::Committed(_) => Ok(Vec::new()),
         TransactionOutcome::Conflict { failed, .. } => Ok(failed),
@@ -66,15 +67,15 @@
 
 async fn read_verdict(context: &StoreContext, id: &JobId) -> VerdictResult {
     context.wait_for_limit(1.0, 0.0).await;
-    let sent = Instant::now();
+    let sent_at = Instant::now();
     let read = context.client.get(&keys::job(id)).await;
-    context.notify_request(StoreOperation::Read, sent, read.as_ref().err());
+    context.notify_request(StoreOperation::Read, sent_at, read.as_ref().err());
     let Some(key_value) = read? else {
         return Ok(None);
     };
     let record: Option<JobRecord> = super::from_value(&key_value.value);
-    // A record of an unknown form does not show that there is no such job.
-    let record =
-        record.ok_or_else(|| StoreError::MalformedResponse("a job's record".to_owned()))?;
-    Ok(Some(JobVerdict::of(&record)))
+    // A record that cannot be decoded does not show that the job does not exist.
+    let record = record
+        .ok_or_else(|| StoreError::MalformedResponse("job record cannot be decoded".to_owned()))?;
+    Ok(Some(JobVerdict::from_record(&record)))
 }
--- a/src/store/watch.rs
+++ b/src/store/watch.rs
@@ -1,9 +1,9 @@
-//! The watch that keeps the replica up to date, and the linearizable reads that queries wait for.
+//! The watch that keeps the replica up to date, and the linearizable reads that verdict queries wait for.
 //!
-//! A query is answered from the replica once a read that was sent after the query arrived has been
-//! answered: that read delivers all changes up to then, so that nothing confirmed by any controller
-//! before is missing. One read serves all queries that wait, so that they cost the store no request
-//! each. Nothing else allows a query to be answered.
+//! A query is answered from the replica only after the response to a read that was sent after the query
+//! arrived. This read delivers all changes up to that time, so that the replica contains everything that
+//! any controller confirmed before. One read serves all waiting queries, so that the number of requests to
+//! the store does not grow with the number of queries.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -18,24 +18,25 @@
 use super::{keys, verdict_lookup, KeyValue, StoreError, WatchResponse};
 use crate::timing::{FOLLOWER_WATCH_TIMEOUT, LEADER_WATCH_TIMEOUT, WATCH_GRACE};
 
-/// Pause between two reads, so that queries gather instead of costing a request each.
+/// Pause between two reads, in which queries accumulate that one read then serves.
 const READ_INTERVAL: Duration = Duration::from_millis(120);
-/// A read without a response by then has failed, since a user waits for two seconds. On a small machine
-/// that stalls for as long at times the response may still confirm the replica.
+/// Time without a response after which a read has failed; a user waits for two seconds. It is multiplied by
+/// [`timeout_factor`](crate::timing::timeout_factor), since a small machine may stall for this long and the
+/// response may still confirm the replica.
 const READ_TIMEOUT: Duration = Duration::from_millis(1200);
-/// Pause between two watches; changes gather meanwhile.
+/// Pause between two watches, in which changes accumulate that one response then delivers.
 const WATCH_INTERVAL: Duration = Duration::from_millis(100);
-/// Pause after a failed request.
+/// Pause after a failed request, before the next attempt.
 const FAILURE_RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// Keeps the replica up to date and answers queries, for as long as the process lives.
+/// Keeps the replica up to date and answers queries until the process ends.
 pub(super) async fn run(context: Rc<StoreContext>) {
     let mut loaded = false;
     loop {
         let result = if !loaded {
             load(&context).await
         } else if needs_read(&context) {
-            read_latest(&context).await
+            read_now(&context).await
         } else {
             wait_for_changes(&context).await
         };
@@ -47,7 +48,7 @@
             Err(error) => {
                 loaded &= error != StoreError::HistoryCompacted;
                 debug!(%error, "watch failed");
-                // Without contact to the store those who wait are answered at once.
+                // While the store is unavailable, waiting queries fail at once.
                 pending_reads::fail_all(context.pending_reads.take(), &error);
                 actix::clock::sleep(FAILURE_RETRY_DELAY).await;
             }
@@ -55,12 +56,13 @@
     }
 }
 
-/// Whether a read is needed: for a query, or to confirm the replica of a leader.
+/// Whether a read is needed to answer a query or to confirm a leader's replica.
 fn needs_read(context: &StoreContext) -> bool {
     !context.pending_reads.is_empty() || context.observer.needs_confirming_read(Instant::now())
 }
 
-/// Watches until something changes, with reads meanwhile for the queries that arrive.
+/// Waits for the response to one watch, and sends the requested reads while the watch is open. Returns the
+/// pause before the next request.
 async fn wait_for_changes(context: &Rc<StoreContext>) -> Result<Duration, StoreError> {
     context.wait_for_limit(1.0, 0.0).await;
     let leads = context.observer.leads();
@@ -69,28 +71,29 @@
     } else {
         FOLLOWER_WATCH_TIMEOUT
     };
-    let sent = Instant::now();
-    let grace = WATCH_GRACE.mul_f64(context.slowness);
+    let sent_at = Instant::now();
+    let grace = WATCH_GRACE.mul_f64(context.timeout_factor);
     let mut open_watch = Box::pin(watch(context, timeout, timeout + grace));
     loop {
-        let read_requested = Box::pin(context.replica.read_requested());
+        let read_requested = Box::pin(context.replica.wait_for_read_request());
         match select(open_watch, read_requested).await {
             Either::Left((response, _)) => {
                 match &response {
-                    // In an outage watches stay open, so that only a read shows it.
+                    // A watch without a response is not reported as a failure: in an outage of the store
+                    // watches stay open, and only the failure of a read shows the outage.
                     Err(StoreError::OutcomeUnknown) => {}
                     response => {
                         let failure = response.as_ref().err();
-                        context.notify_request(StoreOperation::Read, sent, failure);
+                        context.notify_request(StoreOperation::Read, sent_at, failure);
                     }
                 }
-                apply(context, &response?, sent);
+                apply(context, &response?, sent_at);
                 return Ok(WATCH_INTERVAL);
             }
             Either::Right(((), still_open)) => {
                 open_watch = still_open;
                 while needs_read(context) {
-                    let pause = read_latest(context).await?;
+                    let pause = read_now(context).await?;
                     actix::clock::sleep(pause).await;
                 }
             }
@@ -98,17 +101,18 @@
     }
 }
 
-/// Brings the replica up to date, then answers all queries that arrived before.
-async fn read_latest(context: &Rc<StoreContext>) -> Result<Duration, StoreError> {
+/// Brings the replica up to date with a linearizable read, then answers the queries that arrived before the
+/// read was sent. Returns the pause before the next request.
+async fn read_now(context: &Rc<StoreContext>) -> Result<Duration, StoreError> {
     context.wait_for_limit(1.0, 0.0).await;
     let queries = context.pending_reads.take();
-    let sent = Instant::now();
-    let limit = READ_TIMEOUT.mul_f64(context.slowness);
+    let sent_at = Instant::now();
+    let limit = READ_TIMEOUT.mul_f64(context.timeout_factor);
     let response = watch(context, Duration::ZERO, limit).await;
-    context.notify_request(StoreOperation::Read, sent, response.as_ref().err());
+    context.notify_request(StoreOperation::Read, sent_at, response.as_ref().err());
     match response {
         Ok(response) => {
-            apply(context, &response, sent);
+            apply(context, &response, sent_at);
             answer(context, queries);
             Ok(READ_INTERVAL)
         }
@@ -119,7 +123,7 @@
     }
 }
 
-/// Answers queries from the replica, and looks up in the store what the replica no longer keeps.
+/// Answers queries from the replica, and looks up in the store those verdicts that may have been evicted.
 fn answer(context: &Rc<StoreContext>, queries: VerdictQueries) {
     let mut evicted = VerdictQueries::new();
     for (id, replies) in queries {
@@ -137,8 +141,8 @@
     }
 }
 
-/// Reads all keys, and returns the revision from which a watch has to continue. Every page takes its
-/// place in the rate limits: all controllers may start at once, each with hundreds of jobs to read.
+/// Reads all keys, and returns them with the revision from which a watch has to continue. Each page counts
+/// against the rate limits, because all controllers may start at once, each with hundreds of jobs to read.
 async fn read_all(context: &StoreContext) -> Result<(Vec<KeyValue>, u64), StoreError> {
     let mut keys_read: Vec<KeyValue> = Vec::new();
     let mut revision = None;
@@ -149,27 +153,27 @@
             .client
             .read_page(keys::ROOT, after.as_deref())
             .await?;
-        // With the first page's revision the watch repeats all changes made during the read.
+        // A watch from the first page's revision repeats all changes that were made during this read.
         let first_revision = *revision.get_or_insert(page.revision);
-        let last = page.key_values.is_empty() || !page.more;
+        let is_last = page.key_values.is_empty() || !page.more;
         keys_read.extend(page.key_values);
-        if last {
+        if is_last {
             return Ok((keys_read, first_revision));
         }
     }
 }
 
 async fn load(context: &StoreContext) -> Result<Duration, StoreError> {
-    let sent = Instant::now();
+    let sent_at = Instant::now();
     let read = read_all(context).await;
-    context.notify_request(StoreOperation::Read, sent, read.as_ref().err());
+    context.notify_request(StoreOperation::Read, sent_at, read.as_ref().err());
     let (keys_read, revision) = read?;
     info!(keys = keys_read.len(), revision, "replica loaded");
     let changes = context.replica.lock().load(keys_read, revision);
     context.replica.publish_revision(revision);
     context.observer.replica_changed(&changes);
-    // Later pages are newer than the first, so that all are as new as the first request.
-    context.observer.replica_confirmed(sent);
+    // Later pages are newer than the first, so that every page is at least as new as the first request.
+    context.observer.replica_confirmed(sent_at);
     Ok(Duration::ZERO)
 }
 
@@ -183,8 +187,8 @@
     client.watch(keys::ROOT, after, timeout, limit).await
 }
 
-/// Applies the response to a watch or a read that was sent at `sent`.
-fn apply(context: &StoreContext, response: &WatchResponse, sent: Instant) {
+/// Applies the response to a watch or a read that was sent at `sent_at`, and notifies the observer.
+fn apply(context: &StoreContext, response: &WatchResponse, sent_at: Instant) {
     let (changes, revision) = {
         let mut replica = context.replica.lock();
         let changes = replica.apply(&response.events, response.revision);
@@ -193,5 +197,5 @@
     context.observer.events_received(response.events.len());
     context.replica.publish_revision(revision);
     context.observer.replica_changed(&changes);
-    context.observer.replica_confirmed(sent);
+    context.observer.replica_confirmed(sent_at);
 }
--- a/src/time.rs
+++ b/src/time.rs
@@ -2,16 +2,17 @@
 
 use std::time::{Duration, SystemTime};
 
-/// Clocks of two machines may drift apart by this part.
+/// Bound on the relative drift between the clocks of two machines: 0.5 ms per second.
 pub const CLOCK_DRIFT: f64 = 0.0005;
 
-/// Turns a number of seconds from outside into a duration; nonsense becomes zero.
+/// Converts a number of seconds from a setting or a message; zero if it is negative, not finite or too
+/// large.
 pub fn secs(value: f64) -> Duration {
     Duration::try_from_secs_f64(value).unwrap_or(Duration::ZERO)
 }
 
-/// Milliseconds since 1970; zero for a time before it.
+/// Milliseconds since the Unix epoch; zero for an earlier time.
 pub fn unix_ms(time: SystemTime) -> u64 {
-    let since = time.duration_since(SystemTime::UNIX_EPOCH);
-    since.map_or(0, |since| since.as_millis() as u64)
+    let since_epoch = time.duration_since(SystemTime::UNIX_EPOCH);
+    since_epoch.map_or(0, |since_epoch| since_epoch.as_millis() as u64)
 }
--- a/src/timing/tests.rs
+++ b/src/timing/tests.rs
@@ -2,10 +2,10 @@
 
 use super::*;
 
-/// Seen on a lean site: three leaders within twelve seconds of a quiet day, each lost to the burst
-/// of workers that came to it.
+/// On a site of small machines, three leaders in succession lost their leases within twelve seconds
+/// under little load, each during the burst of workers that connected to it.
 #[test]
-fn a_small_machine_has_a_longer_lease() {
+fn leader_lease_is_longer_on_a_small_machine() {
     let text = include_str!("../../deploy/example.toml");
     let mut settings = Settings::parse(text, "the example").unwrap();
     let mut lease_of = |cores: f64| {
--- a/tests/common/world/controllers.rs
+++ b/tests/common/world/controllers.rs
@@ -76,7 +76,7 @@
         let sent_at = self.start + Duration::from_secs_f64(sent);
         let shared = self.nodes[n].shared.clone();
         let failed = answered.failure().cloned();
-        if failed.as_ref().is_some_and(StoreError::store_unavailable) {
+        if failed.as_ref().is_some_and(StoreError::shows_outage) {
             shared.election.lock().freshness().invalidate(now);
         }
         self.note_store(n, &why, failed.as_ref(), sent);
--- a/tests/common/world/links.rs
+++ b/tests/common/world/links.rs
@@ -110,7 +110,7 @@
         };
         let sent = self.start + Duration::from_secs_f64(sent);
         let links = &self.nodes[n].shared.links;
-        if failed.is_some_and(StoreError::store_unavailable) {
+        if failed.is_some_and(StoreError::shows_outage) {
             links.store_failed(operation, sent, self.instant());
         } else {
             links.store_answered(operation, sent, self.instant());
