--- a/src/leader/freshness.rs
+++ b/src/leader/freshness.rs
@@ -23,7 +23,7 @@
         self.confirmed_at = self.confirmed_at.max(Some(sent_at));
     }
 
-    /// Records at `now` that a request failed. The connection to the store may have been lost earlier.
+    /// Records at `now` that a request failed. The store may have become unreachable earlier.
     pub fn invalidate(&mut self, now: Instant) {
         self.invalidated_at = self.invalidated_at.max(Some(now));
     }
--- a/src/leader/lease.rs
+++ b/src/leader/lease.rs
@@ -23,8 +23,8 @@
         self.id
     }
 
-    /// When the newest successful renewal, or else the grant, was sent. The lease duration counts from
-    /// this time: the store may have executed the request at any later time, so it cannot expire earlier.
+    /// When the newest successful renewal, or else the grant, was sent. This process counts the lease
+    /// duration from this time; the store executed the request later, and the lease cannot expire earlier.
     pub fn renewal_sent_at(&self) -> Instant {
         self.renewal_sent_at
     }
--- a/src/leader/role.rs
+++ b/src/leader/role.rs
@@ -44,7 +44,7 @@
     Follower(Option<LeaderHint>),
 }
 
-/// Another controller that, according to the newest information of this process, leads.
+/// The controller that leads, if it is not this one, by the newest information that this process has.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LeaderHint {
     /// The term in which it leads. Hints are ordered by the term first.
--- a/src/leader/tests.rs
+++ b/src/leader/tests.rs
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn leader_record_with_the_own_name_and_another_lease_is_not_the_own_record() {
+fn leader_record_of_another_lease_ends_the_leadership() {
     let now = Instant::now();
     let mut election = election(now);
     let record = LeaderRecord {
--- a/src/store/keys.rs
+++ b/src/store/keys.rs
@@ -1,5 +1,5 @@
-//! The keys in the key-value store and the records stored below them. No other module contains key names.
-//! They must not change between versions.
+//! The keys in the key-value store and the records stored below them. No other module contains key names,
+//! which must not change between versions.
 //!
 //! All keys share one prefix. One watch per controller therefore delivers all changes, and a replica that
 //! has reached a revision contains all records as of that revision.
@@ -198,14 +198,15 @@
 /// Record below [`inventory`].
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct InventoryRecord {
-    /// Names of the machines of this shard.
+    /// Ids of the machines of this shard.
     pub machines: Vec<String>,
 }
 
-/// Record below [`probe`]. A leader whose transactions failed writes it to detect when they succeed again.
+/// Record below [`probe`]. A leader whose transactions failed writes it to detect when they succeed again;
+/// the record has no other effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProbeRecord {
-    /// Number of probes that this process has written before, or with, this one.
+    /// Number of probes that this process has sent, including this one.
     pub count: u64,
 }
 
--- a/src/store/shared_replica.rs
+++ b/src/store/shared_replica.rs
@@ -41,7 +41,7 @@
         self.read_requested.notify_one();
     }
 
-    /// Resolves after the next call of [`request_read`](Self::request_read).
+    /// Resolves once [`request_read`](Self::request_read) has been called since this last resolved.
     pub(super) async fn wait_for_read_request(&self) {
         self.read_requested.notified().await;
     }
--- a/src/store/watch.rs
+++ b/src/store/watch.rs
@@ -48,7 +48,7 @@
             Err(error) => {
                 loaded &= error != StoreError::HistoryCompacted;
                 debug!(%error, "watch failed");
-                // While the store is unavailable, waiting queries fail at once.
+                // Waiting queries fail at once instead of waiting for the next attempt.
                 pending_reads::fail_all(context.pending_reads.take(), &error);
                 actix::clock::sleep(FAILURE_RETRY_DELAY).await;
             }
