--- a/src/actors/election/handover.rs
+++ b/src/actors/election/handover.rs
@@ -55,7 +55,7 @@
             let cluster = self.shared.cluster.lock();
             cluster
                 .as_ref()
-                .is_some_and(|cluster| cluster.hears_few_machines(now))
+                .is_some_and(|cluster| cluster.receives_few_heartbeats(now))
         };
         few_heartbeats && self.shared.links.misdirected_lately(now)
     }
--- a/src/actors/fleet.rs
+++ b/src/actors/fleet.rs
@@ -253,7 +253,7 @@
                 continue;
             };
             if let Some(cluster) = self.shared.cluster.lock().as_mut() {
-                cluster.listed(&list, now);
+                cluster.apply_machine_list(&list, now);
             }
         }
     }
@@ -266,8 +266,13 @@
         let Some(cluster) = guard.as_mut().filter(|c| c.term == self.term) else {
             return Vec::new();
         };
-        let unheard = cluster.machines.values().any(Machine::expected);
-        if unheard && now.saturating_duration_since(cluster.since) < RECONCILIATION_TIMEOUT {
+        let unheard = cluster
+            .machines
+            .values()
+            .any(Machine::awaits_first_heartbeat);
+        if unheard
+            && now.saturating_duration_since(cluster.observing_since) < RECONCILIATION_TIMEOUT
+        {
             return Vec::new();
         }
         fleet::detect_partitions(cluster, now);
@@ -344,7 +349,7 @@
         }
         self.shared.metrics.lock().counts.rented += names.len() as u64;
         if let Some(cluster) = self.shared.cluster.lock().as_mut() {
-            cluster.machines_rented(names, pool, now);
+            cluster.add_rented_machines(names, pool, now);
         }
         if complete {
             RentalOutcome::Complete
--- a/src/actors/scheduler.rs
+++ b/src/actors/scheduler.rs
@@ -140,7 +140,7 @@
         info!(?missed, "scheduling resumed after a pause");
         let mut guard = self.shared.cluster.lock();
         if let Some(cluster) = guard.as_mut().filter(|c| c.term == leadership.term) {
-            cluster.resume(missed, now);
+            cluster.resume_after_pause(missed, now);
         }
     }
 
@@ -238,17 +238,20 @@
     /// Writes records that the cluster state waits for, on condition that this controller still leads.
     async fn write(self: Rc<Self>, leadership: Leadership, mut write: RecordWrite) {
         let condition = Condition::new(keys::LEADER, leadership.version);
-        write.group.conditions.push(condition);
-        let sent = self.store.send(Commit(write.group, write.urgency)).await;
+        write.transaction.conditions.push(condition);
+        let sent = self
+            .store
+            .send(Commit(write.transaction, write.priority))
+            .await;
         let outcome = sent.unwrap_or(TransactionOutcome::Failed(StoreError::OutcomeUnknown));
-        debug!(kind = ?write.kind, urgency = ?write.urgency, "record write completed");
+        debug!(kind = ?write.kind, urgency = ?write.priority, "record write completed");
         if !outcome.committed() {
             debug!(kind = ?write.kind, ?outcome, "record write failed");
             *self.writes_backoff_until.lock() = Some(Instant::now() + WRITE_RETRY_DELAY);
         }
         if let Some(cluster) = self.shared.cluster.lock().as_mut() {
             if cluster.term == leadership.term {
-                cluster.written(&write.kind, &outcome);
+                cluster.apply_write_outcome(&write.kind, &outcome);
             }
         }
         self.shared.wake_ups.scheduler.notify_one();
@@ -289,7 +292,7 @@
         let Ok(mut answer) = sent else {
             debug!(%machine, "direct command unanswered");
             if let Some(cluster) = self.shared.cluster.lock().as_mut() {
-                cluster.command_unanswered(&machine, sent_at);
+                cluster.record_unanswered_command(&machine, sent_at);
             }
             return;
         };
--- a/src/api/admin/views.rs
+++ b/src/api/admin/views.rs
@@ -54,7 +54,7 @@
     pub(super) fn of(cluster: &Cluster, machine: &Machine, judge: &HealthJudge) -> Self {
         let now = judge.now;
         let reported = machine
-            .last_heartbeat
+            .last_heartbeat_at
             .map(|at| now.saturating_duration_since(at));
         Self {
             machine_type: machine.machine_type.clone(),
@@ -67,7 +67,7 @@
             passed_over: machine
                 .placement_refusal(now, cluster.timing.suspect_after)
                 .map(PlacementRefusal::as_str),
-            health: MachineHealth::of(judge.judge(&machine.evidence()), now),
+            health: MachineHealth::of(judge.judge(&machine.health_evidence()), now),
         }
     }
 }
@@ -99,10 +99,12 @@
             tasks: job.spec.tasks,
             done: job.done.len(),
             placed: job.placements.len(),
-            age_s: now.saturating_duration_since(job.submitted).as_secs_f64(),
+            age_s: now
+                .saturating_duration_since(job.submitted_at)
+                .as_secs_f64(),
             pending_reason: waits.then_some(job.pending_reason),
             failed_on: job.failed_on.len(),
-            suspected: job.suspected(),
+            suspected: job.is_suspected(),
         }
     }
 }
--- a/src/api/users/status.rs
+++ b/src/api/users/status.rs
@@ -46,7 +46,7 @@
 /// Completed and running tasks, as far as this node knows.
 fn task_counts(shared: &Shared, id: &JobId) -> (u32, u32) {
     if let Some(cluster) = shared.cluster.lock().as_ref() {
-        return cluster.count(id);
+        return cluster.task_counts(id);
     }
     let summary = shared.summary_cache.lock();
     summary.counts.get(id).copied().unwrap_or((0, 0))
--- a/src/capacity/mod.rs
+++ b/src/capacity/mod.rs
@@ -82,7 +82,7 @@
     /// Pools that a job may use, in one zone or any, whose machines can hold a task of it and are
     /// within its price cap.
     pub fn pools_for(&self, spec: &JobSpec, zone: Option<&str>) -> Vec<PoolId> {
-        let mut pools = self.all_pools_for(spec, zone);
+        let mut pools = self.pools_for_at_any_price(spec, zone);
         pools.retain(|id| {
             let machine_type = self.pool(*id).machine_type;
             machine_type
@@ -92,7 +92,7 @@
     }
 
     /// The same whatever they cost.
-    pub fn all_pools_for(&self, spec: &JobSpec, zone: Option<&str>) -> Vec<PoolId> {
+    pub fn pools_for_at_any_price(&self, spec: &JobSpec, zone: Option<&str>) -> Vec<PoolId> {
         let numbered = self.pools.iter().enumerate();
         numbered
             .filter(|(_, IndexedPool { pool, machine_type })| {
@@ -113,7 +113,7 @@
 
     /// Machines of some pools in which a task of this size fits, as indices into
     /// [`CapacityIndex::machines`].
-    pub fn fitting<'b>(
+    pub fn machines_fitting<'b>(
         &'b self,
         pools: &'b [PoolId],
         needed: &'b Resources,
--- a/src/capacity/price_cap.rs
+++ b/src/capacity/price_cap.rs
@@ -34,7 +34,8 @@
         spec.task_resources.fits(&machine_type.capacity)
             && zones.any(|zone| spec.allows(&machine_type.name, zone, false))
     });
-    let costs = usable.map(|machine_type| machine_type.price * dominant_share(spec, machine_type));
+    let costs =
+        usable.map(|machine_type| machine_type.hourly_price * dominant_share(spec, machine_type));
     let least = costs.fold(f64::INFINITY, f64::min);
-    machine_type.price * dominant_share(spec, machine_type) > least * PRICE_CAP_FACTOR
+    machine_type.hourly_price * dominant_share(spec, machine_type) > least * PRICE_CAP_FACTOR
 }
--- a/src/cluster/commands.rs
+++ b/src/cluster/commands.rs
@@ -153,10 +153,10 @@
     }
 
     /// A command sent at that time was not answered.
-    pub fn command_unanswered(&mut self, id: &MachineId, asked: Instant) {
+    pub fn record_unanswered_command(&mut self, id: &MachineId, asked: Instant) {
         if let Some(machine) = self.machines.get_mut(id) {
             // What was heard since shows more than this.
-            if machine.last_heartbeat.is_none_or(|at| at < asked) {
+            if machine.last_heartbeat_at.is_none_or(|at| at < asked) {
                 machine.unanswered_commands += 1;
             }
         }
@@ -181,7 +181,7 @@
         let mut contents = SummaryContents::default();
         for id in jobs {
             if self.jobs.contains_key(id) {
-                let (done, running) = self.count(id);
+                let (done, running) = self.task_counts(id);
                 let id = id.clone();
                 contents.counts.push(Counts { id, done, running });
             } else {
@@ -201,7 +201,7 @@
                     .map(|(image, gb)| (self.images.name(*image).to_owned(), *gb as f32))
                     .collect(),
             };
-            if machine.last_heartbeat.is_some() {
+            if machine.last_heartbeat_at.is_some() {
                 contents.hints.push((id.clone(), hint));
             }
         }
--- a/src/cluster/detection.rs
+++ b/src/cluster/detection.rs
@@ -15,43 +15,44 @@
 impl Cluster {
     /// Continues after a time in which we took no heartbeats: no machine counts as silent for it.
     /// When a worker's lease ends is another matter, since it counts from our last answer.
-    pub fn resume(&mut self, missed: Duration, now: Instant) {
+    pub fn resume_after_pause(&mut self, missed: Duration, now: Instant) {
         let later = |at: Instant| (at + missed).min(now);
-        self.since = later(self.since);
+        self.observing_since = later(self.observing_since);
         for machine in self.machines.values_mut() {
-            machine.last_heartbeat = machine.last_heartbeat.map(later);
-            machine.first_heartbeat = machine.first_heartbeat.map(later);
-            machine.listed_since = later(machine.listed_since);
+            machine.last_heartbeat_at = machine.last_heartbeat_at.map(later);
+            machine.first_heartbeat_at = machine.first_heartbeat_at.map(later);
+            machine.cloud_status_since = later(machine.cloud_status_since);
             machine.reachability.extend(missed);
             machine.unanswered_commands = 0;
         }
     }
 
     /// Remembers that a zone counts as cut off, or all machines if there is no name.
-    pub fn note_cut(&mut self, zone: &str, now: Instant) {
+    pub fn record_zone_partition(&mut self, zone: &str, now: Instant) {
         self.zone_cuts.insert(zone.to_owned(), now);
     }
 
     /// Whether a zone counted as cut off within `limit`.
-    pub fn cut_lately(&self, zone: &str, now: Instant, limit: Duration) -> bool {
+    pub fn zone_recently_partitioned(&self, zone: &str, now: Instant, limit: Duration) -> bool {
         let at = self.zone_cuts.get(zone);
         at.is_some_and(|at| now.saturating_duration_since(*at) < limit)
     }
 
     /// Whether hardly any machine is heard any more, although some were or should have been:
     /// either all of them are lost, or we are cut off from them.
-    pub fn hears_few_machines(&self, now: Instant) -> bool {
+    pub fn receives_few_heartbeats(&self, now: Instant) -> bool {
         // An interval and a quarter, an answer that timed out and another controller tried first.
         let limit = self.timing.heartbeat_interval.mul_f64(LATE_HEARTBEAT) + WORKER_ANSWER_TIMEOUT;
-        if now.saturating_duration_since(self.since) < limit {
+        if now.saturating_duration_since(self.observing_since) < limit {
             return false;
         }
         let (mut known, mut heard) = (0, 0);
         for (id, machine) in &self.machines {
-            if machine.last_heartbeat.is_some() || self.unreconciled.contains(id) {
+            if machine.last_heartbeat_at.is_some() || self.unreconciled.contains(id) {
                 known += 1;
-                heard +=
-                    usize::from(machine.last_heartbeat.is_some() && !machine.silent(now, limit));
+                heard += usize::from(
+                    machine.last_heartbeat_at.is_some() && !machine.heartbeat_overdue(now, limit),
+                );
             }
         }
         few_workers_reporting(known, heard)
@@ -66,7 +67,7 @@
                     + self.timing.heartbeat_interval / 2,
                 lost: self.timing.failed_after,
             },
-            receives_heartbeats: !self.hears_few_machines(now),
+            receives_heartbeats: !self.receives_few_heartbeats(now),
             now,
         }
     }
--- a/src/cluster/display.rs
+++ b/src/cluster/display.rs
@@ -5,7 +5,7 @@
 
 impl Cluster {
     /// Number of completed and of running tasks of one job, for display.
-    pub fn count(&self, id: &JobId) -> (u32, u32) {
+    pub fn task_counts(&self, id: &JobId) -> (u32, u32) {
         let Some(job) = self.jobs.get(id) else {
             return (0, 0);
         };
--- a/src/cluster/expiry.rs
+++ b/src/cluster/expiry.rs
@@ -8,7 +8,7 @@
 use crate::model::MachineId;
 
 /// How long submissions are remembered for the expected demand.
-pub const ARRIVALS_KEPT: Duration = Duration::from_secs(180);
+pub const ARRIVAL_WINDOW: Duration = Duration::from_secs(180);
 
 /// What has ended on a machine.
 #[derive(Clone, Copy, Debug)]
@@ -23,8 +23,8 @@
     fn of(machine: &Machine, now: Instant, lease: Duration, suspect_after: Duration) -> Self {
         let lease_over = |at: Instant| now.saturating_duration_since(at) > lease;
         Self {
-            lease: machine.fenced && machine.last_answered.is_some_and(lease_over),
-            suspected: machine.silent(now, suspect_after),
+            lease: machine.fenced && machine.last_response_at.is_some_and(lease_over),
+            suspected: machine.heartbeat_overdue(now, suspect_after),
         }
     }
 
@@ -59,7 +59,7 @@
             }
         }
         self.remove_all(over);
-        let recent = now.checked_sub(ARRIVALS_KEPT);
+        let recent = now.checked_sub(ARRIVAL_WINDOW);
         self.arrivals
             .retain(|(at, _)| recent.is_none_or(|recent| *at >= recent));
     }
@@ -75,7 +75,7 @@
     fn reconcile_expired(&mut self) {
         let expired = self.unreconciled.iter().filter(|id| {
             let machine = self.machines.get(*id);
-            machine.is_none_or(|machine| machine.last_answered.is_none())
+            machine.is_none_or(|machine| machine.last_response_at.is_none())
         });
         let expired: Vec<MachineId> = expired.cloned().collect();
         if !expired.is_empty() {
--- a/src/cluster/faults.rs
+++ b/src/cluster/faults.rs
@@ -50,7 +50,7 @@
 
 impl Job {
     /// Whether it has failed on several machines and has completed nothing.
-    pub fn suspected(&self) -> bool {
+    pub fn is_suspected(&self) -> bool {
         self.suspicion.is_some()
     }
 }
--- a/src/cluster/instances.rs
+++ b/src/cluster/instances.rs
@@ -32,7 +32,7 @@
             .entry(task.index)
             .or_default()
             .push(placement);
-        if job.gang() {
+        if job.is_gang() {
             job.attempt = Some(attempt);
         }
         let instance = TaskInstance {
@@ -126,7 +126,7 @@
         };
         job.stopping = true;
         let grace = if job.spec.can_checkpoint() {
-            job.spec.grace()
+            job.spec.checkpoint_grace_s()
         } else {
             0.0
         };
--- a/src/cluster/job.rs
+++ b/src/cluster/job.rs
@@ -84,7 +84,7 @@
     /// Its image.
     pub image: ImageId,
     /// When it was taken, on this process's steady clock.
-    pub submitted: Instant,
+    pub submitted_at: Instant,
     /// Version of its verdict.
     pub(super) version: u64,
     /// Its verdict.
@@ -149,7 +149,7 @@
             planned().filter(|m| !hosts.contains(*m)).cloned().collect();
         let all = hosts.len() + more.len();
         let few = all <= NAMED_MACHINES_MAX && self.dispatch_writes < DISPATCH_WRITES_MAX;
-        let gang = self.gang() && all <= NAMED_MACHINES_MAX;
+        let gang = self.is_gang() && all <= NAMED_MACHINES_MAX;
         Some(if few || gang {
             DispatchTargets::Machines(more)
         } else {
@@ -179,7 +179,7 @@
     }
 
     /// Whether it is a gang.
-    pub fn gang(&self) -> bool {
+    pub fn is_gang(&self) -> bool {
         self.spec.kind == JobKind::Gang
     }
 
@@ -201,8 +201,8 @@
     }
 
     /// When it is due.
-    pub fn due(&self) -> Option<Instant> {
+    pub fn deadline(&self) -> Option<Instant> {
         let after = crate::time::secs(self.spec.deadline_s?);
-        self.submitted.checked_add(after)
+        self.submitted_at.checked_add(after)
     }
 }
--- a/src/cluster/machine.rs
+++ b/src/cluster/machine.rs
@@ -180,11 +180,11 @@
     /// The token that tells its present incarnation from a former one whose heartbeats may yet come.
     pub(super) incarnation: FencingToken,
     /// When it was first heard in this term.
-    pub first_heartbeat: Option<Instant>,
+    pub first_heartbeat_at: Option<Instant>,
     /// When the last heartbeat arrived.
-    pub last_heartbeat: Option<Instant>,
+    pub last_heartbeat_at: Option<Instant>,
     /// When we last answered 200; its lease can't end before that plus the lease's time.
-    pub last_answered: Option<Instant>,
+    pub last_response_at: Option<Instant>,
     /// When the cloud takes it away.
     pub spot_deadline: Option<Instant>,
     /// All instances that may be on it, and exited ones in its heartbeats.
@@ -208,9 +208,9 @@
     /// What its instances add up to; see [`Machine::recount`].
     load: Load,
     /// Its state in the cloud's last list.
-    pub listed: Listed,
+    pub cloud_status: CloudStatus,
     /// Since when it is in that state.
-    pub listed_since: Instant,
+    pub cloud_status_since: Instant,
 }
 
 /// A status probe that shows whether a machine has begun again.
@@ -224,9 +224,9 @@
 
 /// A machine's state in the cloud's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Listed {
+pub enum CloudStatus {
     /// Not seen there.
-    No,
+    NotListed,
     /// Booting.
     Booting,
     /// Running.
@@ -257,9 +257,9 @@
             last_probe: None,
             unanswered_commands: 0,
             incarnation: FencingToken::default(),
-            first_heartbeat: None,
-            last_heartbeat: None,
-            last_answered: None,
+            first_heartbeat_at: None,
+            last_heartbeat_at: None,
+            last_response_at: None,
             spot_deadline: None,
             instances: BTreeMap::new(),
             inventory_record: Persistence::NotWritten,
@@ -271,20 +271,21 @@
             backoff_until: None,
             idle_since: now,
             load: Load::default(),
-            listed: Listed::No,
-            listed_since: now,
+            cloud_status: CloudStatus::NotListed,
+            cloud_status_since: now,
         }
     }
 
     /// Whether any task may be on it.
-    pub fn busy(&self) -> bool {
+    pub fn is_busy(&self) -> bool {
         self.load.tasks > 0
     }
 
     /// Whether it should be up but has sent no heartbeat in this term.
-    pub fn expected(&self) -> bool {
-        let up = self.listed == Listed::Running || self.inventory_record == Persistence::Written;
-        self.last_heartbeat.is_none() && up
+    pub fn awaits_first_heartbeat(&self) -> bool {
+        let up = self.cloud_status == CloudStatus::Running
+            || self.inventory_record == Persistence::Written;
+        self.last_heartbeat_at.is_none() && up
     }
 
     /// What is taken of it, starts not yet confirmed and stops not yet finished included.
@@ -305,11 +306,11 @@
     /// Adds up its instances again. Each scheduling cycle reads the sums of every machine, but the
     /// instances of few change between two cycles.
     pub fn recount(&mut self) {
-        self.load = self.counted();
+        self.load = self.computed_load();
     }
 
     /// The sums of its instances as they are now.
-    pub fn counted(&self) -> Load {
+    pub fn computed_load(&self) -> Load {
         let mut load = Load::default();
         for instance in self.instances.values() {
             let occupies = instance.occupies();
@@ -333,15 +334,15 @@
     }
 
     /// Whether it was up in this term and has been silent for longer than `limit`.
-    pub fn silent(&self, now: Instant, limit: Duration) -> bool {
-        self.last_heartbeat
+    pub fn heartbeat_overdue(&self, now: Instant, limit: Duration) -> bool {
+        self.last_heartbeat_at
             .is_some_and(|at| now.saturating_duration_since(at) > limit)
     }
 
     /// What speaks for and against its health.
-    pub fn evidence(&self) -> WorkerEvidence {
+    pub fn health_evidence(&self) -> WorkerEvidence {
         WorkerEvidence {
-            last_heartbeat: self.last_heartbeat,
+            last_heartbeat: self.last_heartbeat_at,
             confirmed: self.fenced && self.reachability.confirmed(),
             unacknowledged_since: self.reachability.pending_since(),
             unanswered_commands: self.unanswered_commands,
@@ -359,7 +360,10 @@
         let full = self.instances.len() >= TASKS_PER_MACHINE_MAX;
         // The first that holds is shown to operators.
         let refusals = [
-            (self.last_heartbeat.is_none(), PlacementRefusal::NoHeartbeat),
+            (
+                self.last_heartbeat_at.is_none(),
+                PlacementRefusal::NoHeartbeat,
+            ),
             (!fenced, PlacementRefusal::NotFenced),
             (
                 !self.reachability.confirmed(),
@@ -379,7 +383,10 @@
                 PlacementRefusal::Drained,
             ),
             (self.spot_deadline.is_some(), PlacementRefusal::SpotNotice),
-            (self.silent(now, suspect_after), PlacementRefusal::Suspected),
+            (
+                self.heartbeat_overdue(now, suspect_after),
+                PlacementRefusal::Suspected,
+            ),
             (in_backoff, PlacementRefusal::Backoff),
             (self.unknown_amount(), PlacementRefusal::UnknownTask),
             (full, PlacementRefusal::TooManyTasks),
@@ -433,7 +440,7 @@
     }
 
     /// Notes that it has just used an image.
-    pub fn used_image(&mut self, image: ImageId, gb: f64, cache_gb: f64) {
+    pub fn record_image_use(&mut self, image: ImageId, gb: f64, cache_gb: f64) {
         self.images.retain(|(known, _)| *known != image);
         self.images.push((image, gb));
         let mut total: f64 = self.images.iter().map(|(_, gb)| gb).sum();
--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -28,12 +28,13 @@
 use std::time::{Duration, Instant};
 
 pub use commands::AddressedCommand;
-pub use expiry::ARRIVALS_KEPT;
+pub use expiry::ARRIVAL_WINDOW;
 pub use faults::{FaultAttribution, SuspectedJob};
 pub use intern::{ImageId, Images, MachinePools, PoolId};
 pub use job::{CapacityReservation, DispatchTargets, Job, Placement};
 pub use machine::{
-    DrainReason, InstanceId, InstancePhase, Listed, Machine, Persistence, TaskInstance, Termination,
+    CloudStatus, DrainReason, InstanceId, InstancePhase, Machine, Persistence, TaskInstance,
+    Termination,
 };
 pub use placement_refusal::PlacementRefusal;
 pub use reconcile::{HeartbeatOrdering, HeartbeatSource, MessageOrder};
@@ -62,7 +63,7 @@
     /// Our term.
     pub term: Term,
     /// Since when we lead; moved on by times in which we heard nobody.
-    pub since: Instant,
+    pub observing_since: Instant,
     /// When we became leader, whatever was heard since.
     became_leader_at: Instant,
     /// Timing of the workers.
--- a/src/cluster/quota.rs
+++ b/src/cluster/quota.rs
@@ -8,7 +8,7 @@
 impl Cluster {
     /// Whether tasks of the job may be somewhere we have not heard from yet: on a machine that
     /// its record names, or on any that it may use where the record names none.
-    pub fn blocked(&self, job: &Job) -> bool {
+    pub fn may_have_unreconciled_tasks(&self, job: &Job) -> bool {
         blocked_by(&self.unreconciled, &self.machines, job)
     }
 
@@ -17,7 +17,7 @@
         let mut sums: HashMap<&str, Resources> = HashMap::new();
         for job in self.jobs.values() {
             let mut count: usize = job.placements.values().map(Vec::len).sum();
-            if self.blocked(job) {
+            if self.may_have_unreconciled_tasks(job) {
                 // Tasks of earlier terms that no heartbeat has shown yet may be running.
                 count += job.pending_count() as usize;
             }
@@ -30,7 +30,7 @@
     }
 }
 
-/// See [`Cluster::blocked`].
+/// See [`Cluster::may_have_unreconciled_tasks`].
 pub(super) fn blocked_by(
     unreconciled: &BTreeSet<MachineId>,
     machines: &BTreeMap<MachineId, Machine>,
--- a/src/cluster/reconcile/incarnation.rs
+++ b/src/cluster/reconcile/incarnation.rs
@@ -12,7 +12,7 @@
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        machine.last_answered = None;
+        machine.last_response_at = None;
         if let Some(raised) = machine.token.raised() {
             // The former incarnation never had this one; the new one gets it with the next answer.
             machine.token = raised;
--- a/src/cluster/reconcile/machine_status.rs
+++ b/src/cluster/reconcile/machine_status.rs
@@ -14,9 +14,9 @@
     /// A later epoch although our last answer should still hold the lease: the answer did not
     /// arrive.
     fn note_lost_lease(&mut self, order: MessageOrder, lease: Duration, now: Instant) {
-        let later_epoch = self.last_heartbeat.is_some() && order.epoch > self.last_message.epoch;
+        let later_epoch = self.last_heartbeat_at.is_some() && order.epoch > self.last_message.epoch;
         let lease_held = self
-            .last_answered
+            .last_response_at
             .is_some_and(|at| now.saturating_duration_since(at) < lease);
         if later_epoch && lease_held {
             warn!(machine = %self.id, epoch = order.epoch, "worker lease ended although answered");
@@ -54,9 +54,9 @@
         machine.last_message = order;
         machine.pending_probe = None;
         machine.unanswered_commands = 0;
-        machine.first_heartbeat.get_or_insert(now);
+        machine.first_heartbeat_at.get_or_insert(now);
         self.scheduling_needed |= machine.apply_spot_notice(heartbeat.notice_s, now);
-        if machine.last_heartbeat.replace(now).is_none() {
+        if machine.last_heartbeat_at.replace(now).is_none() {
             self.note_first_heartbeat(id, now);
         }
         self.apply_description(id, heartbeat);
@@ -113,7 +113,7 @@
         let was_never_fenced = machine.never_fenced;
         machine.never_fenced =
             heartbeat.token == 0 && heartbeat.tasks.is_empty() && machine.known_to_cloud;
-        let was_busy = machine.busy();
+        let was_busy = machine.is_busy();
         if was_never_fenced && !heartbeat.tasks.is_empty() {
             // It looked fresh by a late copy only, so its free capacity is not what it seemed.
             let plans = machine
--- a/src/cluster/reconcile/mod.rs
+++ b/src/cluster/reconcile/mod.rs
@@ -57,7 +57,7 @@
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        if was_busy && !machine.busy() {
+        if was_busy && !machine.is_busy() {
             machine.idle_since = now;
             self.scheduling_needed = true;
         }
--- a/src/cluster/reconcile/ordering.rs
+++ b/src/cluster/reconcile/ordering.rs
@@ -66,12 +66,12 @@
         // After a restart, late copies of the former incarnation's messages may have higher numbers.
         let former = source == HeartbeatSource::Worker
             && FencingToken(heartbeat.token) < machine.incarnation;
-        if machine.last_heartbeat.is_none() || !(former || order <= machine.last_message) {
+        if machine.last_heartbeat_at.is_none() || !(former || order <= machine.last_message) {
             return true;
         }
         let requested_since = match source {
             HeartbeatSource::Worker => false,
-            HeartbeatSource::Command(at) => machine.last_heartbeat.is_some_and(|last| at > last),
+            HeartbeatSource::Command(at) => machine.last_heartbeat_at.is_some_and(|last| at > last),
         };
         if !requested_since || order == machine.last_message {
             // A late copy, or a restarted machine that counts from one again: a probe shows which.
--- a/src/cluster/reconcile/response.rs
+++ b/src/cluster/reconcile/response.rs
@@ -43,10 +43,10 @@
 impl Cluster {
     /// Notes that a machine gets a 200 of ours, whatever the commands in it: its lease may be
     /// renewed. The token it is answered with.
-    pub fn mark_answered(&mut self, id: &MachineId, now: Instant) -> FencingToken {
+    pub fn record_response(&mut self, id: &MachineId, now: Instant) -> FencingToken {
         let first = FencingToken::first(self.term);
         self.machines.get_mut(id).map_or(first, |machine| {
-            machine.last_answered = Some(now);
+            machine.last_response_at = Some(now);
             machine.token.max(first)
         })
     }
@@ -59,7 +59,7 @@
         let Some(machine) = self.machines.get_mut(id) else {
             return commands;
         };
-        machine.last_answered = Some(now);
+        machine.last_response_at = Some(now);
         let in_reply_to = machine.last_message;
         let can_start = starts && machine.can_start(now, self.timing.suspect_after);
         for (instance, state) in &mut machine.instances {
--- a/src/cluster/reconcile/task_status.rs
+++ b/src/cluster/reconcile/task_status.rs
@@ -148,7 +148,7 @@
         let machine_type = find_machine_type(&self.catalog, &machine.machine_type);
         let cache_gb = machine_type.map_or(0.0, |machine_type| machine_type.cache_gb);
         let known = machine.has_image(image);
-        machine.used_image(image, gb, cache_gb);
+        machine.record_image_use(image, gb, cache_gb);
         if !known {
             self.unpublished.machines.insert(id.clone());
         }
@@ -170,7 +170,7 @@
         if !placements.contains(&placement) {
             placements.push(placement);
         }
-        if job.gang() && job.attempt.is_none_or(|attempt| attempt < instance.attempt) {
+        if job.is_gang() && job.attempt.is_none_or(|attempt| attempt < instance.attempt) {
             job.attempt = Some(instance.attempt);
         }
     }
@@ -185,7 +185,7 @@
         }
         if job.first_running_at.is_none() {
             job.first_running_at = Some(now);
-            let wait = now.saturating_duration_since(job.submitted);
+            let wait = now.saturating_duration_since(job.submitted_at);
             self.start_delays.push(wait);
         }
     }
--- a/src/cluster/records.rs
+++ b/src/cluster/records.rs
@@ -139,9 +139,9 @@
     /// What it is for.
     pub kind: RecordKind,
     /// Conditions and changes; the leader's own condition is added by who sends it.
-    pub group: Transaction,
+    pub transaction: Transaction,
     /// What it may go before.
-    pub urgency: WritePriority,
+    pub priority: WritePriority,
 }
 
 /// The changes that delete a job's records, but for its verdict.
@@ -187,8 +187,8 @@
     let conditions = vec![Condition::new(keys::job(id), job.version)];
     Some(RecordWrite {
         kind,
-        group: Transaction::new(conditions, delete_records(id, job, verdict)),
-        urgency,
+        transaction: Transaction::new(conditions, delete_records(id, job, verdict)),
+        priority: urgency,
     })
 }
 
@@ -240,14 +240,14 @@
             chunk,
             digits,
         },
-        group: Transaction::new(conditions, vec![Change::put(key, to_value(&record))]),
-        urgency: WritePriority::Progress,
+        transaction: Transaction::new(conditions, vec![Change::put(key, to_value(&record))]),
+        priority: WritePriority::Progress,
     })
 }
 
 impl Cluster {
     /// The writes that are due. Each is marked as under way until
-    /// [`Cluster::written`] takes its outcome.
+    /// [`Cluster::apply_write_outcome`] takes its outcome.
     ///
     /// A write of a chunk or a shard replaces the one before, so it is conditional on the
     /// version before: a write that got no answer may be applied minutes late, and must not
@@ -338,7 +338,7 @@
     /// Adds the shards of the machine inventory that the records don't show as they are.
     fn due_inventory_writes(&mut self, replica: &Replica, writes: &mut Vec<RecordWrite>) {
         for machine in self.machines.values_mut() {
-            if machine.last_heartbeat.is_some()
+            if machine.last_heartbeat_at.is_some()
                 && machine.inventory_record == Persistence::NotWritten
             {
                 machine.inventory_record = Persistence::Writing;
@@ -359,14 +359,14 @@
             let changes = vec![Change::put(key, to_value(&record))];
             writes.push(RecordWrite {
                 kind: RecordKind::Inventory { shard, machines },
-                group: Transaction::new(conditions, changes),
-                urgency: WritePriority::High,
+                transaction: Transaction::new(conditions, changes),
+                priority: WritePriority::High,
             });
         }
     }
 
     /// Takes a write's outcome. Whatever is not known to be written is written again.
-    pub fn written(&mut self, kind: &RecordKind, outcome: &TransactionOutcome) {
+    pub fn apply_write_outcome(&mut self, kind: &RecordKind, outcome: &TransactionOutcome) {
         self.scheduling_needed = true;
         let committed = outcome.committed();
         let version = match outcome {
@@ -461,7 +461,7 @@
             key: page.key,
             entries: page.entries,
         },
-        group: Transaction::new(vec![page.condition], vec![page.change]),
-        urgency,
+        transaction: Transaction::new(vec![page.condition], vec![page.change]),
+        priority: urgency,
     }
 }
--- a/src/cluster/recovery.rs
+++ b/src/cluster/recovery.rs
@@ -34,7 +34,7 @@
             DispatchLog::load(term, &replica.sent, settings.params.state.value_kb);
         let mut cluster = Self {
             term,
-            since: now,
+            observing_since: now,
             became_leader_at: now,
             timing: WorkerTiming::new(settings),
             jobs: BTreeMap::new(),
@@ -121,6 +121,6 @@
             return None;
         }
         self.reconciliation_reported = true;
-        Some(now.saturating_duration_since(self.since))
+        Some(now.saturating_duration_since(self.observing_since))
     }
 }
--- a/src/cluster/sync.rs
+++ b/src/cluster/sync.rs
@@ -5,7 +5,9 @@
 use std::time::{Duration, Instant, SystemTime};
 
 use super::done::DoneSet;
-use super::{Cluster, DispatchTargets, Job, Listed, Machine, Persistence, TerminationEvidence};
+use super::{
+    CloudStatus, Cluster, DispatchTargets, Job, Machine, Persistence, TerminationEvidence,
+};
 use crate::model::{JobId, MachineId, MachinePool, Verdict};
 use crate::pending_reason::PendingReason;
 use crate::state_summary::GONE_MACHINES_KEPT;
@@ -99,7 +101,7 @@
         Some(Job {
             spec: Arc::new(record.spec.clone()),
             image: self.images.id(&record.spec.image),
-            submitted: now.checked_sub(age).unwrap_or(now),
+            submitted_at: now.checked_sub(age).unwrap_or(now),
             version: verdict.version,
             verdict: verdict.record.verdict,
             cancellation_requested: false,
@@ -143,7 +145,7 @@
     }
 
     /// The machine is confirmed terminated, and all tasks that were on it.
-    pub fn machine_gone(&mut self, id: &MachineId) {
+    pub fn remove_terminated_machine(&mut self, id: &MachineId) {
         if let Some(machine) = self.machines.remove(id) {
             for instance in machine.instances.keys() {
                 self.remove_placement(id, instance, TerminationEvidence::ReleaseConfirmed);
@@ -161,7 +163,7 @@
     }
 
     /// Adds machines that the cloud has rented to us.
-    pub fn machines_rented(&mut self, names: &[String], pool: &MachinePool, now: Instant) {
+    pub fn add_rented_machines(&mut self, names: &[String], pool: &MachinePool, now: Instant) {
         for name in names {
             let id = MachineId(name.as_str().into());
             if self.terminated_machines.contains(&id) {
@@ -178,7 +180,7 @@
     }
 
     /// Takes the cloud's list. It lags, so absence from it is no evidence.
-    pub fn listed(&mut self, list: &[ListedMachine], now: Instant) {
+    pub fn apply_machine_list(&mut self, list: &[ListedMachine], now: Instant) {
         for entry in list {
             let id = MachineId(entry.id.as_str().into());
             if self.terminated_machines.contains(&id) {
@@ -186,7 +188,7 @@
             }
             let machine = self.machines.entry(id.clone());
             let machine = machine.or_insert_with(|| Machine::new(id, now));
-            if machine.last_heartbeat.is_none() {
+            if machine.last_heartbeat_at.is_none() {
                 machine.machine_type.clone_from(&entry.machine_type);
                 machine.zone.clone_from(&entry.zone);
                 machine.spot = entry.spot;
@@ -199,13 +201,13 @@
             }
             machine.known_to_cloud = true;
             let listed = match entry.status.as_str() {
-                "booting" => Listed::Booting,
-                "failed" => Listed::Failed,
-                _ => Listed::Running,
+                "booting" => CloudStatus::Booting,
+                "failed" => CloudStatus::Failed,
+                _ => CloudStatus::Running,
             };
-            if machine.listed != listed {
-                machine.listed = listed;
-                machine.listed_since = now;
+            if machine.cloud_status != listed {
+                machine.cloud_status = listed;
+                machine.cloud_status_since = now;
             }
         }
     }
--- a/src/fleet/demand.rs
+++ b/src/fleet/demand.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::time::Instant;
 
-use crate::cluster::{Cluster, ARRIVALS_KEPT};
+use crate::cluster::{Cluster, ARRIVAL_WINDOW};
 use crate::model::{JobSpec, MachinePool, MachineType};
 
 /// Arrivals needed to say anything about the time between them.
@@ -79,11 +79,11 @@
 
 impl ClassArrivals<'_> {
     fn likelihood(&self, cluster: &Cluster, now: Instant) -> f64 {
-        let known = now.saturating_duration_since(cluster.since);
-        if self.count < ARRIVALS_MIN && known < ARRIVALS_KEPT {
+        let known = now.saturating_duration_since(cluster.observing_since);
+        if self.count < ARRIVALS_MIN && known < ARRIVAL_WINDOW {
             return 1.0;
         }
-        let mean_s = known.min(ARRIVALS_KEPT).as_secs_f64() / self.count as f64;
+        let mean_s = known.min(ARRIVAL_WINDOW).as_secs_f64() / self.count as f64;
         let gaps = now.saturating_duration_since(self.last).as_secs_f64() / mean_s;
         let likelihood = 1.0 - (gaps - DOUBTFUL_AFTER) / (OVER_AFTER - DOUBTFUL_AFTER);
         likelihood.clamp(0.0, 1.0)
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -118,7 +118,7 @@
     let (urgent, patient): (Vec<&UnmetDemand>, Vec<&UnmetDemand>) =
         unmet_demand.iter().partition(|demand| {
             let spec = &demand.spec;
-            policy.is_urgent(&spec.class, planner.quickest_boot(spec))
+            policy.cannot_wait_for_boot(&spec.class, planner.quickest_boot(spec))
         });
     for demand in urgent {
         planner.place(demand);
--- a/src/fleet/partition.rs
+++ b/src/fleet/partition.rs
@@ -25,9 +25,9 @@
 /// the answers to them.
 pub(super) fn unresponsive(machine: &Machine, now: Instant, limit: Duration) -> bool {
     let known_for_long = machine
-        .first_heartbeat
+        .first_heartbeat_at
         .is_some_and(|first| now.saturating_duration_since(first) > limit);
-    machine.silent(now, limit)
+    machine.heartbeat_overdue(now, limit)
         || machine.reachability.overdue(now, limit)
         || (known_for_long && !machine.fenced)
 }
@@ -41,7 +41,7 @@
 /// Whether a zone counts as partitioned: that a machine there is unresponsive is no evidence that it
 /// failed, and what would be rented there could not be reached either.
 pub(super) fn partitioned(cluster: &Cluster, zone: &str, now: Instant) -> bool {
-    cluster.cut_lately(zone, now, heartbeat_delay_max(cluster))
+    cluster.zone_recently_partitioned(zone, now, heartbeat_delay_max(cluster))
 }
 
 /// Whether this controller counts as partitioned from most of all machines.
@@ -65,14 +65,14 @@
         partitions.push(ALL_ZONES.to_owned());
     }
     for zone in partitions {
-        cluster.note_cut(&zone, now);
+        cluster.record_zone_partition(&zone, now);
     }
 }
 
 /// Machines that should send heartbeats, and whether they are unresponsive.
 fn known_machines(cluster: &Cluster, now: Instant) -> impl Iterator<Item = (&Machine, bool)> {
     let timing = &cluster.timing;
-    let leader_for = now.saturating_duration_since(cluster.since);
+    let leader_for = now.saturating_duration_since(cluster.observing_since);
     // Machines that others wait for are judged before they may be declared failed: else a new leader
     // would give up a partitioned zone machine by machine before it detects the partition.
     let delay_max = heartbeat_delay_max(cluster);
@@ -82,11 +82,11 @@
         unanswered || leader_for > delay_max.min(timing.suspect_after)
     };
     let known = cluster.machines.values().filter(|machine| {
-        machine.last_heartbeat.is_some() || cluster.unreconciled.contains(&machine.id)
+        machine.last_heartbeat_at.is_some() || cluster.unreconciled.contains(&machine.id)
     });
     known.map(move |machine| {
         let unresponsive = unresponsive(machine, now, timing.suspect_after)
-            || (machine.last_heartbeat.is_none() && never_heard(machine));
+            || (machine.last_heartbeat_at.is_none() && never_heard(machine));
         (machine, unresponsive)
     })
 }
--- a/src/fleet/scale_in/failed.rs
+++ b/src/fleet/scale_in/failed.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use crate::cluster::{find_machine_type, Cluster, DrainReason, Listed, Machine, Persistence};
+use crate::cluster::{find_machine_type, CloudStatus, Cluster, DrainReason, Machine, Persistence};
 use crate::fleet::partition::{
     heartbeat_delay_max, isolated, partitioned, unresponsive, UNANSWERED_PROBES_MAX,
 };
@@ -49,14 +49,16 @@
 impl Assessment<'_> {
     fn reason(&self) -> Option<ReleaseReason> {
         let machine = self.machine;
-        if machine.listed == Listed::Failed {
+        if machine.cloud_status == CloudStatus::Failed {
             Some(ReleaseReason::Failed)
-        } else if machine.last_heartbeat.is_some() {
+        } else if machine.last_heartbeat_at.is_some() {
             self.after_heartbeats()
         } else if self.up_in_earlier_term() {
             self.unreconciled()
-        } else if machine.listed == Listed::Running {
-            let running_for = self.now.saturating_duration_since(machine.listed_since);
+        } else if machine.cloud_status == CloudStatus::Running {
+            let running_for = self
+                .now
+                .saturating_duration_since(machine.cloud_status_since);
             let timed_out = running_for > FIRST_HEARTBEAT_TIMEOUT
                 && self.leader_for() > FIRST_HEARTBEAT_TIMEOUT;
             timed_out.then_some(ReleaseReason::NeverReported)
@@ -66,7 +68,8 @@
     }
 
     fn leader_for(&self) -> Duration {
-        self.now.saturating_duration_since(self.cluster.since)
+        self.now
+            .saturating_duration_since(self.cluster.observing_since)
     }
 
     /// How long heartbeats may be missing before the machine is declared failed.
@@ -89,9 +92,9 @@
     fn after_heartbeats(&self) -> Option<ReleaseReason> {
         let machine = self.machine;
         let timeout = self.failure_timeout();
-        let drained = machine.drain.is_some() && !machine.busy();
+        let drained = machine.drain.is_some() && !machine.is_busy();
         let by_operator = machine.drain == Some(DrainReason::Operator);
-        if machine.silent(self.now, timeout) {
+        if machine.heartbeat_overdue(self.now, timeout) {
             Some(ReleaseReason::Unresponsive)
         } else if unresponsive(machine, self.now, timeout) {
             Some(ReleaseReason::Unreachable)
@@ -121,7 +124,7 @@
         let machine = self.machine;
         let age = self.now.saturating_duration_since(machine.rented_at);
         let machine_type = find_machine_type(self.cluster.catalog(), &machine.machine_type)?;
-        let hopeless = age > machine_type.boot.mul_f64(HOPELESS_BOOT_FACTOR);
+        let hopeless = age > machine_type.boot_time.mul_f64(HOPELESS_BOOT_FACTOR);
         hopeless.then_some(ReleaseReason::HopelessBoot)
     }
 }
--- a/src/fleet/scale_in/idle.rs
+++ b/src/fleet/scale_in/idle.rs
@@ -3,7 +3,7 @@
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
 
-use crate::cluster::{find_machine_type, Cluster, Machine, PoolId, ARRIVALS_KEPT};
+use crate::cluster::{find_machine_type, Cluster, Machine, PoolId, ARRIVAL_WINDOW};
 use crate::fleet::demand::ArrivalTrend;
 use crate::fleet::partition::partitioned;
 use crate::fleet::{CapacityBackoff, FleetView, Release, ReleaseReason};
@@ -56,10 +56,12 @@
 }
 
 fn is_idle(cluster: &Cluster, machine: &Machine, now: Instant) -> bool {
-    let idle =
-        machine.last_heartbeat.is_some() && machine.fenced && !machine.releasing && !machine.busy();
+    let idle = machine.last_heartbeat_at.is_some()
+        && machine.fenced
+        && !machine.releasing
+        && !machine.is_busy();
     // A machine behind a partition lost its work with its lease, not for want of demand.
-    let silent = || machine.silent(now, cluster.timing.suspect_after);
+    let silent = || machine.heartbeat_overdue(now, cluster.timing.suspect_after);
     idle && !(silent() && partitioned(cluster, &machine.zone, now))
 }
 
@@ -79,9 +81,9 @@
         ..
     } = *fleet_view;
     // What a new leader has not seen arrive may arrive yet.
-    let young = now.saturating_duration_since(cluster.since) < ARRIVALS_KEPT;
+    let young = now.saturating_duration_since(cluster.observing_since) < ARRIVAL_WINDOW;
     let replacement = replacement_price(machine_type, machine, capacity_backoff, now);
-    let price_part = (replacement / machine_type.price_of(machine.spot)).clamp(0.0, 1.0);
+    let price_part = (replacement / machine_type.hourly_price_of(machine.spot)).clamp(0.0, 1.0);
     let urgent = machine
         .pool
         .is_some_and(|pool| urgent_pools.contains(&pool));
@@ -106,7 +108,7 @@
             continue;
         };
         let urgent = cluster.arrivals.iter().any(|(_, spec)| {
-            policy.is_urgent(&spec.class, machine_type.boot)
+            policy.cannot_wait_for_boot(&spec.class, machine_type.boot_time)
                 && spec.allows(&pool.machine_type, &pool.zone, pool.spot)
                 && spec.task_resources.fits(&machine_type.capacity)
         });
@@ -125,14 +127,14 @@
     capacity_backoff: &CapacityBackoff,
     now: Instant,
 ) -> f64 {
-    let own = machine_type.price_of(machine.spot);
+    let own = machine_type.hourly_price_of(machine.spot);
     let mut spot_pools = machine_type.zones.iter().map(|zone| MachinePool {
         machine_type: machine_type.name.clone(),
         zone: zone.clone(),
         spot: true,
     });
     if spot_pools.any(|pool| capacity_backoff.likely_available(&pool, now)) {
-        own.min(machine_type.spot_price)
+        own.min(machine_type.hourly_spot_price)
     } else {
         own
     }
@@ -143,6 +145,6 @@
 /// knowing the future would have cost.
 fn replacement_time(machine: &Machine, machine_type: &MachineType) -> Duration {
     let images_gb: f64 = machine.images.iter().map(|(_, gb)| gb).sum();
-    let pull_s = images_gb / machine_type.fetch_rate.max(f64::MIN_POSITIVE);
-    machine_type.boot + crate::time::secs(pull_s)
+    let pull_s = images_gb / machine_type.pull_gb_per_s.max(f64::MIN_POSITIVE);
+    machine_type.boot_time + crate::time::secs(pull_s)
 }
--- a/src/fleet/scale_out/bins.rs
+++ b/src/fleet/scale_out/bins.rs
@@ -119,14 +119,14 @@
             continue;
         };
         *all.entry(at).or_default() += 1;
-        let boots = machine.last_heartbeat.is_none()
+        let boots = machine.last_heartbeat_at.is_none()
             && !machine.releasing
             && !cluster.unreconciled.contains(&machine.id);
         if !boots {
             continue;
         }
         let age = now.saturating_duration_since(machine.rented_at);
-        if age <= options[at].machine_type.boot.mul_f64(LATE_BOOT_FACTOR) {
+        if age <= options[at].machine_type.boot_time.mul_f64(LATE_BOOT_FACTOR) {
             booting.push((at, machine));
         } else {
             late.entry(at).or_default().push((age, machine));
--- a/src/fleet/scale_out/mod.rs
+++ b/src/fleet/scale_out/mod.rs
@@ -90,7 +90,7 @@
             spec.allows(&pool.machine_type, &pool.zone, pool.spot)
                 && spec.task_resources.fits(&option.machine_type.capacity)
         });
-        let boots = usable.map(|option| option.machine_type.boot);
+        let boots = usable.map(|option| option.machine_type.boot_time);
         boots.min().unwrap_or(Duration::ZERO)
     }
 
@@ -169,11 +169,11 @@
         usable: &[UsableOption],
         limits: &mut PackingLimits,
     ) -> u32 {
-        let zone_cap = spec.zone_cap();
+        let zone_cap = spec.max_tasks_per_zone();
         let mut left = tasks;
         for UsableOption { option: at, .. } in usable {
             let option = &self.options[*at];
-            let boot_s = option.machine_type.boot.as_secs_f64();
+            let boot_s = option.machine_type.boot_time.as_secs_f64();
             let zone = option.pool.zone.clone();
             let in_zone = limits.per_zone.entry(zone).or_default();
             for bin in &mut self.bins.by_option[*at] {
@@ -214,7 +214,7 @@
         usable: &[UsableOption],
         limits: &mut PackingLimits,
     ) {
-        let zone_cap = spec.zone_cap();
+        let zone_cap = spec.max_tasks_per_zone();
         let mut left = tasks;
         for PricedOption { usable, .. } in self.cheapest(usable) {
             let (at, each) = (usable.option, usable.tasks_per_machine);
--- a/src/fleet/scale_out/options.rs
+++ b/src/fleet/scale_out/options.rs
@@ -102,7 +102,8 @@
             } = &options[usable.option];
             PricedOption {
                 usable: *usable,
-                price: machine_type.price_of(pool.spot) / f64::from(usable.tasks_per_machine),
+                price: machine_type.hourly_price_of(pool.spot)
+                    / f64::from(usable.tasks_per_machine),
             }
         })
         .collect();
--- a/src/fleet/scale_out/spare.rs
+++ b/src/fleet/scale_out/spare.rs
@@ -30,7 +30,7 @@
     ) {
         let window = self
             .now
-            .saturating_duration_since(self.cluster.since)
+            .saturating_duration_since(self.cluster.observing_since)
             .clamp(ARRIVAL_WINDOW, ARRIVAL_WINDOW * 2);
         for (_, RecentArrivals { tasks, spec }) in self.urgent_arrivals(window) {
             let usable = self.usable(spec, None);
@@ -38,7 +38,7 @@
             let Some(first) = cheapest.first() else {
                 continue;
             };
-            let boot = self.options[first.usable.option].machine_type.boot;
+            let boot = self.options[first.usable.option].machine_type.boot_time;
             let expected = tasks / window.as_secs_f64() * boot.as_secs_f64();
             let spare = (expected + SPARE_DEVIATIONS * expected.sqrt()) * idle_policy.spare_factor;
             let spare = spare * trend.of_class(spec);
@@ -62,7 +62,7 @@
         for (at, spec) in &cluster.arrivals {
             let recent = self.now.saturating_duration_since(*at) <= window;
             let boot = self.quickest_boot(spec);
-            if recent && self.policy.is_urgent(&spec.class, boot) {
+            if recent && self.policy.cannot_wait_for_boot(&spec.class, boot) {
                 let arrivals = classes
                     .entry(&spec.class)
                     .or_insert(RecentArrivals { tasks: 0.0, spec });
--- a/src/model.rs
+++ b/src/model.rs
@@ -273,7 +273,7 @@
 
 impl JobSpec {
     /// The least number of members with which a gang runs.
-    pub fn minimum(&self) -> u32 {
+    pub fn min_running_tasks(&self) -> u32 {
         match self.kind {
             JobKind::Array | JobKind::Service => 1,
             JobKind::Gang => self.tasks,
@@ -286,7 +286,7 @@
     }
 
     /// The grace period in which a checkpoint is saved, in seconds.
-    pub fn grace(&self) -> f64 {
+    pub fn checkpoint_grace_s(&self) -> f64 {
         // One second on top, so that rounding on the way never makes it too little.
         self.checkpoint_cost_s + 1.0
     }
@@ -297,7 +297,7 @@
     }
 
     /// Most tasks in one zone, by the zone spread constraint if the job has it.
-    pub fn zone_cap(&self) -> u32 {
+    pub fn max_tasks_per_zone(&self) -> u32 {
         if self.zone_spread {
             self.tasks.div_ceil(2)
         } else {
@@ -324,26 +324,26 @@
     /// Its capacity.
     pub capacity: Resources,
     /// Price an hour.
-    pub price: f64,
+    pub hourly_price: f64,
     /// Price an hour as a spot machine, at present.
-    pub spot_price: f64,
+    pub hourly_spot_price: f64,
     /// Nominal boot time.
-    pub boot: Duration,
+    pub boot_time: Duration,
     /// Image cache in GB.
     pub cache_gb: f64,
     /// The rate of image pulls in GB a second.
-    pub fetch_rate: f64,
+    pub pull_gb_per_s: f64,
     /// Zones that have it.
     pub zones: Vec<String>,
 }
 
 impl MachineType {
     /// Price an hour, on demand or spot.
-    pub fn price_of(&self, spot: bool) -> f64 {
+    pub fn hourly_price_of(&self, spot: bool) -> f64 {
         if spot {
-            self.spot_price
+            self.hourly_spot_price
         } else {
-            self.price
+            self.hourly_price
         }
     }
 }
--- a/src/peer/heartbeats/tests.rs
+++ b/src/peer/heartbeats/tests.rs
@@ -176,7 +176,7 @@
     let answered = |shared: &Shared| {
         let cluster = shared.cluster.lock();
         let machine = cluster.as_ref().unwrap().machines.values().next().unwrap();
-        machine.last_answered
+        machine.last_response_at
     };
     assert_eq!(answered(&shared), Some(at(1)));
     // The first look at the clock comes at once, all others after a pause.
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -72,7 +72,7 @@
 
     /// Whether jobs of a class have to start so soon that they can't wait for a machine to boot. An
     /// objective that leaves time for several boots needs no spare capacity.
-    pub fn is_urgent(&self, class: &str, boot: Duration) -> bool {
+    pub fn cannot_wait_for_boot(&self, class: &str, boot: Duration) -> bool {
         let within = self.start_objectives.get(class);
         within.is_some_and(|within| *within < boot * BOOTS_PER_START)
     }
--- a/src/sched/allocate.rs
+++ b/src/sched/allocate.rs
@@ -165,7 +165,7 @@
                 && other.task_resources.fits(free)
         });
         let contention = if contested { CONTENTION_S } else { 0.0 };
-        let pull_s = self.pull_s(candidate, machine_type.fetch_rate);
+        let pull_s = self.pull_s(candidate, machine_type.pull_gb_per_s);
         // Of two machines that are alike, the more expensive one is to become idle and be released.
         let on_demand = if pool.spot { 0.0 } else { ON_DEMAND_S };
         Score {
@@ -230,7 +230,7 @@
     let eligible =
         |at: &usize| all_failed || !job.failed_on.contains(&capacity.machines[*at].machine.id);
     capacity
-        .fitting(pools, &request.spec.task_resources)
+        .machines_fitting(pools, &request.spec.task_resources)
         .filter(eligible)
         .map(|at| {
             let candidate = &capacity.machines[at];
@@ -245,10 +245,10 @@
 
 /// Pools whose machines the job may use.
 fn pools_of(view: View, job: &Job, zone: Option<&str>, capacity: &CapacityIndex) -> Vec<PoolId> {
-    let age = view.now.saturating_duration_since(job.submitted);
+    let age = view.now.saturating_duration_since(job.submitted_at);
     if past_start_deadline(job, age) {
         // Whatever it costs, it has to start.
-        capacity.all_pools_for(&job.spec, zone)
+        capacity.pools_for_at_any_price(&job.spec, zone)
     } else {
         capacity.pools_for(&job.spec, zone)
     }
@@ -265,7 +265,7 @@
     mut awaited: Option<AwaitedReleases>,
 ) -> Allocation {
     let spec = request.spec;
-    let cap = spec.zone_cap();
+    let cap = spec.max_tasks_per_zone();
     let mut in_zone: HashMap<&str, u32> = if spec.zone_spread {
         zones_of(request.view.cluster, job)
     } else {
--- a/src/sched/cycle.rs
+++ b/src/sched/cycle.rs
@@ -31,10 +31,10 @@
 
 /// Why a job is not considered at all, if it is not.
 fn excluded(view: View, job: &Job) -> Option<PendingReason> {
-    if view.cluster.blocked(job) {
+    if view.cluster.may_have_unreconciled_tasks(job) {
         Some(PendingReason::UnreconciledMachines)
     } else if job.backoff_until.is_some_and(|until| view.now < until) {
-        Some(match job.suspected() {
+        Some(match job.is_suspected() {
             true => PendingReason::TrialBackoff,
             false => PendingReason::FailureBackoff,
         })
@@ -72,7 +72,7 @@
             }
             return None;
         }
-        if job.gang() {
+        if job.is_gang() {
             self.schedule_gang(entry)
         } else {
             self.schedule_array(entry)
@@ -108,7 +108,7 @@
         // Ready when the allocated members reach the minimum, or with those that succeeded.
         let allocated = allocation.members.len() as u32;
         let placed = job.placements.len() as u32;
-        if allocated + placed + job.done.len() >= job.spec.minimum() {
+        if allocated + placed + job.done.len() >= job.spec.min_running_tasks() {
             self.team_use.insert(&job.spec.team, team_use);
             self.reserve(job, &allocation);
             self.decisions.starts.push(Start {
@@ -118,7 +118,7 @@
             });
             return None;
         }
-        if job.suspected() {
+        if job.is_suspected() {
             // Nothing is reserved, preempted or rented for it.
             self.decisions
                 .keep_pending(id, PendingReason::TrialCapacity);
@@ -133,7 +133,7 @@
     /// gang has been pending for long.
     fn reserve_for_pending_gang(&mut self, job: &Job, missing: &[u32], allocation: &Allocation) {
         let View { cluster, now, .. } = self.view;
-        let age = now.saturating_duration_since(job.submitted);
+        let age = now.saturating_duration_since(job.submitted_at);
         if let Some(reservation) = job.capacity_reserved(now) {
             // Else the preempted work would start again on the capacity that it has freed.
             let classes = &self.latency_sensitive;
@@ -182,7 +182,7 @@
         if unplaced == 0 {
             return None;
         }
-        if job.suspected() {
+        if job.is_suspected() {
             self.decisions
                 .keep_pending(id, PendingReason::TrialCapacity);
             return None;
@@ -199,9 +199,9 @@
 
     /// How many tasks of an array may start in this cycle.
     fn starts_max(&self, job: &Job) -> usize {
-        let age = self.view.now.saturating_duration_since(job.submitted);
+        let age = self.view.now.saturating_duration_since(job.submitted_at);
         let best_effort = job.spec.priority == Priority::BestEffort;
-        match (job.suspected(), job.has_placements()) {
+        match (job.is_suspected(), job.has_placements()) {
             // The first one may use machines that exceed the price cap of the others.
             (false, _) if best_effort && order::past_start_deadline(job, age) => 1,
             (false, _) => STARTS_PER_JOB_MAX,
@@ -237,7 +237,7 @@
         self.decisions.unmet_demand.push(UnmetDemand {
             spec: job.spec.clone(),
             tasks,
-            submitted: job.submitted,
+            submitted: job.submitted_at,
             complete_by: entry.objective,
             zone,
         });
@@ -254,6 +254,6 @@
     let mixed = placements.any(|placement| placement.attempt != attempt);
     // Running and succeeded members together are fewer than the minimum.
     let alive = job.placements.len() as u32 + job.done.len();
-    let broken = job.seen_running && alive < job.spec.minimum();
+    let broken = job.seen_running && alive < job.spec.min_running_tasks();
     (!mixed && !broken).then_some(AttemptChoice::Current(attempt))
 }
--- a/src/sched/decisions.rs
+++ b/src/sched/decisions.rs
@@ -130,7 +130,7 @@
         reason: GangRestartReason,
     ) {
         let id = &job.spec.id;
-        if job.gang() {
+        if job.is_gang() {
             let mut restarts = self.gang_restarts.iter();
             if !restarts.any(|restart| restart.job == *id) {
                 self.restart_gang(id, reason);
@@ -138,7 +138,7 @@
             return;
         }
         let grace_s = if job.spec.can_checkpoint() {
-            job.spec.grace()
+            job.spec.checkpoint_grace_s()
         } else {
             0.0
         };
--- a/src/sched/drain.rs
+++ b/src/sched/drain.rs
@@ -25,7 +25,7 @@
             let Some(job) = cluster.jobs.get(&id.task.job).filter(|_| !idle) else {
                 continue;
             };
-            if job.stopping || (job.gang() && !gangs_seen.insert(job.spec.id.clone())) {
+            if job.stopping || (job.is_gang() && !gangs_seen.insert(job.spec.id.clone())) {
                 continue;
             }
             if has_to_move(machine, instance, job, now) {
@@ -62,7 +62,7 @@
     // Saving takes its time; until then the task may still complete. What can't save may run
     // until the end.
     let left = deadline.saturating_duration_since(now);
-    let grace = crate::time::secs(job.spec.grace()) + TERMINATION_LATENCY;
+    let grace = crate::time::secs(job.spec.checkpoint_grace_s()) + TERMINATION_LATENCY;
     job.spec.can_checkpoint() && left <= grace + TERMINATION_LATENCY
 }
 
@@ -73,7 +73,7 @@
     job: &Job,
     decisions: &mut Decisions,
 ) {
-    if has_begun(instance) || !job.gang() || job.seen_running {
+    if has_begun(instance) || !job.is_gang() || job.seen_running {
         decisions.terminate(job, &machine.id, id, GangRestartReason::MachineLeaving);
         return;
     }
--- a/src/sched/order.rs
+++ b/src/sched/order.rs
@@ -51,15 +51,15 @@
             .map_or(&[1.0, DEADLINE_GRACE_FACTOR][..], |t| t);
         return times
             .iter()
-            .map(|times| job.submitted + due.mul_f64(*times))
+            .map(|times| job.submitted_at + due.mul_f64(*times))
             .collect();
     }
     let completion = policy.completion_objectives.get(&job.spec.class);
     let start = policy.start_objectives.get(&job.spec.class);
     let times = completion.into_iter().flatten().chain(start);
-    let mut times: Vec<Instant> = times.map(|time| job.submitted + *time).collect();
+    let mut times: Vec<Instant> = times.map(|time| job.submitted_at + *time).collect();
     if times.is_empty() {
-        times.push(job.submitted + job.spec.estimate());
+        times.push(job.submitted_at + job.spec.estimate());
     }
     times.sort();
     times
@@ -84,7 +84,7 @@
         .values()
         .filter(|job| job.is_schedulable())
         .collect();
-    jobs.sort_by_key(|job| job.submitted);
+    jobs.sort_by_key(|job| job.submitted_at);
     let mut sums: HashMap<&str, Resources> = HashMap::new();
     let mut guaranteed = HashSet::new();
     let mut entries: Vec<QueueEntry> = Vec::with_capacity(jobs.len());
@@ -92,10 +92,10 @@
         let sum = sums.entry(job.spec.team.as_str()).or_default();
         let unfinished = job.spec.tasks - job.done.len();
         // What fails everywhere holds no guarantee against work that doesn't.
-        if !job.suspected() {
+        if !job.is_suspected() {
             sum.add(&job.spec.task_resources.times(unfinished));
         }
-        let within = !job.suspected()
+        let within = !job.is_suspected()
             && policy.has_guarantee_for(&job.spec.team, &job.spec.task_resources)
             && policy.within_guarantee(&job.spec.team, sum);
         if within {
@@ -143,9 +143,9 @@
 impl QueueKey {
     fn new(entry: &QueueEntry, contested: bool, now: Instant) -> Self {
         let job = entry.job;
-        let age = now.saturating_duration_since(job.submitted);
+        let age = now.saturating_duration_since(job.submitted_at);
         let priority = Reverse(job.spec.priority);
-        if past_start_deadline(job, age) && !job.suspected() {
+        if past_start_deadline(job, age) && !job.is_suspected() {
             return Self {
                 suspected: false,
                 priority,
@@ -153,11 +153,11 @@
                 outside_guarantee: false,
                 missed_objectives: 0,
                 remaining_work: Duration::ZERO,
-                time: job.submitted,
+                time: job.submitted_at,
             };
         }
         Self {
-            suspected: job.suspected(),
+            suspected: job.is_suspected(),
             priority,
             before_start_deadline: true,
             outside_guarantee: contested && !entry.guaranteed,
--- a/src/sched/preempt/cost.rs
+++ b/src/sched/preempt/cost.rs
@@ -15,7 +15,7 @@
     } else {
         ran
     };
-    if job.gang() {
+    if job.is_gang() {
         lost * f64::from(job.spec.tasks)
     } else {
         lost
@@ -27,6 +27,6 @@
     if machine.has_image(job.image) {
         0.0
     } else {
-        job.spec.image_gb / machine_type.fetch_rate.max(f64::MIN_POSITIVE)
+        job.spec.image_gb / machine_type.pull_gb_per_s.max(f64::MIN_POSITIVE)
     }
 }
--- a/src/sched/preempt/guarantee.rs
+++ b/src/sched/preempt/guarantee.rs
@@ -16,7 +16,7 @@
 
 /// Whether a job within its team's guarantee may preempt work of other teams now.
 pub(super) fn may_reclaim(view: View, entry: &QueueEntry) -> bool {
-    let waited = view.now.saturating_duration_since(entry.job.submitted);
+    let waited = view.now.saturating_duration_since(entry.job.submitted_at);
     let delay = match view.policy.guarantee_objective {
         Some(within) => within.saturating_sub(crate::time::secs(RELEASE_WAIT_MIN_S)),
         None => RECLAIM_DELAY,
--- a/src/sched/preempt/mod.rs
+++ b/src/sched/preempt/mod.rs
@@ -98,10 +98,10 @@
             return;
         };
         // Part of its members are of no use to a gang.
-        if job.gang() && plan.ready != tasks {
+        if job.is_gang() && plan.ready != tasks {
             return;
         }
-        if job.gang() {
+        if job.is_gang() {
             let job = job.spec.id.clone();
             decisions.reservations.push(Reservation { job, zone });
         }
--- a/src/sched/preempt/releases.rs
+++ b/src/sched/preempt/releases.rs
@@ -19,14 +19,14 @@
         now,
     } = view;
     let spec = &entry.job.spec;
-    let age = now.saturating_duration_since(entry.job.submitted);
+    let age = now.saturating_duration_since(entry.job.submitted_at);
     let within = policy.start_objectives.get(&spec.class);
     let left = within.map_or(Duration::ZERO, |within| within.saturating_sub(age));
     let usable = cluster.catalog().iter().filter(|machine_type| {
         let allowed = |zone: &String| spec.allows(&machine_type.name, zone, false);
         spec.task_resources.fits(&machine_type.capacity) && machine_type.zones.iter().any(allowed)
     });
-    let rates = usable.map(|machine_type| machine_type.fetch_rate.max(f64::MIN_POSITIVE));
+    let rates = usable.map(|machine_type| machine_type.pull_gb_per_s.max(f64::MIN_POSITIVE));
     let slowest = rates.fold(f64::INFINITY, f64::min);
     let pull_s = spec.image_gb / slowest;
     let wait_s = (left.as_secs_f64() - pull_s - RELEASE_WAIT_MIN_S).max(RELEASE_WAIT_MIN_S);
@@ -61,7 +61,7 @@
         let zone = most.and_then(|zone| zone.as_deref());
         let served = releases.reserve(capacity, request(zone));
         // Capacity for a part of its members is of no use to a gang.
-        if entry.job.gang() && served < tasks {
+        if entry.job.is_gang() && served < tasks {
             tasks
         } else {
             tasks - served
--- a/src/sched/preempt/victims.rs
+++ b/src/sched/preempt/victims.rs
@@ -207,7 +207,7 @@
     /// Whether the preemptor may preempt tasks of a job.
     fn may_preempt(&self, team_use: &HashMap<&str, Resources>, victim: &Job) -> bool {
         let preemptor = self.preemptor;
-        if self.view.cluster.blocked(victim) || victim.stopping {
+        if self.view.cluster.may_have_unreconciled_tasks(victim) || victim.stopping {
             return false;
         }
         if victim.spec.priority < preemptor.job.spec.priority {
--- a/src/service/heartbeats.rs
+++ b/src/service/heartbeats.rs
@@ -47,7 +47,7 @@
     let Some(starts) = starts_allowed(shared, term, now) else {
         return not_leading;
     };
-    let token = cluster.mark_answered(&id, now);
+    let token = cluster.record_response(&id, now);
     // Terminations and clears are safe under any token that the agent still accepts. A copy or an
     // older heartbeat gets none: its agent does not wait for them.
     let commands = match verified {
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -47,11 +47,11 @@
                     gpus: entry.gpus,
                     memory: entry.memory,
                 },
-                price: entry.price,
-                spot_price: entry.spot_price,
-                boot: crate::time::secs(entry.boot_s),
+                hourly_price: entry.price,
+                hourly_spot_price: entry.spot_price,
+                boot_time: crate::time::secs(entry.boot_s),
                 cache_gb: entry.cache_gb,
-                fetch_rate: entry.fetch_rate,
+                pull_gb_per_s: entry.fetch_rate,
                 zones: entry.zones,
             })
             .collect()
--- a/tests/common/scene.rs
+++ b/tests/common/scene.rs
@@ -55,11 +55,11 @@
             gpus,
             memory: 64.0,
         },
-        price,
-        spot_price: price / 3.0,
-        boot: Duration::from_secs(40),
+        hourly_price: price,
+        hourly_spot_price: price / 3.0,
+        boot_time: Duration::from_secs(40),
         cache_gb: 50.0,
-        fetch_rate: 0.5,
+        pull_gb_per_s: 0.5,
         zones: vec!["north".to_owned(), "south".to_owned()],
     };
     vec![
@@ -225,7 +225,7 @@
 
     pub fn round_with(&mut self, writes_work: bool) -> Decisions {
         for machine in self.cluster.machines.values() {
-            assert_eq!(*machine.load(), machine.counted(), "{}", machine.id);
+            assert_eq!(*machine.load(), machine.computed_load(), "{}", machine.id);
         }
         self.cluster.expire(self.now);
         let decisions = sched::run_cycle(&self.cluster, &self.policy, self.now);
@@ -297,7 +297,7 @@
                 "write {}: {what}",
                 if works { "ok" } else { "refused" }
             ));
-            self.cluster.written(&write.kind, &outcome);
+            self.cluster.apply_write_outcome(&write.kind, &outcome);
         }
     }
 
@@ -389,7 +389,7 @@
                 age_s: 100.0,
             })
             .collect();
-        self.cluster.listed(&list, self.now);
+        self.cluster.apply_machine_list(&list, self.now);
     }
 
     /// Machines that have reported and are on the roster.
--- a/tests/common/world/controllers.rs
+++ b/tests/common/world/controllers.rs
@@ -335,7 +335,7 @@
         let shared = self.nodes[n].shared.clone();
         let mut guard = shared.cluster.lock();
         if let Some(cluster) = guard.as_mut().filter(|c| c.term == term) {
-            cluster.written(kind, outcome);
+            cluster.apply_write_outcome(kind, outcome);
         }
     }
 
@@ -356,7 +356,7 @@
             };
             if let Some((_, due)) = due.filter(|(term, _)| *term == leadership.term) {
                 if self.t - due > 1.5 {
-                    cluster.resume(Duration::from_secs_f64(self.t - due), now);
+                    cluster.resume_after_pause(Duration::from_secs_f64(self.t - due), now);
                 }
             }
             cluster.expire(now);
@@ -389,9 +389,9 @@
         };
         for mut write in writes {
             let condition = Condition::new(keys::LEADER, leadership.version);
-            write.group.conditions.push(condition);
+            write.transaction.conditions.push(condition);
             let why = RequestPurpose::Write(write.kind, leadership.term);
-            self.ask(n, StoreRequest::Multi(write.group), why);
+            self.ask(n, StoreRequest::Multi(write.transaction), why);
         }
     }
 
@@ -433,9 +433,14 @@
             let Some(cluster) = guard.as_mut() else {
                 return;
             };
-            cluster.listed(&list, now);
-            let unheard = cluster.machines.values().any(Machine::expected);
-            if unheard && now.saturating_duration_since(cluster.since) < Duration::from_secs(5) {
+            cluster.apply_machine_list(&list, now);
+            let unheard = cluster
+                .machines
+                .values()
+                .any(Machine::awaits_first_heartbeat);
+            if unheard
+                && now.saturating_duration_since(cluster.observing_since) < Duration::from_secs(5)
+            {
                 return;
             }
             fleet::detect_partitions(cluster, now);
--- a/tests/common/world/delivery.rs
+++ b/tests/common/world/delivery.rs
@@ -230,7 +230,7 @@
         let now = self.instant();
         let shared = self.nodes[n].shared.clone();
         if let Some(cluster) = shared.cluster.lock().as_mut() {
-            cluster.machines_rented(&names, &pool, now);
+            cluster.add_rented_machines(&names, &pool, now);
         }
         if names.is_empty() {
             self.nodes[n].market.exhausted(&pool, now);
--- a/tests/formats/requests.rs
+++ b/tests/formats/requests.rs
@@ -176,9 +176,9 @@
         memory: 768.0,
     };
     assert_eq!((read.name.as_str(), read.capacity), ("g8", whole));
-    assert_eq!((read.price, read.spot_price), (12.0, 4.5));
-    assert_eq!(read.boot, Duration::from_secs(45));
-    assert_eq!((read.cache_gb, read.fetch_rate), (200.0, 1.0));
+    assert_eq!((read.hourly_price, read.hourly_spot_price), (12.0, 4.5));
+    assert_eq!(read.boot_time, Duration::from_secs(45));
+    assert_eq!((read.cache_gb, read.pull_gb_per_s), (200.0, 1.0));
     assert_eq!(read.zones, ["a", "b"]);
 
     let request = RentalRequest {
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -48,13 +48,13 @@
     let writes = scene.cluster.due_writes(&replica, scene.now);
     let mut written = BTreeSet::new();
     for write in &writes {
-        assert!(write.group.changes.len() <= limits.txn_ops);
+        assert!(write.transaction.changes.len() <= limits.txn_ops);
         let RecordKind::Inventory { machines, .. } = &write.kind else {
             panic!("{:?}", write.kind);
         };
         written.extend(machines.iter().cloned());
-        let Change::Put { key, value, .. } = &write.group.changes[0] else {
-            panic!("{:?}", write.group.changes);
+        let Change::Put { key, value, .. } = &write.transaction.changes[0] else {
+            panic!("{:?}", write.transaction.changes);
         };
         // The service measures values as JSON.
         let json = serde_json::to_string(value).unwrap();
@@ -63,7 +63,7 @@
     }
     for (revision, write) in writes.iter().enumerate() {
         let outcome = TransactionOutcome::Committed(1_000 + revision as u64);
-        scene.cluster.written(&write.kind, &outcome);
+        scene.cluster.apply_write_outcome(&write.kind, &outcome);
     }
     assert_eq!(written.len(), MACHINES);
     // All shards go in two seconds' worth of changes.
@@ -79,7 +79,7 @@
     assert_eq!(scene.cluster.unreconciled, written);
     // One machine that goes costs one shard, not all of them.
     let gone = MachineId("m-c000000n".into());
-    scene.cluster.machine_gone(&gone);
+    scene.cluster.remove_terminated_machine(&gone);
     let replica = scene.replica();
     assert_eq!(scene.cluster.due_writes(&replica, scene.now).len(), 1);
 }
@@ -94,7 +94,7 @@
         for at in 0..60 {
             let known = scene.cluster.images.id(&image(number, at));
             let machine = scene.cluster.machines.get_mut(id).unwrap();
-            machine.used_image(known, 3.0, 200.0);
+            machine.record_image_use(known, 3.0, 200.0);
         }
         let machine = scene.cluster.machines.get_mut(id).unwrap();
         machine.address = format!("10.{}.{}.7:9000", number / 250, number % 250);
@@ -235,7 +235,7 @@
         }
         let replica = scene.replica();
         for write in scene.cluster.due_writes(&replica, now) {
-            for change in &write.group.changes {
+            for change in &write.transaction.changes {
                 let Change::Put { value, .. } = change else {
                     continue;
                 };
@@ -245,14 +245,19 @@
             }
             scene
                 .cluster
-                .written(&write.kind, &TransactionOutcome::Committed(5_000));
+                .apply_write_outcome(&write.kind, &TransactionOutcome::Committed(5_000));
         }
         scene.pass(0.2);
     }
-    let busy = scene.cluster.machines.values().filter(|m| m.busy()).count();
+    let busy = scene
+        .cluster
+        .machines
+        .values()
+        .filter(|m| m.is_busy())
+        .count();
     assert_eq!(busy, gangs * 16, "a machine takes one member");
     for machine in scene.cluster.machines.values() {
-        assert_eq!(*machine.load(), machine.counted(), "{}", machine.id);
+        assert_eq!(*machine.load(), machine.computed_load(), "{}", machine.id);
     }
 }
 
@@ -261,11 +266,11 @@
 fn machines_that_are_gone_are_remembered_while_a_fleet_of_4000_is_replaced_twice() {
     let mut scene = reported(10);
     let first = MachineId("m-c000000n".into());
-    scene.cluster.machine_gone(&first);
+    scene.cluster.remove_terminated_machine(&first);
     for number in 0..2 * MACHINES {
         scene
             .cluster
-            .machine_gone(&MachineId(format!("m-z{number:06}").into()));
+            .remove_terminated_machine(&MachineId(format!("m-z{number:06}").into()));
     }
     const { assert!(GONE_MACHINES_KEPT > 2 * MACHINES) };
     scene.heartbeat("m-c000000n", &[]);
--- a/tests/meetings.rs
+++ b/tests/meetings.rs
@@ -149,7 +149,7 @@
         let mut guard = self.shared.cluster.lock();
         let cluster = guard.as_mut().unwrap();
         for write in cluster.due_writes(&replica, self.now) {
-            cluster.written(&write.kind, &TransactionOutcome::Committed(11));
+            cluster.apply_write_outcome(&write.kind, &TransactionOutcome::Committed(11));
         }
     }
 
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -610,7 +610,7 @@
     assert_eq!(answered(long), 503, "its time is over");
     let cluster = shared.cluster.lock();
     let machine = cluster.as_ref().unwrap().machines.values().next().unwrap();
-    let last = machine.last_answered.unwrap();
+    let last = machine.last_response_at.unwrap();
     assert_eq!(
         last,
         start + LEADER_LEASE_MIN,
--- a/tests/silence.rs
+++ b/tests/silence.rs
@@ -78,7 +78,8 @@
     s.heartbeat("m-g1n", &[("wk-000001/0", FIRST, RUNNING, None)]);
     s.note("the leader stands still for 15 s");
     s.pass(15.0);
-    s.cluster.resume(std::time::Duration::from_secs(15), s.now);
+    s.cluster
+        .resume_after_pause(std::time::Duration::from_secs(15), s.now);
     s.heartbeat("m-g2n", &[]);
     s.heartbeat("m-g3n", &[]);
     let decisions = s.round();
@@ -86,7 +87,8 @@
     assert!(s.cluster.jobs.values().all(|job| job.has_placements()));
     s.note("and for longer than a lease");
     s.pass(22.0);
-    s.cluster.resume(std::time::Duration::from_secs(22), s.now);
+    s.cluster
+        .resume_after_pause(std::time::Duration::from_secs(22), s.now);
     let decisions = s.round();
     s.fleet(&decisions);
     let machines = s.cluster.machines.values();
--- a/tests/take_over.rs
+++ b/tests/take_over.rs
@@ -49,7 +49,8 @@
     );
     let decisions = s.round();
     s.fleet(&decisions);
-    s.cluster.machine_gone(&MachineId("m-g2n".into()));
+    s.cluster
+        .remove_terminated_machine(&MachineId("m-g2n".into()));
     s.report_as("m-g3n", (1, 1, 1), &[], true);
     s.round();
     insta::assert_snapshot!(s.log);
@@ -71,7 +72,7 @@
         // Of the questions to the south none is answered.
         for name in &names[3..] {
             s.cluster
-                .command_unanswered(&MachineId((*name).into()), s.now);
+                .record_unanswered_command(&MachineId((*name).into()), s.now);
         }
         s.log.clear();
         s.note(&format!("second {second}"));
@@ -150,7 +151,8 @@
     let decisions = s.round();
     s.fleet(&decisions);
     s.note("its return is the proof");
-    s.cluster.machine_gone(&MachineId("m-g1n".into()));
+    s.cluster
+        .remove_terminated_machine(&MachineId("m-g1n".into()));
     s.heartbeat("m-g2n", &[]);
     s.round();
     insta::assert_snapshot!(s.log);
@@ -201,16 +203,16 @@
     let mut s = Scene::new();
     let names = ["m-g1n", "m-g2n", "m-g3n", "m-g4n", "m-c1s"];
     s.machines(&names);
-    assert!(!s.cluster.hears_few_machines(s.now), "just heard");
+    assert!(!s.cluster.receives_few_heartbeats(s.now), "just heard");
     s.pass(30.0);
     s.heartbeat("m-g1n", &[]);
     s.heartbeat("m-g2n", &[]);
-    assert!(!s.cluster.hears_few_machines(s.now), "some are heard");
+    assert!(!s.cluster.receives_few_heartbeats(s.now), "some are heard");
     s.pass(30.0);
-    assert!(s.cluster.hears_few_machines(s.now));
+    assert!(s.cluster.receives_few_heartbeats(s.now));
     s.recover(2);
     assert!(
-        !s.cluster.hears_few_machines(s.now),
+        !s.cluster.receives_few_heartbeats(s.now),
         "nobody can have reported yet"
     );
 }
@@ -262,7 +264,7 @@
     let writes = s.cluster.due_writes(&replica, s.now);
     let all: Vec<String> = writes
         .iter()
-        .flat_map(|write| &write.group.changes)
+        .flat_map(|write| &write.transaction.changes)
         .map(|change| change.key().to_owned())
         .collect();
     s.note(&format!("its end writes {all:?}"));
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -85,7 +85,8 @@
     let mut s = running_gang();
     s.round();
     s.note("one machine is returned; the other member is told to stop with time to save");
-    s.cluster.machine_gone(&MachineId("m-c2n".into()));
+    s.cluster
+        .remove_terminated_machine(&MachineId("m-c2n".into()));
     s.round();
     s.note("until it is gone nothing of the gang starts");
     s.heartbeat(
@@ -112,7 +113,8 @@
     s.heartbeat("m-c1n", &[]);
     s.heartbeat("m-c2n", &[]);
     s.heartbeat("m-c1n", &[("wk-000001/0", FIRST, GATHERING, None)]);
-    s.cluster.machine_gone(&MachineId("m-c2n".into()));
+    s.cluster
+        .remove_terminated_machine(&MachineId("m-c2n".into()));
     s.round();
     s.heartbeat("m-c3n", &[]);
     insta::assert_snapshot!(s.log);
@@ -125,7 +127,8 @@
         "m-c1n",
         &[("wk-000001/0", FIRST, EXITED, Some(ExitCause::Done))],
     );
-    s.cluster.machine_gone(&MachineId("m-c2n".into()));
+    s.cluster
+        .remove_terminated_machine(&MachineId("m-c2n".into()));
     s.round();
     s.note("only the member without a result starts again; it need not wait for the other");
     insta::assert_snapshot!(s.log);
@@ -200,20 +203,20 @@
     s.heartbeat("m-g1n", &[]);
     let replica = s.replica();
     let lost = s.cluster.due_writes(&replica, s.now).remove(0);
-    s.cluster.written(
+    s.cluster.apply_write_outcome(
         &lost.kind,
         &TransactionOutcome::Failed(StoreError::OutcomeUnknown),
     );
     s.heartbeat("m-g2n", &[]);
     let again = s.cluster.due_writes(&replica, s.now).remove(0);
     s.cluster
-        .written(&again.kind, &TransactionOutcome::Committed(7));
+        .apply_write_outcome(&again.kind, &TransactionOutcome::Committed(7));
     // Both ask for the shard as it was: whichever is applied first, the other one fails.
-    assert_eq!(lost.group.conditions, again.group.conditions);
+    assert_eq!(lost.transaction.conditions, again.transaction.conditions);
     s.heartbeat("m-g3n", &[]);
     let next = s.cluster.due_writes(&replica, s.now).remove(0);
     assert_eq!(
-        next.group.conditions[0].version, 7,
+        next.transaction.conditions[0].version, 7,
         "and the next one builds on what was written"
     );
 }
--- a/tests/waiting.rs
+++ b/tests/waiting.rs
@@ -222,7 +222,7 @@
         zone: "north".to_owned(),
         spot: true,
     };
-    s.cluster.machines_rented(&names, &offer, s.now);
+    s.cluster.add_rented_machines(&names, &offer, s.now);
     s.pass(60.0);
     assert_eq!(rented(&mut s, &decisions), 0, "they may still come");
     s.pass(20.0);
@@ -253,7 +253,7 @@
         spot: false,
     };
     s.cluster
-        .machines_rented(&["m-g1n".to_owned()], &offer, s.now);
+        .add_rented_machines(&["m-g1n".to_owned()], &offer, s.now);
     s.note("the rental's answer names it");
     s.report_as("m-g1n", (1, 2, 0), &[], true);
     let decisions = s.round();
