--- a/src/capacity/mod.rs
+++ b/src/capacity/mod.rs
@@ -1,4 +1,4 @@
-//! Free capacity of machines, and capacity about to be released, as one scheduling cycle sees them.
+//! Free capacity of machines, and capacity about to be released, during one scheduling cycle.
 
 pub mod price_cap;
 pub mod releases;
@@ -12,36 +12,35 @@
 /// Free capacity of one machine.
 #[derive(Debug, Clone)]
 pub struct MachineCapacity<'a> {
-    /// The machine.
+    /// A machine that takes new tasks.
     pub machine: &'a Machine,
-    /// Its pool.
+    /// The number of its pool, as in [`CapacityIndex::pool`].
     pub pool: PoolId,
-    /// What is free.
+    /// Its type's capacity less all allocated resources; reduced as the cycle places tasks.
     pub free: Resources,
 }
 
-/// A pool with its machine type, if the catalog has that.
+/// A pool with its machine type.
 #[derive(Debug, Clone, Copy)]
 pub struct IndexedPool<'a> {
-    /// The pool.
+    /// The pool, whether or not any of its machines takes tasks.
     pub pool: &'a MachinePool,
-    /// Its machine type.
+    /// Absent if the catalog does not contain the type.
     pub machine_type: Option<&'a MachineType>,
 }
 
 /// Free capacity of all machines that take tasks, by pool.
 #[derive(Debug)]
 pub struct CapacityIndex<'a> {
-    /// All of them.
+    /// The machines, in the order of their names.
     pub machines: Vec<MachineCapacity<'a>>,
-    /// Indices into `machines`, by pool.
     by_pool: Vec<Vec<u32>>,
     pools: Vec<IndexedPool<'a>>,
     catalog: &'a [MachineType],
 }
 
 impl<'a> CapacityIndex<'a> {
-    /// The index of the cluster state.
+    /// Builds the index from the cluster state.
     pub fn of(cluster: &'a Cluster, now: Instant) -> Self {
         let pools: Vec<_> = cluster
             .pools
@@ -63,7 +62,7 @@
                 continue;
             };
             let mut free = machine_type.capacity;
-            free.sub(&machine.taken());
+            free.sub(&machine.allocated());
             by_pool[usize::from(pool.0)].push(machines.len() as u32);
             machines.push(MachineCapacity {
                 machine,
@@ -79,8 +78,8 @@
         }
     }
 
-    /// Pools that a job may use, in one zone or any, whose machines can hold a task of it and are
-    /// within its price cap.
+    /// Pools within the job's price cap that it may use, in one zone or any, whose machines
+    /// can hold a task of it.
     pub fn pools_for(&self, spec: &JobSpec, zone: Option<&str>) -> Vec<PoolId> {
         let mut pools = self.pools_for_at_any_price(spec, zone);
         pools.retain(|id| {
@@ -91,7 +90,7 @@
         pools
     }
 
-    /// The same whatever they cost.
+    /// Pools that a job may use, in one zone or any, whose machines can hold a task of it.
     pub fn pools_for_at_any_price(&self, spec: &JobSpec, zone: Option<&str>) -> Vec<PoolId> {
         let numbered = self.pools.iter().enumerate();
         numbered
@@ -102,16 +101,16 @@
                         spec.task_resources.fits(&machine_type.capacity)
                     })
             })
-            .map(|(at, _)| PoolId(at as u16))
+            .map(|(index, _)| PoolId(index as u16))
             .collect()
     }
 
-    /// A pool.
+    /// The pool with this number.
     pub fn pool(&self, id: PoolId) -> IndexedPool<'a> {
         self.pools[usize::from(id.0)]
     }
 
-    /// Machines of some pools in which a task of this size fits, as indices into
+    /// Machines of these pools with free capacity for a task, as indices into
     /// [`CapacityIndex::machines`].
     pub fn machines_fitting<'b>(
         &'b self,
@@ -122,11 +121,11 @@
             .iter()
             .flat_map(|pool| self.by_pool[usize::from(pool.0)].iter());
         machines
-            .map(|at| *at as usize)
-            .filter(|at| needed.fits(&self.machines[*at].free))
+            .map(|index| *index as usize)
+            .filter(|index| needed.fits(&self.machines[*index].free))
     }
 
-    /// Zones with machines that take tasks.
+    /// The zones with machines that take tasks, sorted.
     pub fn zones(&self) -> Vec<String> {
         let pools = self.pools.iter().zip(&self.by_pool);
         let mut zones: Vec<String> = pools
--- a/src/capacity/price_cap.rs
+++ b/src/capacity/price_cap.rs
@@ -1,17 +1,17 @@
-//! A cap on the price of machines for best-effort work: machines that cost several times what the
-//! work needs are not for it.
+//! A price cap for best-effort jobs, which excludes machines that cost several times what a
+//! task needs.
 //!
-//! Best-effort work takes whatever capacity is free. Where that is the processors of machines rented
-//! for their graphics cards, it would keep these from being released, at ten times its price.
+//! Best-effort tasks use any free capacity. On the processors of machines rented for their
+//! GPUs, they would keep these machines from being released, at ten times the price.
 
 use crate::model::{JobSpec, MachineType, Priority};
 
-/// Times the least price for the capacity that a task takes, above which a machine type is not for
-/// best-effort work. Types rented for the same resource differ by less, and so do spot and
-/// on-demand machines of one type: no objective says whether money matters more than time.
+/// A machine type is excluded if the share that a task takes of it costs more than this many
+/// times the cheapest type's. Prices of types for the same resource differ by less, as do spot
+/// and on-demand prices of one type: no objective says whether money matters more than time.
 const PRICE_CAP_FACTOR: f64 = 3.0;
 
-/// The share of a machine that a task takes: of its dominant resource.
+/// The share of the task's dominant resource in the machine's capacity.
 fn dominant_share(spec: &JobSpec, machine_type: &MachineType) -> f64 {
     let share = |need: f64, whole: f64| if need > 0.0 { need / whole } else { 0.0 };
     let (need, whole) = (&spec.task_resources, &machine_type.capacity);
@@ -20,7 +20,7 @@
     cpus.max(gpus).max(share(need.memory, whole.memory))
 }
 
-/// Whether machines of this type exceed the price cap of the job, given the others it may use.
+/// Whether machines of this type exceed the job's price cap, given the other types it may use.
 pub fn exceeds_price_cap(
     spec: &JobSpec,
     machine_type: &MachineType,
--- a/src/capacity/releases.rs
+++ b/src/capacity/releases.rs
@@ -1,4 +1,4 @@
-//! Capacity that running tasks are expected to release, by the estimates of their run times.
+//! Capacity that running tasks are expected to release, by their run time estimates.
 
 use std::collections::HashMap;
 use std::time::Instant;
@@ -7,54 +7,54 @@
 use crate::cluster::{ImageId, PoolId};
 use crate::model::{JobSpec, Resources};
 
-/// A task that outlived its estimate is expected to go on for at least this long.
+/// Expected remaining time, at least, of a task that has exceeded its estimate.
 const REMAINING_TIME_MIN_S: f64 = 3.0;
-/// Time from a task's end to the start of another in its place: its heartbeat, a scheduling cycle,
-/// and the heartbeat whose answer takes the start.
+/// Time from the end of a task to the start of another in its place: its heartbeat, a
+/// scheduling cycle, and the heartbeat whose response carries the start.
 const TURNOVER_S: f64 = 2.0;
 
 /// Capacity that a running task is expected to release.
 #[derive(Debug, Clone)]
 pub struct ExpectedRelease {
-    /// In so many seconds.
+    /// Seconds from now until another task can start in its place.
     pub after_s: f64,
     /// The machine, as an index into [`CapacityIndex::machines`].
     pub machine: usize,
-    /// What the task takes now.
+    /// The resources of the running task.
     pub resources: Resources,
 }
 
 /// Tasks of a job that could use expected releases.
 #[derive(Debug, Clone, Copy)]
 pub struct ReleaseRequest<'a> {
-    /// The job.
+    /// The job, which determines pools and resources.
     pub spec: &'a JobSpec,
-    /// The only zone in which they can go.
+    /// The only zone in which the tasks may be placed; `None`: any.
     pub zone: Option<&'a str>,
-    /// How many tasks.
+    /// The number of tasks.
     pub tasks: u32,
-    /// How long they can wait.
+    /// How long the tasks can wait, in seconds.
     pub within_s: f64,
 }
 
-/// A task that would rather wait for a machine that has its image.
+/// A task that would wait for a machine whose cache has its image.
 #[derive(Debug, Clone, Copy)]
 pub struct ImageReleaseRequest<'a> {
-    /// Pools that it may use.
+    /// The pools that it may use.
     pub pools: &'a [PoolId],
-    /// Its image.
+    /// The image of its job.
     pub image: ImageId,
-    /// How long it would take to pull the image elsewhere.
+    /// How long pulling the image on another machine would take, in seconds.
     pub within_s: f64,
 }
 
-/// Expected releases, soonest first. A task whose image would take longer to pull than capacity
-/// takes to be released, on a machine that has the image, waits for it.
+/// Expected releases, soonest first. A task waits for a release on a machine that has its image
+/// if pulling the image elsewhere takes longer.
 #[derive(Debug)]
 pub struct ExpectedReleases {
     releases: Vec<ExpectedRelease>,
     reserved: Vec<bool>,
-    /// Releases by the images of their machines, soonest first. Made when it is first needed: where
+    /// Releases by the images of their machines, soonest first. Built on first use: where
     /// images are pulled in no time, no task waits for a machine that has one.
     by_image: Option<HashMap<ImageId, Vec<u32>>>,
 }
@@ -62,16 +62,16 @@
 /// See [`ExpectedReleases`].
 fn by_image(releases: &[ExpectedRelease], capacity: &CapacityIndex) -> HashMap<ImageId, Vec<u32>> {
     let mut by_image: HashMap<ImageId, Vec<u32>> = HashMap::new();
-    for (at, release) in releases.iter().enumerate() {
+    for (index, release) in releases.iter().enumerate() {
         for (image, _) in &capacity.machines[release.machine].machine.images {
-            by_image.entry(*image).or_default().push(at as u32);
+            by_image.entry(*image).or_default().push(index as u32);
         }
     }
     by_image
 }
 
 impl ExpectedReleases {
-    /// The expected releases of all running tasks.
+    /// The expected releases of all running tasks with an estimate.
     pub fn of(capacity: &CapacityIndex, now: Instant) -> Self {
         let mut releases = Vec::new();
         for (machine, candidate) in capacity.machines.iter().enumerate() {
@@ -80,9 +80,10 @@
                     continue;
                 };
                 if instance.occupies() && spec.estimate_s > 0.0 {
-                    let ran_s = now.saturating_duration_since(since).as_secs_f64();
+                    let running_s = now.saturating_duration_since(since).as_secs_f64();
                     releases.push(ExpectedRelease {
-                        after_s: (spec.estimate_s - ran_s).max(REMAINING_TIME_MIN_S) + TURNOVER_S,
+                        after_s: (spec.estimate_s - running_s).max(REMAINING_TIME_MIN_S)
+                            + TURNOVER_S,
                         machine,
                         resources: spec.task_resources,
                     });
@@ -97,12 +98,12 @@
         }
     }
 
-    /// All releases, soonest first.
+    /// All releases, soonest first, including reserved ones.
     pub fn all(&self) -> &[ExpectedRelease] {
         &self.releases
     }
 
-    /// Releases after which a task of the request fits, each for one task.
+    /// Unreserved releases after which a task of the request fits, one per task.
     fn matching<'a>(
         &'a self,
         capacity: &'a CapacityIndex,
@@ -113,38 +114,39 @@
             .releases
             .iter()
             .take_while(move |release| release.after_s <= request.within_s);
-        let fitting = in_time.enumerate().filter(move |(at, release)| {
+        let fitting = in_time.enumerate().filter(move |(index, release)| {
             let candidate = &capacity.machines[release.machine];
             let mut free = candidate.free;
             free.add(&release.resources);
-            !self.reserved[*at]
+            !self.reserved[*index]
                 && pools.contains(&candidate.pool)
                 && request.spec.task_resources.fits(&free)
         });
-        fitting.map(|(at, _)| at).take(request.tasks as usize)
+        fitting.map(|(index, _)| index).take(request.tasks as usize)
     }
 
-    /// The number of tasks that releases could serve.
+    /// The number of the request's tasks that unreserved releases could serve.
     pub fn count(&self, capacity: &CapacityIndex, request: ReleaseRequest) -> u32 {
         self.matching(capacity, request).count() as u32
     }
 
-    /// Reserves releases for as many tasks as possible; returns their number.
+    /// Reserves releases for as many tasks as possible, and returns their number.
     pub fn reserve(&mut self, capacity: &CapacityIndex, request: ReleaseRequest) -> u32 {
         let matching: Vec<usize> = self.matching(capacity, request).collect();
-        for at in &matching {
-            self.reserved[*at] = true;
+        for index in &matching {
+            self.reserved[*index] = true;
         }
         matching.len() as u32
     }
 
-    /// Reserves the first release on a machine with the image, if there is one in time. `searched`
-    /// is how far earlier calls for the same job have searched.
+    /// Reserves the first release in time on a machine with the image, and returns whether
+    /// there was one. `next_candidate` is where the search continues after earlier calls
+    /// for the same job.
     pub fn reserve_with_image(
         &mut self,
         capacity: &CapacityIndex,
         request: ImageReleaseRequest,
-        searched: &mut usize,
+        next_candidate: &mut usize,
     ) -> bool {
         let releases = &self.releases;
         let by_image = self
@@ -153,15 +155,15 @@
         let Some(with_image) = by_image.get(&request.image) else {
             return false;
         };
-        while let Some(at) = with_image.get(*searched).map(|at| *at as usize) {
-            let release = &self.releases[at];
+        while let Some(index) = with_image.get(*next_candidate).map(|index| *index as usize) {
+            let release = &self.releases[index];
             if release.after_s >= request.within_s {
                 return false;
             }
-            *searched += 1;
+            *next_candidate += 1;
             let pool = capacity.machines[release.machine].pool;
-            if !self.reserved[at] && request.pools.contains(&pool) {
-                self.reserved[at] = true;
+            if !self.reserved[index] && request.pools.contains(&pool) {
+                self.reserved[index] = true;
                 return true;
             }
         }
--- a/src/cluster/commands.rs
+++ b/src/cluster/commands.rs
@@ -1,4 +1,4 @@
-//! Commands that go directly to the workers, and the summary for the other controllers.
+//! Commands that are sent directly to the workers, and the summary for the other controllers.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -9,70 +9,74 @@
 use crate::state_summary::{Counts, MachineSummary, SummaryContents};
 use crate::wire::{DirectCommand, WorkerCommand};
 
-/// A stop is repeated in every answer to a heartbeat; directly only after this long.
-const REPEAT_STOP: Duration = Duration::from_secs(2);
-/// A machine that was probed is not probed again sooner.
+/// Interval between direct repetitions of a stop. Every response to a heartbeat repeats it as
+/// well.
+const STOP_REPEAT_INTERVAL: Duration = Duration::from_secs(2);
+/// Shortest interval between two probes of a machine.
 const PROBE_INTERVAL: Duration = Duration::from_secs(3);
-/// Machines probed in one scheduling cycle at least: each costs about as much as a heartbeat.
+/// Lower bound of the probes per scheduling cycle: each costs about as much as a heartbeat.
 const PROBES_PER_CYCLE_MIN: usize = 40;
-/// Scheduling cycles in which all machines of an earlier term are probed once, if there are more.
+/// Scheduling cycles in which all machines of an earlier term are probed once, if there are
+/// more.
 const CYCLES_TO_PROBE_ALL: usize = 50;
-/// Processor time that a direct command takes with its connection.
+/// Processor time of a direct command with its connection.
 const COMMAND_CPU_S: f64 = 0.0003;
-/// Part of the processor for those that can wait: the machines send heartbeats by themselves in a moment.
-const COMMANDS_PART: f64 = 0.5;
+/// Fraction of the processor for commands that can be deferred. Without them, the machines send
+/// their heartbeats a moment later anyway.
+const DEFERRABLE_COMMANDS_CPU_FRACTION: f64 = 0.5;
 
-/// How many direct commands may go that can wait, by the processor's share. Seen with a small
-/// share: 767 starts planned in one cycle, and as many raised tokens delayed all else for seconds.
+/// Limits deferrable direct commands by the processor time of the controller. With few cores,
+/// 767 starts planned in one cycle raised as many tokens, which delayed all other work for
+/// seconds.
 #[derive(Debug)]
 pub struct CommandBudget {
     bucket: TokenBucket,
 }
 
 impl CommandBudget {
-    /// For a machine with such a share of a processor.
+    /// A budget for a controller with this many processor cores.
     pub fn new(cores: f64, now: Instant) -> Self {
-        let rate = cores * COMMANDS_PART / COMMAND_CPU_S;
+        let rate = cores * DEFERRABLE_COMMANDS_CPU_FRACTION / COMMAND_CPU_S;
         Self {
             bucket: TokenBucket::new(rate, now),
         }
     }
 
-    /// How many may go now.
-    fn left(&mut self, now: Instant) -> usize {
+    /// The number of commands that may be sent now.
+    fn available(&mut self, now: Instant) -> usize {
         self.bucket.level(now).max(0.0) as usize
     }
 
-    fn take(&mut self, count: usize, now: Instant) {
+    fn spend(&mut self, count: usize, now: Instant) {
         self.bucket.take(count as f64, now);
     }
 }
 
-/// Commands for one machine.
+/// Direct commands for one machine.
 #[derive(Debug)]
 pub struct AddressedCommand {
-    /// The machine.
+    /// The machine that executes the commands.
     pub machine: MachineId,
-    /// Where it takes them.
+    /// Where the machine accepts direct commands.
     pub address: String,
-    /// The commands.
+    /// The token, the epoch and the commands. A status probe has no commands.
     pub body: DirectCommand,
 }
 
 impl Cluster {
-    /// Commands to be sent directly: stops, and a raised token where a start waits for the
-    /// machine's next heartbeat, since a worker sends one at once when its token rises. A start
-    /// itself never goes this way.
+    /// Commands that are sent directly: stops, and a raised token where a start waits for
+    /// the machine's next heartbeat, since a worker sends a heartbeat at once when its
+    /// token rises. Starts are never sent directly.
     pub fn direct_commands(&mut self, now: Instant) -> Vec<AddressedCommand> {
-        let mut left = self.command_budget.left(now);
+        let mut remaining = self.command_budget.available(now);
         let per_cycle = self.unreconciled.len() / CYCLES_TO_PROBE_ALL;
         let per_cycle = per_cycle.max(PROBES_PER_CYCLE_MIN);
-        let mut all = self.status_probes(now, left.min(per_cycle));
-        let mut can_wait = all.len();
-        left = left.saturating_sub(can_wait);
+        let mut all = self.status_probes(now, remaining.min(per_cycle));
+        let mut deferrable = all.len();
+        remaining = remaining.saturating_sub(deferrable);
         for machine in self.machines.values_mut() {
-            let wanted = machine.commands_pending() && machine.fenced;
-            if !wanted || machine.address.is_empty() {
+            let commands_due = machine.commands_pending() && machine.fenced;
+            if !commands_due || machine.address.is_empty() {
                 continue;
             }
             let mut commands = Vec::new();
@@ -81,10 +85,10 @@
                     commands.push(command);
                 }
             }
-            let token_raised = left > 0 && raise_token(machine, &self.jobs, &self.timing, now);
+            let token_raised = remaining > 0 && raise_token(machine, &self.jobs, &self.timing, now);
             if token_raised {
-                left -= 1;
-                can_wait += 1;
+                remaining -= 1;
+                deferrable += 1;
             }
             if token_raised || !commands.is_empty() {
                 all.push(AddressedCommand {
@@ -98,71 +102,73 @@
                 });
             }
         }
-        self.command_budget.take(can_wait, now);
+        self.command_budget.spend(deferrable, now);
         all
     }
 
-    /// Status probes: direct commands without content, for the sake of their answers. They fence
-    /// machines that a new leader has not heard from, and show whether what looks like an old
-    /// heartbeat comes from a new incarnation.
-    fn status_probes(&mut self, now: Instant, most: usize) -> Vec<AddressedCommand> {
+    /// Status probes: direct commands without content, sent for their responses. They fence
+    /// machines from which a new leader has not received a heartbeat, and show whether an
+    /// apparently old heartbeat comes from a new incarnation.
+    fn status_probes(&mut self, now: Instant, limit: usize) -> Vec<AddressedCommand> {
         let mut all = Vec::new();
         let first = FencingToken::first(self.term);
-        let again = |at: Option<Instant>| {
+        let probe_due = |at: Option<Instant>| {
             at.is_none_or(|at| now.saturating_duration_since(at) >= PROBE_INTERVAL)
         };
-        // Machines never probed come first, then those probed longest ago: those that don't answer
-        // must not take the turn of those that would.
+        // Machines never probed come first, then those probed longest ago, so that
+        // machines that do not respond never displace those that would.
         let unreconciled = self
             .unreconciled
             .iter()
             .filter_map(|id| self.machines.get(id));
-        let due =
-            unreconciled.filter(|m| !m.fenced && !m.address.is_empty() && again(m.last_probe));
+        let due = unreconciled
+            .filter(|m| !m.fenced && !m.address.is_empty() && probe_due(m.last_probed_at));
         let mut due: Vec<(Option<Instant>, MachineId)> = due
-            .map(|machine| (machine.last_probe, machine.id.clone()))
+            .map(|machine| (machine.last_probed_at, machine.id.clone()))
             .collect();
         due.sort();
-        for (_, id) in due.into_iter().take(most) {
+        for (_, id) in due.into_iter().take(limit) {
             if let Some(machine) = self.machines.get_mut(&id) {
-                machine.last_probe = Some(now);
+                machine.last_probed_at = Some(now);
                 all.push(status_probe(machine, machine.last_message.epoch, first));
             }
         }
         for machine in self.machines.values_mut() {
             if !machine.reachability.confirmed()
-                && again(machine.last_probe)
+                && probe_due(machine.last_probed_at)
                 && !machine.address.is_empty()
             {
-                // If this arrives, its next heartbeat comes at once and confirms it.
-                machine.last_probe = Some(now);
+                // If the probe arrives, the machine sends its next heartbeat at
+                // once and confirms it.
+                machine.last_probed_at = Some(now);
                 all.push(status_probe(machine, machine.last_message.epoch, first));
                 continue;
             }
             let Some(pending) = &mut machine.pending_probe else {
                 continue;
             };
-            if !again(pending.last_sent) || machine.address.is_empty() || all.len() >= most {
+            if !probe_due(pending.last_sent_at) || machine.address.is_empty() || all.len() >= limit
+            {
                 continue;
             }
-            pending.last_sent = Some(now);
+            pending.last_sent_at = Some(now);
             let epoch = pending.epoch;
             all.push(status_probe(machine, epoch, first));
         }
         all
     }
 
-    /// A command sent at that time was not answered.
-    pub fn record_unanswered_command(&mut self, id: &MachineId, asked: Instant) {
+    /// Records that a command sent at `sent_at` got no response.
+    pub fn record_unanswered_command(&mut self, id: &MachineId, sent_at: Instant) {
         if let Some(machine) = self.machines.get_mut(id) {
-            // What was heard since shows more than this.
-            if machine.last_heartbeat_at.is_none_or(|at| at < asked) {
+            // A heartbeat received since then outweighs the missing response.
+            if machine.last_heartbeat_at.is_none_or(|at| at < sent_at) {
                 machine.unanswered_commands += 1;
             }
         }
     }
 
-    /// What changed since this was last taken, for the other controllers.
+    /// The changes since the last call, for the other controllers.
     pub fn take_summary_changes(&mut self) -> SummaryContents {
         let changed = std::mem::take(&mut self.unpublished);
         self.summary_of(changed.jobs.iter(), changed.machines.iter())
@@ -209,22 +215,21 @@
     }
 }
 
-/// A direct command without content.
 fn status_probe(machine: &Machine, epoch: u64, first: FencingToken) -> AddressedCommand {
     AddressedCommand {
         machine: machine.id.clone(),
         address: machine.address.clone(),
         body: DirectCommand {
             token: machine.token.max(first).0,
-            // Epochs begin at one.
+            // Epochs start at 1.
             epoch: epoch.max(1),
             commands: Vec::new(),
         },
     }
 }
 
-/// Raises the machine's token if a start waits for its heartbeat; whether it did. Workers heed
-/// that once in half a lease only.
+/// Raises the machine's token if a start waits for its heartbeat, and returns whether it did.
+/// Workers react to a raised token only once per half lease.
 fn raise_token(
     machine: &mut Machine,
     jobs: &BTreeMap<JobId, Job>,
@@ -232,18 +237,18 @@
     now: Instant,
 ) -> bool {
     let since = |at: Instant| now.saturating_duration_since(at);
-    let heeded = machine
+    let may_raise = machine
         .token_raised_at
         .is_none_or(|at| since(at) >= timing.lease / 2);
-    if !heeded || !machine.can_start(now, timing.suspect_after) {
+    if !may_raise || !machine.can_start(now, timing.suspect_after) {
         return false;
     }
-    let waits = machine.instances.iter().any(|(instance, state)| {
+    let start_waits = machine.instances.iter().any(|(instance, state)| {
         let job = jobs.get(&instance.task.job);
         state.phase == InstancePhase::Planned
             && job.is_some_and(|job| job.is_schedulable() && job.may_dispatch_to(&machine.id))
     });
-    let Some(raised) = machine.token.raised().filter(|_| waits) else {
+    let Some(raised) = machine.token.raised().filter(|_| start_waits) else {
         return false;
     };
     machine.token = raised;
@@ -257,16 +262,16 @@
     instance: &mut TaskInstance,
     now: Instant,
 ) -> Option<WorkerCommand> {
-    let sent = instance.is_dispatched() && instance.occupies();
-    let stop = instance.termination.as_mut().filter(|_| sent)?;
-    let saving = instance.phase == InstancePhase::Checkpointing && stop.grace_s > 0.0;
-    let recent = stop
-        .last_sent
-        .is_some_and(|at| now.saturating_duration_since(at) < REPEAT_STOP);
-    if saving || recent {
+    let may_be_present = instance.is_dispatched() && instance.occupies();
+    let stop = instance.termination.as_mut().filter(|_| may_be_present)?;
+    let checkpointing = instance.phase == InstancePhase::Checkpointing && stop.grace_s > 0.0;
+    let recently_sent = stop
+        .last_sent_at
+        .is_some_and(|at| now.saturating_duration_since(at) < STOP_REPEAT_INTERVAL);
+    if checkpointing || recently_sent {
         return None;
     }
-    stop.last_sent = Some(now);
+    stop.last_sent_at = Some(now);
     Some(WorkerCommand::Kill {
         task: id.task.to_string(),
         attempt: id.attempt.0,
--- a/src/cluster/dispatch_log.rs
+++ b/src/cluster/dispatch_log.rs
@@ -1,5 +1,5 @@
-//! The dispatch records: where starts may have been sent. Each names many jobs, so that many small
-//! jobs cost one change a batch and not one a job.
+//! The dispatch records: the machines to which starts may have been sent. Each record names
+//! many jobs, so that small jobs cost one change per batch instead of one per job.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -9,61 +9,61 @@
 use crate::store::replica::Versioned;
 use crate::store::{to_value, Change, Condition};
 
-/// Bytes that an entry takes in a record: its job, and each machine.
+/// Bytes that a job and each of its machines take in a record.
 const ENTRY_BYTES: usize = 24;
 const MACHINE_BYTES: usize = 20;
-/// Part of a value that a record fills.
-const FILL: f64 = 0.5;
-/// Records being written at once. What comes meanwhile gathers for the next one, so that records
-/// get longer with the load.
+/// Fraction of a value that a record may fill.
+const RECORD_FILL_FRACTION: f64 = 0.5;
+/// Records written concurrently. Entries that become due meanwhile are collected for the next
+/// record, so that records get longer under load.
 const WRITES_IN_FLIGHT_MAX: usize = 2;
-/// Records without a job left that are kept to be written again; more are deleted.
-const SPARE_RECORDS_KEPT: usize = 32;
+/// Records without jobs that are kept to be overwritten; any more are deleted.
+const EMPTY_RECORDS_KEPT: usize = 32;
 
-/// A job with the machines to which starts of it are to be dispatched.
+/// A job with the machines to which its starts are to be dispatched.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DispatchEntry {
-    /// The job.
+    /// The job, which is not over when the entry is written.
     pub job: JobId,
-    /// Where starts of it may go.
+    /// Machines that the record adds to the job's earlier targets.
     pub targets: DispatchTargets,
 }
 
-/// One record as it is stored.
 #[derive(Debug)]
 struct DispatchRecord {
     version: u64,
-    /// Those of its jobs that are not over.
+    /// The jobs that it names and that are not over.
     jobs: BTreeSet<JobId>,
 }
 
-/// All dispatch records.
+/// The dispatch records of all terms, as this leader last read or wrote them.
 #[derive(Debug)]
 pub struct DispatchLog {
     term: Term,
     records: BTreeMap<String, DispatchRecord>,
-    /// Which records name a job.
-    naming: HashMap<JobId, Vec<String>>,
+    /// Keys of the records that name a job.
+    records_by_job: HashMap<JobId, Vec<String>>,
     writing: BTreeSet<String>,
-    given_out: u32,
-    most_bytes: usize,
+    keys_issued: u32,
+    record_bytes_max: usize,
 }
 
-/// A record to be written, or deleted where it names no job.
+/// A record to be written, or to be deleted if it has no entries.
 #[derive(Debug)]
-pub struct DispatchPage {
-    /// Its key.
+pub struct DispatchRecordChange {
+    /// The key of the record.
     pub key: String,
-    /// What it is to name.
+    /// What the record will name.
     pub entries: Vec<DispatchEntry>,
-    /// The version that it replaces.
+    /// Requires the version that the change replaces; 0 for a new key.
     pub condition: Condition,
-    /// The change.
+    /// The put or the deletion.
     pub change: Change,
 }
 
 impl DispatchLog {
-    /// From the records, with what they say of each job.
+    /// Loads the stored records, and returns the dispatch targets of each job that they
+    /// name.
     pub fn load(
         term: Term,
         records: &BTreeMap<String, Versioned<SentRecord>>,
@@ -72,14 +72,14 @@
         let mut log = Self {
             term,
             records: BTreeMap::new(),
-            naming: HashMap::new(),
+            records_by_job: HashMap::new(),
             writing: BTreeSet::new(),
-            given_out: 0,
-            most_bytes: (value_kb * 1024.0 * FILL) as usize,
+            keys_issued: 0,
+            record_bytes_max: (value_kb * 1024.0 * RECORD_FILL_FRACTION) as usize,
         };
         let mut targets: HashMap<JobId, DispatchTargets> = HashMap::new();
-        for (key, kept) in records {
-            for (id, machines) in &kept.record.jobs {
+        for (key, stored) in records {
+            for (id, machines) in &stored.record.jobs {
                 let machines = machines.as_ref().map(|names| {
                     let ids = names.iter().map(|name| MachineId(name.as_str().into()));
                     ids.collect()
@@ -90,38 +90,41 @@
                     .or_insert_with(DispatchTargets::none);
                 known.add(more);
             }
-            let jobs = kept.record.jobs.iter().map(|(id, _)| id.clone());
-            log.enter(key.clone(), kept.version, jobs.collect());
+            let jobs = stored.record.jobs.iter().map(|(id, _)| id.clone());
+            log.insert_record(key.clone(), stored.version, jobs.collect());
         }
         (log, targets)
     }
 
-    fn enter(&mut self, key: String, version: u64, jobs: BTreeSet<JobId>) {
+    fn insert_record(&mut self, key: String, version: u64, jobs: BTreeSet<JobId>) {
         for id in &jobs {
-            self.naming.entry(id.clone()).or_default().push(key.clone());
+            self.records_by_job
+                .entry(id.clone())
+                .or_default()
+                .push(key.clone());
         }
         self.records.insert(key, DispatchRecord { version, jobs });
     }
 
-    /// The job is over: no record need name it any more.
-    pub fn over(&mut self, id: &JobId) {
-        for key in self.naming.remove(id).into_iter().flatten() {
+    /// Removes a job that is over, which no record needs to name any more.
+    pub fn remove_job(&mut self, id: &JobId) {
+        for key in self.records_by_job.remove(id).into_iter().flatten() {
             if let Some(record) = self.records.get_mut(&key) {
                 record.jobs.remove(id);
             }
         }
     }
 
-    /// Removes the jobs that are over already from the records.
-    pub fn keep(&mut self, known: impl Fn(&JobId) -> bool) {
+    /// Removes the jobs that are over already, which are those not `known`.
+    pub fn retain_jobs(&mut self, known: impl Fn(&JobId) -> bool) {
         let over: Vec<JobId> = self
-            .naming
+            .records_by_job
             .keys()
             .filter(|id| !known(id))
             .cloned()
             .collect();
         for id in over {
-            self.over(&id);
+            self.remove_job(&id);
         }
     }
 
@@ -130,29 +133,33 @@
         self.writing.len() < WRITES_IN_FLIGHT_MAX
     }
 
-    /// Whether no record is being written.
+    /// Whether no write of a record is in flight.
     pub fn is_idle(&self) -> bool {
         self.writing.is_empty()
     }
 
-    /// A record of as many entries as fit a value, taken from `entries`.
-    pub fn next_page(&mut self, entries: &mut Vec<DispatchEntry>) -> Option<DispatchPage> {
+    /// Takes as many `entries` as fit one record, and returns its write.
+    pub fn next_record_change(
+        &mut self,
+        entries: &mut Vec<DispatchEntry>,
+    ) -> Option<DispatchRecordChange> {
         let mut bytes = 0;
         let fitting = entries.iter().take_while(|entry| {
             bytes +=
                 ENTRY_BYTES + MACHINE_BYTES * entry.targets.machines().map_or(0, BTreeSet::len);
-            bytes <= self.most_bytes
+            bytes <= self.record_bytes_max
         });
-        // One that is larger than that is within the limit on its own: its machines are bounded.
+        // A single larger entry still fits a value, since its number of machines is
+        // limited.
         let count = fitting.count().max(1).min(entries.len());
         let entries: Vec<DispatchEntry> = entries.drain(..count).collect();
         if entries.is_empty() {
             return None;
         }
-        let spare = self.spare().next().cloned();
+        let spare = self.empty_records().next().cloned();
         let key = spare.unwrap_or_else(|| {
-            self.given_out += 1;
-            keys::sent(self.term, self.given_out)
+            self.keys_issued += 1;
+            keys::sent(self.term, self.keys_issued)
         });
         let record = SentRecord {
             jobs: entries
@@ -167,20 +174,25 @@
                 .collect(),
         };
         let change = Change::put(key.clone(), to_value(&record));
-        Some(self.write(key, entries, change))
+        Some(self.begin_write(key, entries, change))
     }
 
-    /// A record that nobody needs, to be deleted.
-    pub fn surplus(&mut self) -> Option<DispatchPage> {
-        let key = self.spare().nth(SPARE_RECORDS_KEPT)?.clone();
+    /// The deletion of one record without jobs, if there are more than are kept.
+    pub fn next_surplus_deletion(&mut self) -> Option<DispatchRecordChange> {
+        let key = self.empty_records().nth(EMPTY_RECORDS_KEPT)?.clone();
         let change = Change::delete(key.clone());
-        Some(self.write(key, Vec::new(), change))
+        Some(self.begin_write(key, Vec::new(), change))
     }
 
-    fn write(&mut self, key: String, entries: Vec<DispatchEntry>, change: Change) -> DispatchPage {
+    fn begin_write(
+        &mut self,
+        key: String,
+        entries: Vec<DispatchEntry>,
+        change: Change,
+    ) -> DispatchRecordChange {
         let version = self.records.get(&key).map_or(0, |record| record.version);
         self.writing.insert(key.clone());
-        DispatchPage {
+        DispatchRecordChange {
             condition: Condition::new(key.clone(), version),
             key,
             entries,
@@ -188,20 +200,21 @@
         }
     }
 
-    fn spare(&self) -> impl Iterator<Item = &String> {
+    fn empty_records(&self) -> impl Iterator<Item = &String> {
         let records = self.records.iter();
         let empty =
             records.filter(|(key, record)| record.jobs.is_empty() && !self.writing.contains(*key));
         empty.map(|(key, _)| key)
     }
 
-    /// Takes what became of a write: the version it has now, if it is known to have been applied.
-    /// Of another one nothing is known: it may be applied yet, so its key is not used again.
-    pub fn written(&mut self, key: &str, jobs: BTreeSet<JobId>, version: Option<u64>) {
+    /// Applies the outcome of a write. `version` is absent unless the write is known to be
+    /// committed. A write of unknown outcome may still be committed later, so its key is
+    /// not used again.
+    pub fn apply_write_outcome(&mut self, key: &str, jobs: BTreeSet<JobId>, version: Option<u64>) {
         self.writing.remove(key);
         self.records.remove(key);
         if let Some(version) = version.filter(|_| !jobs.is_empty()) {
-            self.enter(key.to_owned(), version, jobs);
+            self.insert_record(key.to_owned(), version, jobs);
         }
     }
 }
--- a/src/cluster/display.rs
+++ b/src/cluster/display.rs
@@ -1,10 +1,10 @@
-//! Counts for display.
+//! Task counts for the admin interface and the summary.
 
 use super::{Cluster, InstancePhase};
 use crate::model::JobId;
 
 impl Cluster {
-    /// Number of completed and of running tasks of one job, for display.
+    /// The numbers of completed and of running tasks of a job; zero for an unknown job.
     pub fn task_counts(&self, id: &JobId) -> (u32, u32) {
         let Some(job) = self.jobs.get(id) else {
             return (0, 0);
--- a/src/cluster/done/tests.rs
+++ b/src/cluster/done/tests.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn a_hundred_thousand_tasks_fit_a_few_values() {
-    let chunk = chunk_size(16.0);
+    let chunk = tasks_per_chunk(16.0);
     let mut set = DoneSet::new(100_000, chunk);
     for index in (0..100_000).step_by(2) {
         assert!(set.insert(index));
@@ -24,7 +24,7 @@
 
 #[test]
 fn a_task_is_durable_only_once_written() {
-    let mut set = DoneSet::new(3, chunk_size(16.0));
+    let mut set = DoneSet::new(3, tasks_per_chunk(16.0));
     set.insert(1);
     assert!(set.contains(1) && !set.is_durable(1));
     let digits = set.encode(0);
--- a/src/cluster/expiry.rs
+++ b/src/cluster/expiry.rs
@@ -1,4 +1,4 @@
-//! What time alone ends.
+//! Expiry of leases, of plans for suspected machines and of old submissions.
 
 use std::time::{Duration, Instant};
 
@@ -7,31 +7,32 @@
 use super::{Cluster, InstanceId, Machine, TaskInstance, TerminationEvidence};
 use crate::model::MachineId;
 
-/// How long submissions are remembered for the expected demand.
+/// How long submissions are kept for the estimate of the expected demand.
 pub const ARRIVAL_WINDOW: Duration = Duration::from_secs(180);
 
-/// What has ended on a machine.
+/// What has expired on one machine.
 #[derive(Clone, Copy, Debug)]
 struct Expiry {
-    /// The worker's lease is over, and with it all that was dispatched.
-    lease: bool,
-    /// The machine is suspected: plans for it are dropped.
+    /// The worker's lease has expired, so that all its dispatched tasks have ended.
+    lease_expired: bool,
+    /// The machine's heartbeats are late, so that plans for it are dropped.
     suspected: bool,
 }
 
 impl Expiry {
     fn of(machine: &Machine, now: Instant, lease: Duration, suspect_after: Duration) -> Self {
-        let lease_over = |at: Instant| now.saturating_duration_since(at) > lease;
+        let lease_expired = |at: Instant| now.saturating_duration_since(at) > lease;
         Self {
-            lease: machine.fenced && machine.last_response_at.is_some_and(lease_over),
+            lease_expired: machine.fenced && machine.last_response_at.is_some_and(lease_expired),
             suspected: machine.heartbeat_overdue(now, suspect_after),
         }
     }
 
-    /// Silence frees a plan, since nothing was dispatched; a start needs evidence.
+    /// Late heartbeats suffice to drop a plan, since nothing was dispatched; a dispatched
+    /// start needs proof that it ended.
     fn evidence(self, state: &TaskInstance) -> Option<TerminationEvidence> {
         if state.is_dispatched() {
-            self.lease
+            self.lease_expired
                 .then_some(TerminationEvidence::WorkerLeaseExpired)
         } else {
             self.suspected
@@ -41,37 +42,38 @@
 }
 
 impl Cluster {
-    /// Ends what time alone ends. Only to be called while we lead.
+    /// Removes whatever ends by time alone. Only the current leader may call this.
     pub fn expire(&mut self, now: Instant) {
         if now.saturating_duration_since(self.became_leader_at) > self.timing.inherited_lease {
             self.reconcile_expired();
         }
-        let mut over = Vec::new();
+        let mut ended = Vec::new();
         for (id, machine) in &self.machines {
             let expiry = Expiry::of(machine, now, self.timing.lease, self.timing.suspect_after);
-            if !(expiry.lease || expiry.suspected) {
+            if !(expiry.lease_expired || expiry.suspected) {
                 continue;
             }
             for (instance, state) in &machine.instances {
                 if let Some(evidence) = expiry.evidence(state) {
-                    over.push((id.clone(), instance.clone(), evidence));
+                    ended.push((id.clone(), instance.clone(), evidence));
                 }
             }
         }
-        self.remove_all(over);
+        self.remove_instances(ended);
         let recent = now.checked_sub(ARRIVAL_WINDOW);
         self.arrivals
             .retain(|(at, _)| recent.is_none_or(|recent| *at >= recent));
     }
 
-    fn remove_all(&mut self, over: Vec<(MachineId, InstanceId, TerminationEvidence)>) {
-        for (machine, instance, evidence) in over {
+    fn remove_instances(&mut self, ended: Vec<(MachineId, InstanceId, TerminationEvidence)>) {
+        for (machine, instance, evidence) in ended {
             self.remove_instance(&machine, &instance, evidence);
         }
     }
 
-    /// Machines of earlier terms that this leader has not answered hold no tasks any more. How
-    /// long to wait for the machines themselves is another matter.
+    /// Reconciles machines of earlier terms to which this leader has sent no response:
+    /// their leases have expired, so they hold no tasks. When such machines are released is
+    /// decided separately.
     fn reconcile_expired(&mut self) {
         let expired = self.unreconciled.iter().filter(|id| {
             let machine = self.machines.get(*id);
--- a/src/cluster/faults.rs
+++ b/src/cluster/faults.rs
@@ -1,7 +1,8 @@
-//! Whose fault it is when tasks fail: their machine's, or their user's, whose job can never succeed.
+//! Attribution of task failures to a faulty machine or to a job that can never succeed.
 //!
-//! A job that can never succeed fails on every machine and never completes a task; a machine that is
-//! faulty fails every job. What completes anywhere tells the one from the other.
+//! A job that can never succeed fails on every machine and never completes a task; a faulty
+//! machine fails every job. Completed tasks of the same job elsewhere distinguish the two
+//! cases.
 
 use std::time::{Duration, Instant};
 
@@ -11,39 +12,40 @@
 use super::{Cluster, Job};
 use crate::model::{JobId, MachineId};
 
-/// Distinct jobs that fail on a machine, and complete elsewhere, before it is quarantined.
-const PROVEN_JOBS: usize = 2;
-/// Distinct jobs that fail on a machine, whatever becomes of them elsewhere, before it is
-/// quarantined. Two jobs may both be at fault.
-const ANY_JOBS: usize = 3;
-/// Machines on which a job fails, before it has completed anything, until the job is suspected.
+/// Distinct jobs that fail on a machine and complete tasks elsewhere until it is quarantined.
+const PROVEN_JOBS_TO_QUARANTINE: usize = 2;
+/// Distinct jobs that fail on a machine until it is quarantined, whatever their results
+/// elsewhere. Three, since two jobs may both be faulty themselves.
+const JOBS_TO_QUARANTINE: usize = 3;
+/// Machines on which a job without a completed task fails until the job is suspected.
 const MACHINES_TO_SUSPECT: usize = 3;
-/// How long a machine gets no new tasks after a failure, so that a faulty one does not draw all tasks.
+/// How long a machine gets no new tasks after a failure, so that a faulty machine does not attract all tasks.
 const MACHINE_BACKOFF: Duration = Duration::from_secs(10);
-/// The backoff of a suspected job after its first trial, and at most: each one that fails
-/// doubles it. Its user may notice late, or never.
-const JOB_BACKOFF: Duration = Duration::from_secs(15);
+/// First and longest backoff of a suspected job; each failed trial doubles it. The job's user
+/// may notice the failure late or never.
+const JOB_BACKOFF_INITIAL: Duration = Duration::from_secs(15);
 const JOB_BACKOFF_MAX: Duration = Duration::from_secs(120);
 
 /// A job that failed on a machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FaultAttribution {
-    /// The job.
+    /// The job, at most once per machine.
     pub job: JobId,
-    /// Whether it has completed something elsewhere, so that the fault is not its own.
+    /// Whether the job has completed tasks elsewhere, which proves that the machine is at
+    /// fault.
     pub(super) proven: bool,
 }
 
-/// Trials of a job that fails wherever it is started.
+/// The trials of a job that fails on every machine.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SuspectedJob {
-    /// Those that have failed since the job is suspected.
-    pub(super) trials: u32,
+    /// Trials that have failed since the job became suspected.
+    pub(super) failed_trials: u32,
 }
 
 impl SuspectedJob {
     fn backoff(&self) -> Duration {
-        let doubled = JOB_BACKOFF.saturating_mul(1 << self.trials.min(8));
+        let doubled = JOB_BACKOFF_INITIAL.saturating_mul(1 << self.failed_trials.min(8));
         doubled.min(JOB_BACKOFF_MAX)
     }
 }
@@ -56,18 +58,17 @@
 }
 
 impl Machine {
-    /// Quarantines the machine once enough jobs have failed on it.
     fn quarantine_if_faulty(&mut self) {
         let proven = self.faults.iter().filter(|fault| fault.proven).count();
-        let guilty = proven >= PROVEN_JOBS || self.faults.len() >= ANY_JOBS;
-        if guilty && self.drain.is_none() {
+        let faulty = proven >= PROVEN_JOBS_TO_QUARANTINE || self.faults.len() >= JOBS_TO_QUARANTINE;
+        if faulty && self.drain.is_none() {
             warn!(machine = %self.id, faults = ?self.faults, "machine declared faulty");
             self.drain = Some(DrainReason::Faulty);
         }
     }
 
-    /// The job's failures are its own.
-    fn exonerate(&mut self, job: &JobId) {
+    /// Discards the failures of a job that is itself at fault.
+    fn discard_faults_of(&mut self, job: &JobId) {
         self.faults.retain(|fault| fault.job != *job);
         if self.faults.is_empty() {
             self.backoff_until = None;
@@ -79,16 +80,16 @@
 }
 
 impl Cluster {
-    /// A task of the job has failed there.
+    /// Records that a task of the job has failed on the machine.
     pub(super) fn attribute_failure(&mut self, id: &MachineId, job_id: &JobId, now: Instant) {
         let Some(job) = self.jobs.get_mut(job_id) else {
             return;
         };
         job.failed_on.insert(id.clone());
         if let Some(suspicion) = &mut job.suspicion {
-            // Several tasks of one trial fail together.
+            // Several tasks of one trial fail together and count once.
             if job.backoff_until.is_none_or(|until| now >= until) {
-                suspicion.trials += 1;
+                suspicion.failed_trials += 1;
                 job.backoff_until = Some(now + suspicion.backoff());
             }
             return;
@@ -100,7 +101,7 @@
             job.suspicion = Some(suspicion);
             for machine in job.failed_on.clone() {
                 if let Some(machine) = self.machines.get_mut(&machine) {
-                    machine.exonerate(job_id);
+                    machine.discard_faults_of(job_id);
                 }
             }
             return;
@@ -120,8 +121,8 @@
         machine.quarantine_if_faulty();
     }
 
-    /// A task of the job has completed there: neither can be at fault, and where the job failed
-    /// the machine was.
+    /// Records that a task of the job has completed on the machine: neither is at fault, so
+    /// the job's failures elsewhere were due to the machines.
     pub(super) fn note_completion(&mut self, id: &MachineId, job_id: &JobId) {
         if let Some(machine) = self.machines.get_mut(id) {
             machine.faults.clear();
@@ -136,7 +137,7 @@
         self.confirm_machine_faults(job_id);
     }
 
-    /// The job runs elsewhere: where it failed, its machine was at fault.
+    /// Marks the job's failures as faults of the machines, since the job runs elsewhere.
     pub(super) fn confirm_machine_faults(&mut self, job_id: &JobId) {
         let Some(job) = self.jobs.get(job_id) else {
             return;
--- a/src/cluster/instances.rs
+++ b/src/cluster/instances.rs
@@ -1,7 +1,7 @@
 //! Planning and termination of task instances.
 //!
-//! Every placement ends in [`Cluster::remove_placement`], which is given the evidence that the
-//! task is not on the machine.
+//! Every placement ends in [`Cluster::remove_placement`], whose caller passes the evidence that
+//! the task is not on the machine.
 
 use std::time::Instant;
 
@@ -11,21 +11,22 @@
 use crate::model::{Attempt, JobId, MachineId, TaskId};
 
 impl Cluster {
-    /// A new attempt number; never given out before in any term.
+    /// A new attempt number, unique among all terms.
     pub fn next_attempt(&mut self) -> Attempt {
         self.attempts_issued += 1;
         Attempt::of(self.term, self.attempts_issued)
     }
 
-    /// Plans a start. Nothing is dispatched before [`Cluster::respond`] finds it safe.
-    pub fn plan(&mut self, task: &TaskId, machine: &MachineId, attempt: Attempt, now: Instant) {
-        let (Some(job), Some(host)) =
-            (self.jobs.get_mut(&task.job), self.machines.get_mut(machine))
-        else {
+    /// Plans a start. Nothing is dispatched until [`Cluster::respond`] finds it safe.
+    pub fn plan(&mut self, task: &TaskId, machine_id: &MachineId, attempt: Attempt, now: Instant) {
+        let (Some(job), Some(machine)) = (
+            self.jobs.get_mut(&task.job),
+            self.machines.get_mut(machine_id),
+        ) else {
             return;
         };
         let placement = Placement {
-            machine: machine.clone(),
+            machine: machine_id.clone(),
             attempt,
         };
         job.placements
@@ -47,33 +48,34 @@
             task: task.clone(),
             attempt,
         };
-        host.instances.insert(id, instance);
-        host.recount();
+        machine.instances.insert(id, instance);
+        machine.update_load();
     }
 
-    /// Requests the termination of a task. A start that was never dispatched is simply dropped.
-    pub fn stop(&mut self, machine: &MachineId, instance: &InstanceId, grace_s: f64) {
-        let Some(host) = self.machines.get_mut(machine) else {
+    /// Requests the termination of a task, and drops a start that was never dispatched.
+    pub fn stop(&mut self, machine_id: &MachineId, instance: &InstanceId, grace_s: f64) {
+        let Some(machine) = self.machines.get_mut(machine_id) else {
             return;
         };
-        let Some(state) = host.instances.get_mut(instance) else {
+        let Some(state) = machine.instances.get_mut(instance) else {
             return;
         };
         if !state.is_dispatched() {
-            self.remove_instance(machine, instance, TerminationEvidence::NeverDispatched);
+            self.remove_instance(machine_id, instance, TerminationEvidence::NeverDispatched);
             return;
         }
         if !state.occupies() {
             return;
         }
-        // A cancellation overrides a checkpoint that is under way.
+        // A shorter grace period, as of a cancellation, replaces the earlier one also
+        // during a checkpoint.
         if state.termination.is_none_or(|stop| grace_s < stop.grace_s) {
             state.termination = Some(Termination {
                 grace_s,
-                last_sent: None,
+                last_sent_at: None,
             });
         }
-        host.recount();
+        machine.update_load();
         self.scheduling_needed = true;
     }
 
@@ -84,7 +86,7 @@
         }
     }
 
-    /// The job is cancelled for good, by what another node says; the records will show it.
+    /// Stops the tasks of a job whose cancellation is final, before the replica shows it.
     pub fn cancel_tasks(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -119,7 +121,8 @@
         instances
     }
 
-    /// Requests the termination of a gang's present attempt, with time for a checkpoint if it can.
+    /// Requests the termination of a gang's current attempt, with time for a checkpoint if
+    /// the job can save one.
     pub fn stop_gang(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -136,37 +139,38 @@
     /// Removes an instance from its machine, and its placement from the job.
     pub(super) fn remove_instance(
         &mut self,
-        machine: &MachineId,
+        machine_id: &MachineId,
         instance: &InstanceId,
         evidence: TerminationEvidence,
     ) {
-        if let Some(host) = self.machines.get_mut(machine) {
-            host.instances.remove(instance);
-            host.recount();
+        if let Some(machine) = self.machines.get_mut(machine_id) {
+            machine.instances.remove(instance);
+            machine.update_load();
         }
-        self.remove_placement(machine, instance, evidence);
+        self.remove_placement(machine_id, instance, evidence);
     }
 
-    /// The task is not on that machine any more, or never was, by the evidence given.
+    /// Removes a placement, by the evidence that the task is not on that machine any more
+    /// or never was.
     pub(super) fn remove_placement(
         &mut self,
-        machine: &MachineId,
+        machine_id: &MachineId,
         instance: &InstanceId,
         evidence: TerminationEvidence,
     ) {
-        evidence.log(machine, &instance.task);
+        evidence.log(machine_id, &instance.task);
         let Some(job) = self.jobs.get_mut(&instance.task.job) else {
             return;
         };
         self.unpublished.jobs.insert(instance.task.job.clone());
         if let Some(placements) = job.placements.get_mut(&instance.task.index) {
-            placements.retain(|p| p.machine != *machine || p.attempt != instance.attempt);
+            placements.retain(|p| p.machine != *machine_id || p.attempt != instance.attempt);
             if placements.is_empty() {
                 job.placements.remove(&instance.task.index);
             }
         }
         if job.placements.is_empty() {
-            // The attempt is over; the next one starts anew.
+            // The attempt has ended; the next placement begins a new one.
             job.attempt = None;
             job.seen_running = false;
             job.stopping = false;
--- a/src/cluster/intern.rs
+++ b/src/cluster/intern.rs
@@ -1,16 +1,16 @@
-//! Names that come again with every machine and task, as small numbers: scheduling cycles compare and look
-//! them up by the thousand.
+//! Interned image names and pools. Scheduling cycles compare and look up thousands of them,
+//! which is faster with small numbers.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
 use crate::model::MachinePool;
 
-/// An image.
+/// The number of an image within one [`Images`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ImageId(u32);
 
-/// Images met so far.
+/// The images of all jobs and machines seen so far.
 #[derive(Clone, Debug, Default)]
 pub struct Images {
     ids: HashMap<Arc<str>, ImageId>,
@@ -18,7 +18,7 @@
 }
 
 impl Images {
-    /// An image's number.
+    /// The number of an image; a new image gets the next one.
     pub fn id(&mut self, name: &str) -> ImageId {
         if let Some(id) = self.ids.get(name) {
             return *id;
@@ -30,22 +30,22 @@
         id
     }
 
-    /// An image's name.
+    /// The name of an image; empty if the number is unknown.
     pub fn name(&self, id: ImageId) -> &str {
         self.names.get(id.0 as usize).map_or("", |name| name)
     }
 }
 
-/// A type of machine in a zone, spot or ordinary.
+/// The number of a pool within one [`MachinePools`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PoolId(pub u16);
 
-/// MachinePools met so far: a handful, so that a look through all of them is the fastest.
+/// The pools seen so far. There are so few that a linear search is fastest.
 #[derive(Clone, Debug, Default)]
 pub struct MachinePools(Vec<MachinePool>);
 
 impl MachinePools {
-    /// A kind's number.
+    /// The number of a pool; a new pool gets the next one.
     pub fn id(&mut self, machine_type: &str, zone: &str, spot: bool) -> PoolId {
         let same =
             |k: &MachinePool| k.spot == spot && k.zone == zone && k.machine_type == machine_type;
@@ -60,23 +60,23 @@
         PoolId((self.0.len() - 1) as u16)
     }
 
-    /// A kind.
+    /// The pool with this number.
     pub fn get(&self, id: PoolId) -> Option<&MachinePool> {
         self.0.get(usize::from(id.0))
     }
 
-    /// All kinds with their numbers.
+    /// All pools with their numbers, in the order of the numbers.
     pub fn iter(&self) -> impl Iterator<Item = (PoolId, &MachinePool)> {
         let numbered = self.0.iter().enumerate();
         numbered.map(|(at, pool)| (PoolId(at as u16), pool))
     }
 
-    /// How many there are.
+    /// The number of pools.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether none was met yet.
+    /// Whether there is no pool yet.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
--- a/src/cluster/job.rs
+++ b/src/cluster/job.rs
@@ -1,4 +1,4 @@
-//! One job as the leader sees it.
+//! One job in the leader's cluster state.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -11,32 +11,33 @@
 use crate::model::{Attempt, JobKind, JobSpec, MachineId, Verdict};
 use crate::pending_reason::PendingReason;
 
-/// A place where a task may be.
+/// A machine on which a task may be, with the attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Placement {
-    /// The machine.
+    /// The machine on which the task is planned, dispatched or reported.
     pub machine: MachineId,
-    /// The attempt.
+    /// The attempt, which a gang's members share.
     pub attempt: Attempt,
 }
 
-/// Where starts of a job may ever have been sent. Recorded before a start is dispatched, so that a
-/// new leader need not wait for machines on which the job can't be.
+/// Machines to which starts of a job may ever have been sent. Recorded before a start is
+/// dispatched, so that a new leader need not wait for machines that can't hold a task of the
+/// job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DispatchTargets {
-    /// To these machines at most.
+    /// Only these machines.
     Machines(BTreeSet<MachineId>),
-    /// To any that the job may use.
+    /// Any machine that the job may use.
     Anywhere,
 }
 
 impl DispatchTargets {
-    /// To no machine so far.
+    /// No machine yet.
     pub fn none() -> Self {
         Self::Machines(BTreeSet::new())
     }
 
-    /// The machines, where they are named.
+    /// The machines, unless any is possible.
     pub fn machines(&self) -> Option<&BTreeSet<MachineId>> {
         match self {
             Self::Machines(machines) => Some(machines),
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Takes more of them.
+    /// Adds further targets.
     pub fn add(&mut self, more: DispatchTargets) {
         match (&mut *self, more) {
             (Self::Machines(machines), Self::Machines(more)) => machines.extend(more),
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Whether starts may be sent there.
+    /// Whether starts may be sent to the machine.
     pub fn covers(&self, machine: &MachineId) -> bool {
         match self {
             Self::Machines(machines) => machines.contains(machine),
@@ -62,67 +63,70 @@
     }
 }
 
-/// Machines named in a job's record at most, and times the record is written for new ones.
-/// Beyond either it says "anywhere": a large array is everywhere soon.
+/// Machines named in a job's record, and writes of the record for further machines. Beyond
+/// either limit the record names no machines, which stands for any: a large array soon runs
+/// everywhere.
 const NAMED_MACHINES_MAX: usize = 64;
 const DISPATCH_WRITES_MAX: u32 = 3;
 
-/// Other work was terminated for a job: the capacity that this frees is reserved for it.
+/// Capacity reserved for a job for which other tasks were terminated.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CapacityReservation {
-    /// The zone, or any if there is none.
+    /// The zone of the capacity; `None`: any.
     pub zone: Option<String>,
     /// When the reservation ends.
     pub until: Instant,
 }
 
-/// A job with all places where tasks of it may be.
+/// A job with all placements of its tasks.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// What its user described.
+    /// The description by the job's user.
     pub spec: Arc<JobSpec>,
-    /// Its image.
+    /// The image that its tasks run.
     pub image: ImageId,
-    /// When it was taken, on this process's steady clock.
+    /// When it was submitted, on this process's monotonic clock.
     pub submitted_at: Instant,
-    /// Version of its verdict.
+    /// The store version of the verdict record, on which writes for the job are
+    /// conditional.
     pub(super) version: u64,
-    /// Its verdict.
+    /// The verdict in the records, as the replica shows it.
     pub(super) verdict: Verdict,
-    /// Cancelled for good, though our replica does not show it yet.
+    /// Whether its cancellation is final though the replica does not show it yet.
     pub(super) cancellation_requested: bool,
-    /// Whether the records say that starts may have been sent.
+    /// Whether the records show that starts may have been sent.
     pub(super) dispatch_record: Persistence,
-    /// Started in an earlier term: until all machines of that time are reconciled,
-    /// tasks of it may be anywhere.
+    /// Whether it was started in an earlier term, so that tasks of it may be on machines
+    /// that are not reconciled yet.
     pub(super) started_in_earlier_term: bool,
-    /// Where starts of it may ever have been sent, as the records have it.
+    /// Machines to which starts may ever have been sent, according to the records.
     pub(super) dispatch_targets: DispatchTargets,
-    /// Times that this was written.
+    /// How often these targets were written in this term.
     pub(super) dispatch_writes: u32,
-    /// Completed tasks.
+    /// Completed tasks, recorded or not.
     pub done: DoneSet,
-    /// Where each task may be. Normally one place a task.
+    /// Where each task may be, by task number. Normally a task has one placement.
     pub placements: BTreeMap<u32, Vec<Placement>>,
-    /// A gang's present attempt.
+    /// The current attempt of a gang.
     pub attempt: Option<Attempt>,
-    /// Whether the present attempt was seen running.
+    /// Whether a heartbeat has shown a member of the current attempt running.
     pub seen_running: bool,
-    /// The present attempt is being stopped, all members of it.
+    /// Whether all members of the current attempt are being stopped.
     pub stopping: bool,
-    /// Capacity that was freed for it.
+    /// Capacity that other tasks were terminated for.
     pub capacity_reservation: Option<CapacityReservation>,
-    /// Takes no new starts until then.
+    /// Until when no further starts are planned for it.
     pub backoff_until: Option<Instant>,
-    /// Machines on which its tasks failed.
+    /// Machines on which tasks of it failed.
     pub failed_on: BTreeSet<MachineId>,
-    /// It fails everywhere, as far as can be seen, and is tried now and then only.
+    /// Present while it has failed on several machines and completed nothing. It then gets
+    /// only rare trials.
     pub(super) suspicion: Option<SuspectedJob>,
-    /// A write of its records is under way.
+    /// Whether a write of its records is in flight.
     pub(super) writing: bool,
-    /// Whether versions up to 0.3.0 wrote it down, with a key for its description.
+    /// Whether a version up to 0.3.0 recorded it, with a separate key for its description.
     pub(super) has_own_key: bool,
-    /// When its completed tasks were last written down.
+    /// When the last write of its completed tasks began, unless that write failed.
     pub(super) progress_written_at: Option<Instant>,
     /// When a task of it was first seen running, for the metrics.
     pub first_running_at: Option<Instant>,
@@ -131,7 +135,8 @@
 }
 
 impl Job {
-    /// The targets that the dispatch records lack, if they do not cover the planned placements.
+    /// The targets missing from the dispatch records, if these do not cover all planned
+    /// placements.
     pub fn unrecorded_targets(&self) -> Option<DispatchTargets> {
         let planned = || {
             self.placements
@@ -142,12 +147,14 @@
         if planned().all(|machine| self.dispatch_targets.covers(machine)) {
             return None;
         }
-        let DispatchTargets::Machines(hosts) = &self.dispatch_targets else {
+        let DispatchTargets::Machines(recorded) = &self.dispatch_targets else {
             return None;
         };
-        let more: BTreeSet<MachineId> =
-            planned().filter(|m| !hosts.contains(*m)).cloned().collect();
-        let all = hosts.len() + more.len();
+        let more: BTreeSet<MachineId> = planned()
+            .filter(|m| !recorded.contains(*m))
+            .cloned()
+            .collect();
+        let all = recorded.len() + more.len();
         let few = all <= NAMED_MACHINES_MAX && self.dispatch_writes < DISPATCH_WRITES_MAX;
         let gang = self.is_gang() && all <= NAMED_MACHINES_MAX;
         Some(if few || gang {
@@ -157,12 +164,12 @@
         })
     }
 
-    /// Whether a start may be dispatched to a machine, by the records.
+    /// Whether the records allow dispatching a start to the machine.
     pub fn may_dispatch_to(&self, machine: &MachineId) -> bool {
         self.dispatch_record == Persistence::Written && self.dispatch_targets.covers(machine)
     }
 
-    /// The capacity that is still reserved for it.
+    /// The capacity reservation, unless it has ended.
     pub fn capacity_reserved(&self, now: Instant) -> Option<&CapacityReservation> {
         let reservation = self.capacity_reservation.as_ref();
         reservation.filter(|reservation| now < reservation.until)
@@ -173,34 +180,34 @@
         self.verdict == Verdict::Accepted && !self.cancellation_requested
     }
 
-    /// Whether tasks of it may still be scheduled.
+    /// Whether it is active and has unfinished tasks.
     pub fn is_schedulable(&self) -> bool {
         self.is_active() && self.done.len() < self.spec.tasks
     }
 
-    /// Whether it is a gang.
+    /// Whether all its tasks have to run at the same time.
     pub fn is_gang(&self) -> bool {
         self.spec.kind == JobKind::Gang
     }
 
-    /// Whether any task of it may be anywhere we know of.
+    /// Whether any task of it may be on a known machine.
     pub fn has_placements(&self) -> bool {
         !self.placements.is_empty()
     }
 
-    /// Unfinished tasks without a place, in order.
+    /// Numbers of the unfinished tasks without a placement, ascending.
     pub fn pending(&self) -> impl Iterator<Item = u32> + '_ {
         (0..self.spec.tasks)
             .filter(|index| !self.done.contains(*index) && !self.placements.contains_key(index))
     }
 
-    /// Number of unfinished tasks without a place.
+    /// The number of unfinished tasks without a placement.
     pub fn pending_count(&self) -> u32 {
         let placed = self.placements.keys().filter(|i| !self.done.contains(**i));
         (self.spec.tasks - self.done.len()).saturating_sub(placed.count() as u32)
     }
 
-    /// When it is due.
+    /// When it should be complete, if its user set a deadline.
     pub fn deadline(&self) -> Option<Instant> {
         let after = crate::time::secs(self.spec.deadline_s?);
         self.submitted_at.checked_add(after)
--- a/src/cluster/machine.rs
+++ b/src/cluster/machine.rs
@@ -1,4 +1,4 @@
-//! One machine as its heartbeats, the cloud and our own commands show it.
+//! One machine as its heartbeats, the cloud's list and this leader's commands show it.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,68 +14,68 @@
 use crate::model::{Attempt, FencingToken, JobId, JobSpec, MachineId, Resources, TaskId};
 use crate::wire::{ExitCause, BODY_LIMIT};
 
-/// Bytes that a task takes in a heartbeat, in the form by which its size is measured.
+/// Bytes of a task in a heartbeat, in the encoding by which the body limit is measured.
 const TASK_STATUS_BYTES: usize = 80;
-/// Tasks on a machine, results that wait to be recorded included, above which it gets no more:
-/// half of what a heartbeat may hold. While the records take no progress, results of short tasks
-/// would otherwise pile up until the machine could send no heartbeat.
+/// Tasks on a machine, including results that are not recorded yet, from which it gets no more:
+/// half of what a heartbeat can hold. While records can't be written, results of short tasks
+/// would otherwise accumulate until the machine could send no heartbeat.
 const TASKS_PER_MACHINE_MAX: usize = BODY_LIMIT / TASK_STATUS_BYTES / 2;
 
 /// One start of a task.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct InstanceId {
-    /// The task.
+    /// The task, which may have further instances while an earlier one is being terminated.
     pub task: TaskId,
-    /// The attempt.
+    /// The attempt of the task or of its gang.
     pub attempt: Attempt,
 }
 
-/// The phase of a task instance.
+/// The phase of a task instance. The first two are this leader's, the others are reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InstancePhase {
-    /// Decided, not sent: nothing can have happened yet.
+    /// The start is decided and not sent, so it can have had no effect.
     Planned,
-    /// Sent in the answer to a heartbeat. The next one that the worker sends by itself shows
-    /// whether it took.
+    /// The start was sent in the response to a heartbeat. The next heartbeat that the
+    /// worker sends on its own shows whether it arrived.
     Dispatched {
-        /// The heartbeat answered.
+        /// The heartbeat whose response carried the start.
         in_reply_to: MessageOrder,
     },
-    /// Waits for its image.
+    /// The machine pulls the image.
     PullingImage,
-    /// Waits for its gang.
+    /// The task waits until all members of its gang are ready.
     AwaitingGang,
-    /// Runs.
+    /// The task runs.
     Running,
-    /// Writes a checkpoint.
+    /// The task writes a checkpoint.
     Checkpointing,
-    /// Ended; off the machine, but still in its heartbeats.
+    /// The task has ended and occupies nothing, but the machine still reports it.
     Exited(ExitCause),
 }
 
-/// A termination that was requested.
+/// A requested termination.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Termination {
-    /// Time for a checkpoint.
+    /// Time for a checkpoint, in seconds; 0: none.
     pub(super) grace_s: f64,
-    /// When it was last sent to the machine.
-    pub(super) last_sent: Option<Instant>,
+    /// When it was last sent to the machine; reset by every response to a heartbeat.
+    pub(super) last_sent_at: Option<Instant>,
 }
 
-/// A task instance on a machine with all that is known of it.
+/// A task instance on one machine.
 #[derive(Clone, Debug)]
 pub struct TaskInstance {
-    /// The job, if it is known.
+    /// The job's description, if the job was known when the instance was first seen.
     pub spec: Option<Arc<JobSpec>>,
-    /// Where it stands.
+    /// The phase, from the last heartbeat if the start took effect.
     pub phase: InstancePhase,
     /// When it was planned or first seen.
     pub known_since: Instant,
-    /// When it was first seen running.
+    /// When a heartbeat first showed it running.
     pub running_since: Option<Instant>,
-    /// Whether it is to be terminated.
+    /// The requested termination, if any.
     pub termination: Option<Termination>,
-    /// The image it needs, if the job is known.
+    /// The image, present together with `spec`.
     pub image: Option<ImageId>,
 }
 
@@ -85,49 +85,50 @@
         !matches!(self.phase, InstancePhase::Exited(_))
     }
 
-    /// Whether it was dispatched, so that a worker may know of it.
+    /// Whether its start was sent, by this leader or an earlier one.
     pub fn is_dispatched(&self) -> bool {
         self.phase != InstancePhase::Planned
     }
 }
 
-/// What a machine's instances add up to.
+/// Sums over a machine's instances, without exited ones.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
-    /// What is taken.
-    pub taken: Resources,
-    /// Tasks that may be on it.
+    /// Resources of all instances of known jobs.
+    pub allocated: Resources,
+    /// The number of tasks that may be on the machine.
     pub tasks: usize,
-    /// Something of unknown size is on it.
-    pub unknown_amount: bool,
-    /// A start is planned or a stop wanted.
+    /// Whether an instance of an unknown job, whose resources are unknown, may be on the
+    /// machine.
+    pub has_unknown_task: bool,
+    /// Whether a start is planned or a termination requested.
     pub commands_pending: bool,
 }
 
 /// Whether a record is in the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Persistence {
-    /// Not there, or not known to be.
+    /// It is missing, or its last write was not confirmed.
     NotWritten,
-    /// Being written.
+    /// A write is in flight.
     Writing,
-    /// There.
+    /// A committed write or a read has shown it.
     Written,
 }
 
-/// Why a machine takes no new tasks.
+/// Why a machine takes no new tasks until an operator or a later finding clears it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainReason {
     /// Tasks of several jobs failed on it.
     Faulty,
-    /// It is much slower than others of its type.
+    /// It is much slower than all machines usually are.
     Slow,
-    /// An operator asked.
+    /// An operator cordoned it.
     Operator,
 }
 
 impl DrainReason {
-    /// The word by which operators see it.
+    /// The text in the admin interface.
     pub fn label(self) -> &'static str {
         match self {
             Self::Faulty => "sick",
@@ -137,106 +138,109 @@
     }
 }
 
-/// Where a machine stands with the cloud and with us.
+/// A machine that is rented or sends heartbeats, with its instances.
 #[derive(Clone, Debug)]
 pub struct Machine {
-    /// Its name.
+    /// The name given by the cloud.
     pub id: MachineId,
-    /// Where it takes direct commands.
+    /// Where it accepts direct commands; empty if unknown.
     pub address: String,
-    /// Its type.
+    /// The machine type; empty until the cloud or a heartbeat names it.
     pub machine_type: String,
-    /// Its zone.
+    /// The zone; empty until the cloud or a heartbeat names it.
     pub zone: String,
-    /// Spot or ordinary.
+    /// Whether it is a spot machine.
     pub spot: bool,
-    /// Type, zone and kind as one number, see [`super::MachinePools`].
+    /// The number of its pool in [`super::MachinePools`], once its type and zone are known.
     pub pool: Option<PoolId>,
-    /// When it was rented, as far as known.
+    /// When it was rented, or first known if that is unknown.
     pub rented_at: Instant,
-    /// Place of its last message among all of its incarnation.
+    /// Order of the last heartbeat within its current incarnation.
     pub(super) last_message: MessageOrder,
-    /// Highest token that it has shown or that we have used for it.
+    /// Highest token that it has shown or that this leader has raised for it.
     pub token: FencingToken,
-    /// It has shown our term: no older leader can command it any more.
+    /// Whether it has shown this term, so that it rejects commands of earlier leaders.
     pub fenced: bool,
-    /// It has never seen any term and holds nothing: a start may be planned for it, and is
-    /// sent once it is fenced.
+    /// Whether it has shown no token and no tasks since the cloud named it. Starts may then
+    /// be planned for it, and are sent once it is fenced.
     pub(super) never_fenced: bool,
-    /// The cloud has named it: a rental's answer or the list. A late copy of a heartbeat alone
-    /// is no sign that there is such a machine.
+    /// Whether a rental's response or the cloud's list has named it. A late copy of a
+    /// heartbeat alone does not prove that the machine exists.
     pub(super) known_to_cloud: bool,
-    /// When it was last made to send a heartbeat at once.
+    /// When its token was last raised to make it send a heartbeat at once.
     pub(super) token_raised_at: Option<Instant>,
-    /// Whether our answers reach it.
+    /// Whether it has acknowledged this leader's responses and commands.
     pub reachability: Reachability,
-    /// A heartbeat that looks old may come from a new incarnation of the machine, which a
-    /// probe shows.
+    /// The probe that shows whether an apparently old heartbeat comes from a new
+    /// incarnation.
     pub(super) pending_probe: Option<PendingProbe>,
-    /// When it was last probed for a heartbeat that fences it.
-    pub(super) last_probe: Option<Instant>,
-    /// Commands sent to it directly, without an answer, since its last heartbeat.
+    /// When it was last probed, to fence it or to confirm that responses reach it.
+    pub(super) last_probed_at: Option<Instant>,
+    /// Direct commands without a response since its last heartbeat.
     pub unanswered_commands: u32,
-    /// The token that tells its present incarnation from a former one whose heartbeats may yet come.
-    pub(super) incarnation: FencingToken,
-    /// When it was first heard in this term.
+    /// The first token of its current incarnation; later heartbeats with a lower token are
+    /// from a former one.
+    pub(super) incarnation_token: FencingToken,
+    /// When its first heartbeat of this term arrived.
     pub first_heartbeat_at: Option<Instant>,
-    /// When the last heartbeat arrived.
+    /// When its last heartbeat of this term arrived.
     pub last_heartbeat_at: Option<Instant>,
-    /// When we last answered 200; its lease can't end before that plus the lease's time.
+    /// When this leader last responded with 200; its lease lasts at least `timing.lease`
+    /// from then.
     pub last_response_at: Option<Instant>,
-    /// When the cloud takes it away.
+    /// When the cloud will take back the spot machine, if it has given notice.
     pub spot_deadline: Option<Instant>,
-    /// All instances that may be on it, and exited ones in its heartbeats.
+    /// All instances that may be on it, and exited ones that it still reports.
     pub instances: BTreeMap<InstanceId, TaskInstance>,
     /// Whether the machine inventory in the store names it.
     pub inventory_record: Persistence,
-    /// Images it has fetched with their sizes in GB, most recently used last.
+    /// Images in its cache with their sizes in GB, most recently used last.
     pub images: Vec<(ImageId, f64)>,
-    /// Takes no new tasks.
+    /// Why it takes no new tasks, if it is cordoned or quarantined.
     pub drain: Option<DrainReason>,
-    /// A return is under way.
+    /// Whether its release has been requested.
     pub releasing: bool,
-    /// Jobs whose tasks failed on it since the last one that completed.
+    /// Jobs whose tasks failed on it since a task last completed there.
     pub faults: Vec<FaultAttribution>,
-    /// Run time over estimate of the last task of each of the last few jobs on it.
+    /// For each of the last few jobs on it, the ratio of run time to estimate of the last
+    /// task.
     pub(super) slowdowns: Vec<(JobId, f64)>,
-    /// Takes no new tasks until then.
+    /// Until when it takes no new tasks after a failure.
     pub backoff_until: Option<Instant>,
-    /// Since when it has had nothing to do.
+    /// Since when no task may be on it, if none is.
     pub idle_since: Instant,
-    /// What its instances add up to; see [`Machine::recount`].
+    /// Sums over its instances; see [`Machine::update_load`].
     load: Load,
-    /// Its state in the cloud's last list.
+    /// Its status in the cloud's last list.
     pub cloud_status: CloudStatus,
-    /// Since when it is in that state.
+    /// When that status was first seen, moved forward by pauses of this process.
     pub cloud_status_since: Instant,
 }
 
-/// A status probe that shows whether a machine has begun again.
+/// A status probe that shows whether a machine has restarted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PendingProbe {
-    /// The epoch to probe in.
+    /// The epoch to send in the probe, which is that of the apparently old heartbeat.
     pub(super) epoch: u64,
     /// When the probe was last sent.
-    pub(super) last_sent: Option<Instant>,
+    pub(super) last_sent_at: Option<Instant>,
 }
 
-/// A machine's state in the cloud's list.
+/// The status of a machine in the cloud's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloudStatus {
-    /// Not seen there.
+    /// The list has not named it yet.
     NotListed,
-    /// Booting.
+    /// It is rented and boots.
     Booting,
-    /// Running.
+    /// Any status except the other two.
     Running,
-    /// Stopped by itself.
+    /// The cloud reports that it failed.
     Failed,
 }
 
 impl Machine {
-    /// A machine nothing is known of but its name.
+    /// A machine of which only the name is known.
     pub fn new(id: MachineId, now: Instant) -> Self {
         Self {
             id,
@@ -254,9 +258,9 @@
             token_raised_at: None,
             reachability: Reachability::default(),
             pending_probe: None,
-            last_probe: None,
+            last_probed_at: None,
             unanswered_commands: 0,
-            incarnation: FencingToken::default(),
+            incarnation_token: FencingToken::default(),
             first_heartbeat_at: None,
             last_heartbeat_at: None,
             last_response_at: None,
@@ -281,35 +285,37 @@
         self.load.tasks > 0
     }
 
-    /// Whether it should be up but has sent no heartbeat in this term.
+    /// Whether it should be running but has sent no heartbeat in this term.
     pub fn awaits_first_heartbeat(&self) -> bool {
         let up = self.cloud_status == CloudStatus::Running
             || self.inventory_record == Persistence::Written;
         self.last_heartbeat_at.is_none() && up
     }
 
-    /// What is taken of it, starts not yet confirmed and stops not yet finished included.
-    pub fn taken(&self) -> Resources {
-        self.load.taken
+    /// The resources of its instances, including unconfirmed starts and unfinished
+    /// terminations.
+    pub fn allocated(&self) -> Resources {
+        self.load.allocated
     }
 
-    /// Whether something is on it whose size nobody knows.
-    pub fn unknown_amount(&self) -> bool {
-        self.load.unknown_amount
+    /// Whether an instance of an unknown job, whose resources are unknown, may be on it.
+    pub fn has_unknown_task(&self) -> bool {
+        self.load.has_unknown_task
     }
 
-    /// Whether commands are due to it, or a start waits for its heartbeat.
+    /// Whether a start is planned or a termination requested.
     pub fn commands_pending(&self) -> bool {
         self.load.commands_pending
     }
 
-    /// Adds up its instances again. Each scheduling cycle reads the sums of every machine, but the
-    /// instances of few change between two cycles.
-    pub fn recount(&mut self) {
+    /// Computes the sums over its instances anew. They are cached, since every scheduling
+    /// cycle reads them for all machines, while the instances of few machines change
+    /// between two cycles.
+    pub fn update_load(&mut self) {
         self.load = self.computed_load();
     }
 
-    /// The sums of its instances as they are now.
+    /// The sums over its current instances.
     pub fn computed_load(&self) -> Load {
         let mut load = Load::default();
         for instance in self.instances.values() {
@@ -321,25 +327,25 @@
             }
             load.tasks += 1;
             match &instance.spec {
-                Some(spec) => load.taken.add(&spec.task_resources),
-                None => load.unknown_amount = true,
+                Some(spec) => load.allocated.add(&spec.task_resources),
+                None => load.has_unknown_task = true,
             }
         }
         load
     }
 
-    /// The sums as they are kept.
+    /// The cached sums.
     pub fn load(&self) -> &Load {
         &self.load
     }
 
-    /// Whether it was up in this term and has been silent for longer than `limit`.
+    /// Whether its last heartbeat of this term is older than `limit`.
     pub fn heartbeat_overdue(&self, now: Instant, limit: Duration) -> bool {
         self.last_heartbeat_at
             .is_some_and(|at| now.saturating_duration_since(at) > limit)
     }
 
-    /// What speaks for and against its health.
+    /// The evidence by which its health is judged.
     pub fn health_evidence(&self) -> WorkerEvidence {
         WorkerEvidence {
             last_heartbeat: self.last_heartbeat_at,
@@ -349,7 +355,7 @@
         }
     }
 
-    /// Why it gets no new tasks, if that is so.
+    /// Why it gets no new tasks, or `None` if it may get some.
     pub fn placement_refusal(
         &self,
         now: Instant,
@@ -358,7 +364,7 @@
         let fenced = self.fenced || self.never_fenced;
         let in_backoff = self.backoff_until.is_some_and(|until| now < until);
         let full = self.instances.len() >= TASKS_PER_MACHINE_MAX;
-        // The first that holds is shown to operators.
+        // The first condition that holds is shown to operators.
         let refusals = [
             (
                 self.last_heartbeat_at.is_none(),
@@ -388,7 +394,7 @@
                 PlacementRefusal::Suspected,
             ),
             (in_backoff, PlacementRefusal::Backoff),
-            (self.unknown_amount(), PlacementRefusal::UnknownTask),
+            (self.has_unknown_task(), PlacementRefusal::UnknownTask),
             (full, PlacementRefusal::TooManyTasks),
         ];
         let first = refusals.into_iter().find(|(holds, _)| *holds);
@@ -400,8 +406,8 @@
         self.placement_refusal(now, suspect_after).is_none()
     }
 
-    /// Drops the planned starts of a job that is over. What was dispatched stays until there is
-    /// evidence of its termination.
+    /// Drops the planned starts of a job that is over. Dispatched instances stay until
+    /// their termination is proven.
     pub(super) fn drop_plans_of(&mut self, job: &JobId) {
         let id = &self.id;
         self.instances.retain(|instance, state| {
@@ -411,11 +417,11 @@
             }
             keep
         });
-        self.recount();
+        self.update_load();
     }
 
-    /// Something we sent had no effect: it gets no starts until it shows a token that it can have
-    /// only from an answer of ours from now on.
+    /// Excludes the machine from starts after a response or command had no effect, until it
+    /// shows a raised token, which it can only have from a later response or command.
     pub(super) fn require_confirmation(&mut self, now: Instant) {
         if let Some(raised) = self
             .token
@@ -427,19 +433,20 @@
         }
     }
 
-    /// Whether starts may be dispatched to it now, in the answer to a heartbeat.
+    /// Whether starts may be dispatched to it now, in the response to a heartbeat.
     pub fn can_start(&self, now: Instant, suspect_after: Duration) -> bool {
         self.fenced
             && self.inventory_record == Persistence::Written
             && self.takes_tasks(now, suspect_after)
     }
 
-    /// Whether it has the image, as far as we know.
+    /// Whether its image cache is believed to hold the image.
     pub fn has_image(&self, image: ImageId) -> bool {
         self.images.iter().any(|(known, _)| *known == image)
     }
 
-    /// Notes that it has just used an image.
+    /// Marks an image as the most recently used, and evicts the oldest ones beyond the
+    /// cache size.
     pub fn record_image_use(&mut self, image: ImageId, gb: f64, cache_gb: f64) {
         self.images.retain(|(known, _)| *known != image);
         self.images.push((image, gb));
--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -1,7 +1,9 @@
-//! The cluster state of the leader, rebuilt from heartbeats: the only owner of where a task may be.
+//! The cluster state of the leader, rebuilt from records and heartbeats: the only source of
+//! where a task may be placed.
 //!
-//! Quota, zones and placement read it, so that an unconfirmed start and an unfinished termination
-//! count the same for all of them. A placement ends only by [`TerminationEvidence`].
+//! Quota checks, zone constraints and placement all read it, so that unconfirmed starts and
+//! unfinished terminations count the same for each of them. A placement ends only by
+//! [`TerminationEvidence`].
 
 mod commands;
 mod detection;
@@ -47,10 +49,10 @@
 use crate::state_summary::MachineSummary;
 use crate::timing::WorkerTiming;
 
-/// The machine types as last read, shared read-only.
+/// The machine types as last read from the cloud, shared read-only.
 pub type Catalog = Arc<Vec<MachineType>>;
 
-/// Finds a type.
+/// Finds a machine type by its name.
 pub fn find_machine_type<'a>(catalog: &'a Catalog, name: &str) -> Option<&'a MachineType> {
     catalog
         .iter()
@@ -60,77 +62,84 @@
 /// The cluster state of one term.
 #[derive(Debug)]
 pub struct Cluster {
-    /// Our term.
+    /// The term of this leader.
     pub term: Term,
-    /// Since when we lead; moved on by times in which we heard nobody.
+    /// When observation of the machines began: the start of the term, moved forward by
+    /// every interval in which this process received no heartbeats.
     pub observing_since: Instant,
-    /// When we became leader, whatever was heard since.
+    /// When this process became the leader; pauses do not move it.
     became_leader_at: Instant,
-    /// Timing of the workers.
+    /// Heartbeat intervals, leases and timeouts of the workers.
     pub timing: WorkerTiming,
-    /// Jobs of which a task may be anywhere, or has to run.
+    /// Jobs that have to run or may still have tasks on machines.
     pub jobs: BTreeMap<JobId, Job>,
-    /// Machines.
+    /// Machines known from records, the cloud or heartbeats, and not confirmed terminated.
     pub machines: BTreeMap<MachineId, Machine>,
-    /// Machines of earlier terms that have neither shown our term nor are confirmed terminated.
+    /// Machines of earlier terms that have not shown this term's token, may still hold a
+    /// lease, and are not confirmed terminated.
     pub unreconciled: BTreeSet<MachineId>,
-    /// Whether it was given out how long they took.
+    /// Whether the time until all of them were reconciled has been reported.
     reconciliation_reported: bool,
-    /// Something changed that the next scheduling cycle has to consider.
+    /// Whether something has changed that the next scheduling cycle has to consider.
     pub scheduling_needed: bool,
-    /// Times from submission to the first running task, not yet taken by the metrics.
+    /// Times from submission to the first running task that the metrics have not taken yet.
     pub start_delays: Vec<Duration>,
-    /// Submissions per class, for the expected demand.
+    /// Recent submissions with their times, from which the expected demand is estimated.
     pub arrivals: Vec<(Instant, Arc<crate::model::JobSpec>)>,
-    /// Types, zones and kinds of machines met.
+    /// Pools of all machines seen in this term.
     pub pools: MachinePools,
-    /// Images met.
+    /// Images of all jobs and machines seen in this term.
     pub images: Images,
-    /// Machines whose images changed and jobs whose counts may have, since the summary was last
-    /// published.
+    /// Machines whose images changed and jobs whose task counts may have changed since the
+    /// summary was last published.
     unpublished: UnpublishedChanges,
-    hints: HashMap<MachineId, MachineSummary>,
-    /// Run times over estimates of the last tasks anywhere: the usual error of the estimates.
+    inherited_hints: HashMap<MachineId, MachineSummary>,
+    /// Ratios of run time to estimate of the last tasks on any machine: the usual error of
+    /// the estimates.
     slowdowns: VecDeque<f64>,
-    /// Machines of which late heartbeats must not be taken for those of new machines.
+    /// Terminated machines, whose late heartbeats must not add them again.
     terminated_machines: BTreeSet<MachineId>,
-    /// When a zone last counted as cut off; the empty name stands for all machines.
-    zone_cuts: BTreeMap<String, Instant>,
+    /// When a zone last counted as partitioned. The caller uses a reserved name for all
+    /// machines.
+    zone_partitions: BTreeMap<String, Instant>,
     attempts_issued: u32,
-    /// Completed tasks that one progress record holds.
-    chunk: usize,
-    /// Direct commands that can wait.
+    /// Completed tasks per progress record.
+    tasks_per_chunk: usize,
+    /// The budget of direct commands that can be deferred.
     command_budget: commands::CommandBudget,
-    /// Versions of the chunks and shards we wrote, which the replica may not show yet.
+    /// Versions of the chunks and shards that this leader wrote, which the replica may not
+    /// show yet.
     written_versions: HashMap<String, u64>,
     inventory: records::MachineInventory,
     dispatch_log: DispatchLog,
     /// When a dispatch record was last written.
     dispatch_recorded_at: Option<Instant>,
-    /// What the dispatch records say of jobs that are not in the cluster state yet.
+    /// Dispatch targets from the dispatch records for jobs that are not in the cluster
+    /// state yet.
     recovered_targets: HashMap<JobId, DispatchTargets>,
     catalog: Catalog,
 }
 
 impl Cluster {
-    /// Takes a new catalog.
+    /// Replaces the machine types.
     pub fn set_catalog(&mut self, catalog: Catalog) {
         self.catalog = catalog;
     }
 
-    /// The catalog in use.
+    /// The machine types in use.
     pub fn catalog(&self) -> &Catalog {
         &self.catalog
     }
 
-    /// Nothing is placed now, and all schedulable jobs are pending for the same reason.
+    /// Sets the same pending reason for all schedulable jobs, for a cycle that places
+    /// nothing.
     pub fn set_pending_reason(&mut self, reason: PendingReason) {
         let open = self.jobs.values_mut().filter(|job| job.is_schedulable());
         open.for_each(|job| job.pending_reason = reason);
     }
 }
 
-/// What the other controllers have not been sent yet.
+/// Changes that have not been sent to the other controllers yet.
 #[derive(Debug, Default)]
 struct UnpublishedChanges {
     machines: BTreeSet<MachineId>,
--- a/src/cluster/placement_refusal.rs
+++ b/src/cluster/placement_refusal.rs
@@ -1,17 +1,17 @@
-//! Why a machine gets no new tasks.
+//! Reasons to place no new tasks on a machine, with their texts for operators.
 
 use std::fmt;
 
 /// Why a machine gets no new tasks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlacementRefusal {
-    /// No heartbeat of it has arrived in this term.
+    /// It has sent no heartbeat in this term.
     NoHeartbeat,
-    /// Commands of an earlier leader may still reach it.
+    /// It does not reject commands of an earlier leader yet.
     NotFenced,
-    /// Our answers do not seem to reach it.
+    /// It has not acknowledged this leader's responses or commands.
     Unreachable,
-    /// It is being scaled in.
+    /// Its release has been requested.
     Releasing,
     /// It is quarantined, since tasks of several jobs failed on it.
     Faulty,
@@ -19,20 +19,20 @@
     Slow,
     /// An operator cordoned it.
     Drained,
-    /// The cloud has given notice that it takes the spot machine back.
+    /// The cloud has given notice that it takes back the spot machine.
     SpotNotice,
     /// Its heartbeats are late.
     Suspected,
-    /// A task has just failed on it.
+    /// A task failed on it recently.
     Backoff,
     /// A task of unknown size is on it.
     UnknownTask,
-    /// Its heartbeats would exceed the largest body.
+    /// More tasks could make its heartbeats exceed the body limit.
     TooManyTasks,
 }
 
 impl PlacementRefusal {
-    /// All of them, in the order in which they are checked.
+    /// All reasons, in the order in which they are checked.
     pub const ALL: [Self; 12] = [
         Self::NoHeartbeat,
         Self::NotFenced,
@@ -48,7 +48,8 @@
         Self::TooManyTasks,
     ];
 
-    /// The text that operators see. Their scripts may look for it, so it stays.
+    /// The text in the admin interface. Operators' scripts may match it, so it must not
+    /// change.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NoHeartbeat => "it has not reported in this term",
--- a/src/cluster/quota.rs
+++ b/src/cluster/quota.rs
@@ -1,4 +1,4 @@
-//! What teams may be using, with tasks of earlier terms that nobody has seen yet.
+//! Resource usage of teams, including tasks of earlier terms that no heartbeat has shown yet.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -6,19 +6,20 @@
 use crate::model::{MachineId, Resources};
 
 impl Cluster {
-    /// Whether tasks of the job may be somewhere we have not heard from yet: on a machine that
-    /// its record names, or on any that it may use where the record names none.
+    /// Whether tasks of the job may be on unreconciled machines: on those that its records
+    /// name, or on any that it may use if they name none.
     pub fn may_have_unreconciled_tasks(&self, job: &Job) -> bool {
-        blocked_by(&self.unreconciled, &self.machines, job)
+        may_have_unreconciled_tasks(&self.unreconciled, &self.machines, job)
     }
 
-    /// What each team may be using at most right now.
+    /// The most that each team may be using now.
     pub fn team_use(&self) -> HashMap<&str, Resources> {
         let mut sums: HashMap<&str, Resources> = HashMap::new();
         for job in self.jobs.values() {
             let mut count: usize = job.placements.values().map(Vec::len).sum();
             if self.may_have_unreconciled_tasks(job) {
-                // Tasks of earlier terms that no heartbeat has shown yet may be running.
+                // Pending tasks may still be running from an earlier term, not
+                // shown by a heartbeat yet.
                 count += job.pending_count() as usize;
             }
             if count > 0 {
@@ -31,7 +32,7 @@
 }
 
 /// See [`Cluster::may_have_unreconciled_tasks`].
-pub(super) fn blocked_by(
+pub(super) fn may_have_unreconciled_tasks(
     unreconciled: &BTreeSet<MachineId>,
     machines: &BTreeMap<MachineId, Machine>,
     job: &Job,
@@ -40,10 +41,10 @@
         return false;
     }
     match &job.dispatch_targets {
-        DispatchTargets::Machines(machines) => machines.iter().any(|id| unreconciled.contains(id)),
+        DispatchTargets::Machines(targets) => targets.iter().any(|id| unreconciled.contains(id)),
         DispatchTargets::Anywhere => unreconciled.iter().any(|id| {
             let machine = machines.get(id).filter(|machine| machine.pool.is_some());
-            // A machine of unknown type may be any.
+            // A machine of unknown pool may be one that the job may use.
             machine.is_none_or(|m| job.spec.allows(&m.machine_type, &m.zone, m.spot))
         }),
     }
--- a/src/cluster/reconcile/absence.rs
+++ b/src/cluster/reconcile/absence.rs
@@ -1,4 +1,4 @@
-//! Removal of instances that a fenced machine's newer heartbeat does not show any more.
+//! Removal of instances that a newer heartbeat of a fenced machine does not show.
 
 use std::time::Instant;
 
@@ -6,8 +6,8 @@
 use crate::cluster::{Cluster, InstanceId, InstancePhase, TaskInstance, TerminationEvidence};
 use crate::model::MachineId;
 
-/// What a heartbeat of that order, from which an instance is absent, shows of it: nothing as
-/// long as a start may still be on its way.
+/// The evidence given by the absence of an instance from a heartbeat with this order. There is
+/// none while its start may still be in flight.
 pub(super) fn evidence_of_absence(
     state: &TaskInstance,
     order: MessageOrder,
@@ -18,8 +18,9 @@
         InstancePhase::Dispatched { in_reply_to } if order.epoch > in_reply_to.epoch => {
             Some(TerminationEvidence::LaterEpoch)
         }
-        // The answer to a direct command may overtake the answer that carried the start, so only
-        // the worker's own next heartbeat shows that the start was lost.
+        // The response to a direct command may overtake the response that carried the
+        // start, so only the next heartbeat that the worker sends on its own proves that
+        // the start was lost.
         InstancePhase::Dispatched { in_reply_to }
             if source != HeartbeatSource::Worker || order <= in_reply_to =>
         {
@@ -30,12 +31,13 @@
 }
 
 impl Cluster {
-    /// Removes the instances that are not `listed` in the last heartbeat of a fenced machine.
+    /// Removes the instances that are not `reported` in the last heartbeat of a fenced
+    /// machine.
     pub(super) fn remove_absent(
         &mut self,
         id: &MachineId,
         source: HeartbeatSource,
-        listed: &[InstanceId],
+        reported: &[InstanceId],
         now: Instant,
     ) {
         let Some(machine) = self.machines.get(id) else {
@@ -44,7 +46,7 @@
         let absent: Vec<(InstanceId, TerminationEvidence)> = machine
             .instances
             .iter()
-            .filter(|(instance, _)| !listed.contains(instance))
+            .filter(|(instance, _)| !reported.contains(instance))
             .filter_map(|(instance, state)| {
                 let evidence = evidence_of_absence(state, machine.last_message, source)?;
                 Some((instance.clone(), evidence))
@@ -58,7 +60,7 @@
             self.remove_instance(id, &instance, evidence);
         }
         if let Some(machine) = self.machines.get_mut(id).filter(|_| start_lost) {
-            // An answer of ours did not arrive: the next one may not either.
+            // A response did not arrive, and the next one may be lost as well.
             machine.require_confirmation(now);
         }
     }
--- a/src/cluster/reconcile/exits.rs
+++ b/src/cluster/reconcile/exits.rs
@@ -1,4 +1,4 @@
-//! What the exit of a task means for its job and its machine.
+//! The effects of a task's exit on its job and its machine.
 
 use std::time::Instant;
 
@@ -9,11 +9,11 @@
 use crate::time::secs;
 use crate::wire::ExitCause;
 
-/// How long a job waits after a refused start, until the cluster state is right again.
+/// Backoff of a job after a refused start, which leaves time for heartbeats to correct the
+/// cluster state.
 const BACKOFF_AFTER_REFUSAL_S: f64 = 3.0;
 
 impl Cluster {
-    /// A task has exited.
     pub(super) fn apply_exit(
         &mut self,
         id: &MachineId,
@@ -35,14 +35,15 @@
                     job.backoff_until = Some(now + secs(BACKOFF_AFTER_REFUSAL_S));
                 }
             }
-            // Of a gang that can never succeed every member fails; one that only ends with another
-            // member had no fault of its own.
+            // If a gang can never succeed, every member fails by itself. A member
+            // that only ends because another one was lost has no fault of its own,
+            // and neither has the job.
             ExitCause::GangMemberLost => self.confirm_machine_faults(job_id),
             ExitCause::Stopped | ExitCause::GangBarrierTimeout | ExitCause::Other => {}
         }
     }
 
-    /// A task has completed.
+    /// Records the completion of a task.
     fn apply_completion(&mut self, id: &MachineId, instance: &InstanceId, now: Instant) {
         let job_id = &instance.task.job;
         if let Some(job) = self.jobs.get_mut(job_id) {
@@ -55,9 +56,9 @@
         self.note_slowdown(id, instance, now);
     }
 
-    /// Drops the plans of a completed task. A late heartbeat of a machine that was declared failed
-    /// may show the completion after the task was planned elsewhere; nothing was dispatched there,
-    /// and nothing else would ever end that plan.
+    /// Drops the planned starts of a completed task. A late heartbeat of a machine that was
+    /// declared failed may show the completion after the task was planned elsewhere.
+    /// Nothing was dispatched there, and no heartbeat would ever end such a plan.
     fn drop_plans(&mut self, task: &TaskId) {
         let Some(job) = self.jobs.get(&task.job) else {
             return;
--- a/src/cluster/reconcile/incarnation.rs
+++ b/src/cluster/reconcile/incarnation.rs
@@ -1,4 +1,4 @@
-//! A machine that begins again under its old name.
+//! The restart of a machine under the same name.
 
 use knotlanding_links::reachability::Reachability;
 
@@ -6,17 +6,18 @@
 use crate::model::MachineId;
 
 impl Cluster {
-    /// The machine runs a new incarnation: whatever was on it ended with the former one, and
-    /// answers to the former one's heartbeats can't reach it.
+    /// Begins a new incarnation of the machine: all instances ended with the former one,
+    /// and responses to the former one's heartbeats can't reach it.
     pub(super) fn begin_incarnation(&mut self, id: &MachineId) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
         machine.last_response_at = None;
         if let Some(raised) = machine.token.raised() {
-            // The former incarnation never had this one; the new one gets it with the next answer.
+            // The former incarnation never had this token; the new one gets it with
+            // the next response.
             machine.token = raised;
-            machine.incarnation = raised;
+            machine.incarnation_token = raised;
         }
         machine.token_raised_at = None;
         machine.reachability = Reachability::default();
--- a/src/cluster/reconcile/machine_status.rs
+++ b/src/cluster/reconcile/machine_status.rs
@@ -1,4 +1,5 @@
-//! What a heartbeat says of the machine itself: its order, description, notice and token.
+//! The part of a heartbeat about the machine itself: its order, description, spot notice and
+//! token.
 
 use std::time::{Duration, Instant};
 
@@ -11,8 +12,8 @@
 use crate::wire::Heartbeat;
 
 impl Machine {
-    /// A later epoch although our last answer should still hold the lease: the answer did not
-    /// arrive.
+    /// Detects a later epoch although the last response should still hold the lease, which
+    /// means that the response was lost.
     fn note_lost_lease(&mut self, order: MessageOrder, lease: Duration, now: Instant) {
         let later_epoch = self.last_heartbeat_at.is_some() && order.epoch > self.last_message.epoch;
         let lease_held = self
@@ -24,8 +25,7 @@
         }
     }
 
-    /// Takes the notice that the cloud will take the machine away, or that it will not; whether
-    /// that is new.
+    /// Applies a spot notice or its withdrawal, and returns whether either is new.
     fn apply_spot_notice(&mut self, notice_s: Option<f64>, now: Instant) -> bool {
         let before = self.spot_deadline;
         self.spot_deadline = notice_s.map(|s| now + secs(s));
@@ -41,7 +41,8 @@
 }
 
 impl Cluster {
-    /// Applies all of a newer heartbeat but its tasks; whether the machine was busy before it.
+    /// Applies all of a newer heartbeat except its tasks, and returns whether the machine
+    /// was busy before.
     pub(super) fn apply_machine_status(
         &mut self,
         id: &MachineId,
@@ -63,15 +64,15 @@
         self.apply_token(id, heartbeat)
     }
 
-    /// The first heartbeat of this term: the images of the machine are known from an earlier
-    /// leader's summary.
+    /// Handles the first heartbeat of this term. An earlier leader's summary gives the
+    /// machine's images.
     fn note_first_heartbeat(&mut self, id: &MachineId, now: Instant) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
         self.scheduling_needed = true;
         machine.idle_since = now;
-        if let Some(hint) = self.hints.remove(id) {
+        if let Some(hint) = self.inherited_hints.remove(id) {
             let images = hint.images.iter();
             let images = images.map(|(name, gb)| (self.images.id(name), f64::from(*gb)));
             machine.images = images.collect();
@@ -79,7 +80,7 @@
         self.unpublished.machines.insert(id.clone());
     }
 
-    /// Applies what the machine is: its address, type, zone, and whether it is a spot machine.
+    /// Applies the address, type and zone, and whether it is a spot machine.
     fn apply_description(&mut self, id: &MachineId, heartbeat: &Heartbeat) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
@@ -102,8 +103,8 @@
         }
     }
 
-    /// Applies the token that the machine has seen, and whether it may hold anything; whether it
-    /// was busy before.
+    /// Applies the token that the machine shows, and whether it may hold tasks. Returns
+    /// whether it was busy before.
     fn apply_token(&mut self, id: &MachineId, heartbeat: &Heartbeat) -> Option<bool> {
         let machine = self.machines.get_mut(id)?;
         let token = FencingToken(heartbeat.token);
@@ -115,7 +116,8 @@
             heartbeat.token == 0 && heartbeat.tasks.is_empty() && machine.known_to_cloud;
         let was_busy = machine.is_busy();
         if was_never_fenced && !heartbeat.tasks.is_empty() {
-            // It looked fresh by a late copy only, so its free capacity is not what it seemed.
+            // A late copy made the machine look new, so its free capacity was
+            // overestimated.
             let plans = machine
                 .instances
                 .iter()
--- a/src/cluster/reconcile/mod.rs
+++ b/src/cluster/reconcile/mod.rs
@@ -1,8 +1,8 @@
-//! Reconciliation of the cluster state with a heartbeat: each step of it is one module.
+//! Reconciliation of the cluster state with a heartbeat. Each step has its own module.
 //!
-//! The steps run in a fixed order: [`ordering`] decides whether the heartbeat counts at all,
-//! [`machine_status`] takes what the machine says of itself, [`task_status`] what it says of its
-//! tasks, and [`absence`] removes what a fenced machine does not show any more.
+//! The steps run in a fixed order: [`ordering`] decides whether the heartbeat is applied,
+//! [`machine_status`] applies the part about the machine and [`task_status`] that about its
+//! tasks, and [`absence`] removes the instances that a fenced machine does not show.
 
 mod absence;
 mod exits;
@@ -20,9 +20,9 @@
 use crate::wire::Heartbeat;
 
 impl Cluster {
-    /// Reconciles the cluster state with a heartbeat. One that the worker sent by itself shows
-    /// what became of starts sent in the answer to the one before, but may be a late copy; one
-    /// that answers a command of ours is as recent as the command.
+    /// Reconciles the cluster state with a heartbeat. One that the worker sends on its own
+    /// shows the effect of starts in the response to the one before, but may be a late
+    /// copy. One in response to a direct command is as recent as the command.
     pub fn apply_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
@@ -39,20 +39,20 @@
         let Some(was_busy) = self.apply_machine_status(&id, heartbeat, now) else {
             return HeartbeatOrdering::Older;
         };
-        let listed = self.apply_task_statuses(&id, heartbeat, now);
+        let reported = self.apply_task_statuses(&id, heartbeat, now);
         let Some(machine) = self.machines.get_mut(&id) else {
             return HeartbeatOrdering::Older;
         };
-        machine.recount();
+        machine.update_load();
         if machine.fenced {
-            self.remove_absent(&id, source, &listed, now);
+            self.remove_absent(&id, source, &reported, now);
             self.mark_reconciled(&id);
         }
         self.note_idle(&id, was_busy, now);
         HeartbeatOrdering::Newer
     }
 
-    /// Notes since when a machine has had nothing to do.
+    /// Updates since when a machine has had no tasks.
     fn note_idle(&mut self, id: &MachineId, was_busy: bool, now: Instant) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
--- a/src/cluster/reconcile/response.rs
+++ b/src/cluster/reconcile/response.rs
@@ -1,4 +1,4 @@
-//! The commands in the answer to a heartbeat.
+//! The commands in the response to a heartbeat.
 
 use std::time::Instant;
 
@@ -7,19 +7,19 @@
 use crate::model::{FencingToken, MachineId};
 use crate::wire::{ExitCause, WorkerCommand};
 
-/// Whether a machine may drop an exited task from its heartbeats: a completion that is still
-/// wanted has to be in the records first.
+/// Whether a machine may drop an exited task from its heartbeats. A completion that still
+/// matters has to be recorded first.
 fn may_clear(job: Option<&Job>, instance: &InstanceId, cause: ExitCause) -> bool {
     let unrecorded = |job: &Job| job.is_active() && !job.done.is_durable(instance.task.index);
     cause != ExitCause::Done || !job.is_some_and(unrecorded)
 }
 
-/// Requests the immediate termination of a task that is not to run, also during a checkpoint.
+/// Requests the immediate termination of a task that must not run, also during a checkpoint.
 fn terminate_unwanted(state: &mut TaskInstance) {
     if state.is_dispatched() && state.termination.is_none_or(|stop| stop.grace_s > 0.0) {
         state.termination = Some(Termination {
             grace_s: 0.0,
-            last_sent: None,
+            last_sent_at: None,
         });
     }
 }
@@ -32,7 +32,6 @@
     }
 }
 
-/// The command that starts a task.
 fn run_command(instance: &InstanceId) -> WorkerCommand {
     WorkerCommand::Run {
         task: instance.task.to_string(),
@@ -41,8 +40,8 @@
 }
 
 impl Cluster {
-    /// Notes that a machine gets a 200 of ours, whatever the commands in it: its lease may be
-    /// renewed. The token it is answered with.
+    /// Records that a machine is sent a 200, which may renew its lease whatever commands it
+    /// contains. Returns the token for the response.
     pub fn record_response(&mut self, id: &MachineId, now: Instant) -> FencingToken {
         let first = FencingToken::first(self.term);
         self.machines.get_mut(id).map_or(first, |machine| {
@@ -51,9 +50,9 @@
         })
     }
 
-    /// The commands in the answer to a machine's last heartbeat. Starts are dispatched here only:
-    /// the worker drops an answer that comes late, so nothing sent here is executed late. Without
-    /// `starts` they wait: the replica may lack a cancellation.
+    /// The commands in the response to a machine's last heartbeat. Only such responses
+    /// carry starts: the worker drops a late response, so no start in it takes effect late.
+    /// Without `starts`, planned starts wait, since the replica may lack a cancellation.
     pub fn respond(&mut self, id: &MachineId, now: Instant, starts: bool) -> Vec<WorkerCommand> {
         let mut commands = Vec::new();
         let Some(machine) = self.machines.get_mut(id) else {
@@ -76,8 +75,9 @@
                 terminate_unwanted(state);
             }
             if let Some(stop) = &mut state.termination {
-                // Every heartbeat shows whether the stop has arrived, so it may be sent again.
-                stop.last_sent = None;
+                // Every heartbeat shows whether the stop has arrived, so it may
+                // be sent again.
+                stop.last_sent_at = None;
             }
             if let Some(command) = stop_command(instance, state, now) {
                 commands.push(command);
@@ -88,7 +88,7 @@
                 commands.push(run_command(instance));
             }
         }
-        machine.recount();
+        machine.update_load();
         commands
     }
 }
--- a/src/cluster/reconcile/task_status.rs
+++ b/src/cluster/reconcile/task_status.rs
@@ -1,4 +1,4 @@
-//! What a heartbeat says of the tasks on its machine.
+//! The part of a heartbeat about the tasks on its machine.
 
 use std::time::Instant;
 
@@ -10,14 +10,14 @@
 use crate::model::{Attempt, MachineId, TaskId};
 use crate::wire::{ExitCause, Heartbeat, TaskPhase, TaskStatus};
 
-/// What a task status changes about its instance.
+/// The change of an instance by a task status.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Observation {
     /// The instance was not known on the machine.
     FirstSeen,
-    /// It is in another phase.
+    /// The instance is in another phase.
     PhaseChanged,
-    /// Nothing.
+    /// The instance is in the same phase.
     Unchanged,
 }
 
@@ -32,7 +32,7 @@
     }
 }
 
-/// Whether a task in this phase shows that its machine has fetched the image.
+/// Whether a task in this phase shows that its machine has pulled the image.
 fn implies_image(phase: InstancePhase) -> bool {
     matches!(
         phase,
@@ -43,14 +43,15 @@
 }
 
 impl Cluster {
-    /// Applies the task statuses of a heartbeat; all instances that could be read.
+    /// Applies the task statuses of a heartbeat, and returns all instances with a valid
+    /// task id.
     pub(super) fn apply_task_statuses(
         &mut self,
         id: &MachineId,
         heartbeat: &Heartbeat,
         now: Instant,
     ) -> Vec<InstanceId> {
-        let mut listed = Vec::with_capacity(heartbeat.tasks.len());
+        let mut reported = Vec::with_capacity(heartbeat.tasks.len());
         for status in &heartbeat.tasks {
             let Some(task) = TaskId::parse(&status.task) else {
                 continue;
@@ -60,12 +61,11 @@
                 attempt: Attempt(status.attempt),
             };
             self.apply_task_status(id, &instance, phase_of(status), now);
-            listed.push(instance);
+            reported.push(instance);
         }
-        listed
+        reported
     }
 
-    /// Applies one task status.
     fn apply_task_status(
         &mut self,
         id: &MachineId,
@@ -88,14 +88,14 @@
             return;
         }
         if observation == Observation::FirstSeen {
-            self.adopt(id, instance);
+            self.add_reported_placement(id, instance);
         }
         if phase == InstancePhase::Running {
             self.note_running(instance, now);
         }
     }
 
-    /// Records the phase of an instance, which is added if it is not known.
+    /// Records the phase of an instance, and adds the instance if it is not known.
     fn record_phase(
         &mut self,
         id: &MachineId,
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Notes that a machine has just used the image of an instance.
+    /// Records that a machine has just used the image of an instance.
     fn note_image_use(&mut self, id: &MachineId, instance: &InstanceId) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
@@ -155,7 +155,7 @@
     }
 
     /// Adds the placement of a task that an earlier leader started.
-    fn adopt(&mut self, id: &MachineId, instance: &InstanceId) {
+    fn add_reported_placement(&mut self, id: &MachineId, instance: &InstanceId) {
         let Some(job) = self.jobs.get_mut(&instance.task.job) else {
             return;
         };
@@ -175,7 +175,7 @@
         }
     }
 
-    /// A task of the job is running.
+    /// Records that a task of the job is running.
     fn note_running(&mut self, instance: &InstanceId, now: Instant) {
         let Some(job) = self.jobs.get_mut(&instance.task.job) else {
             return;
--- a/src/cluster/records.rs
+++ b/src/cluster/records.rs
@@ -1,45 +1,45 @@
-//! The records that have to be in the store before something else may happen.
+//! The records that have to be in the store before dependent steps may follow.
 //!
-//! Written per job and per batch, never per task: where starts may go before they are dispatched,
-//! the completed tasks before their `clear`, the verdict, and the machine inventory.
+//! They are written per job and per batch, never per task: dispatch targets before a start is
+//! dispatched, completed tasks before their `clear`, the verdict, and the machine inventory.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::{Duration, Instant};
 
-use super::dispatch_log::{DispatchEntry, DispatchPage};
+use super::dispatch_log::{DispatchEntry, DispatchRecordChange};
 use super::machine::Persistence;
-use super::quota::blocked_by;
+use super::quota::may_have_unreconciled_tasks;
 use super::{Cluster, Job};
 use crate::model::{JobId, MachineId, Priority, Verdict};
 use crate::store::keys::{self, DoneRecord, InventoryRecord, JobRecord};
 use crate::store::replica::{Replica, Versioned};
 use crate::store::{to_value, Change, Condition, Transaction, TransactionOutcome, WritePriority};
 
-/// Time between two writes of a job's completed tasks while it has others: the machines keep the
-/// results until then, and a large array would otherwise write all of them with every scheduling cycle.
+/// Interval between two writes of a job's completed tasks. The machines keep the results until
+/// then; otherwise a large array would write them in every scheduling cycle.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(2);
-/// Time between two dispatch records that name only jobs of the lowest priority: the starts of
-/// many jobs gather.
+/// Interval between two dispatch records that name only jobs of the lowest priority, so that
+/// each names many.
 const LOW_DISPATCH_INTERVAL: Duration = Duration::from_millis(800);
 
-/// Bytes a machine's name takes in a shard, envelope included.
-const NAME_BYTES: f64 = 32.0;
-/// Part of a value that a shard fills.
-const SHARD_FILL: f64 = 0.5;
+/// Bytes of a machine's name in a shard, including the envelope.
+const MACHINE_NAME_BYTES: f64 = 32.0;
+/// Fraction of a value that a shard may fill.
+const SHARD_FILL_FRACTION: f64 = 0.5;
 
-/// The machines that may hold tasks, in shards that each fit a value.
+/// The names of the machines that may hold tasks, in shards that each fit one value.
 #[derive(Debug, Default)]
 pub struct MachineInventory {
     shards: BTreeMap<usize, BTreeSet<MachineId>>,
-    capacity: usize,
-    /// Shards that the records don't show as they are. Terminated machines are removed as
-    /// promptly as others are added: a new leader waits for every machine named.
+    machines_per_shard: usize,
+    /// Shards that differ from their records. Terminated machines are removed as promptly
+    /// as others are added, since a new leader waits for every machine named.
     dirty: BTreeSet<usize>,
     writing: BTreeSet<usize>,
 }
 
 impl MachineInventory {
-    /// From the records.
+    /// Loads the stored shards. `value_kb` is the store's limit on a value.
     pub fn load(records: &BTreeMap<usize, Versioned<InventoryRecord>>, value_kb: f64) -> Self {
         let shards = records
             .iter()
@@ -49,15 +49,16 @@
                 (*shard, names.collect())
             })
             .collect();
-        let capacity = (value_kb * 1024.0 * SHARD_FILL / NAME_BYTES).max(1.0) as usize;
+        let machines_per_shard =
+            (value_kb * 1024.0 * SHARD_FILL_FRACTION / MACHINE_NAME_BYTES).max(1.0) as usize;
         Self {
             shards,
-            capacity,
+            machines_per_shard,
             ..Self::default()
         }
     }
 
-    /// All machines named.
+    /// All machines named in any shard.
     pub fn machines(&self) -> impl Iterator<Item = &MachineId> {
         self.shards.values().flatten()
     }
@@ -66,14 +67,18 @@
         if self.shards.values().any(|shard| shard.contains(id)) {
             return;
         }
-        let free = self.shards.iter().find(|(_, s)| s.len() < self.capacity);
+        let free = self
+            .shards
+            .iter()
+            .find(|(_, s)| s.len() < self.machines_per_shard);
         let next = self.shards.keys().next_back().map_or(0, |last| last + 1);
         let shard = free.map_or(next, |(shard, _)| *shard);
         self.shards.entry(shard).or_default().insert(id.clone());
         self.dirty.insert(shard);
     }
 
-    /// The machine is confirmed terminated. The record follows with the next write.
+    /// Removes a terminated machine. The next write of its shard removes the name from the
+    /// record.
     pub fn remove(&mut self, id: &MachineId) {
         for (shard, names) in &mut self.shards {
             if names.remove(id) {
@@ -82,7 +87,7 @@
         }
     }
 
-    fn due(&mut self) -> Vec<(usize, Vec<MachineId>)> {
+    fn take_dirty_shards(&mut self) -> Vec<(usize, Vec<MachineId>)> {
         let due: Vec<usize> = self.dirty.difference(&self.writing).copied().collect();
         due.into_iter()
             .map(|shard| {
@@ -95,33 +100,33 @@
     }
 }
 
-/// What a write is for, so that its outcome can be taken in.
+/// The purpose of a write, by which its outcome is applied.
 #[derive(Debug, Clone)]
 pub enum RecordKind {
-    /// A dispatch record: jobs with where starts of them may be sent. Without jobs, it is deleted.
+    /// A dispatch record with jobs and their targets. Without jobs, it is deleted.
     Dispatch {
-        /// Its key.
+        /// The key of the record.
         key: String,
-        /// The jobs.
+        /// The jobs with the targets that the record adds.
         entries: Vec<DispatchEntry>,
     },
     /// A chunk of the job's completed tasks.
     Progress {
-        /// The job.
+        /// The job whose tasks completed.
         job: JobId,
         /// The number of the chunk.
         chunk: usize,
         /// The completed tasks in it, see [`super::done::DoneSet::encode`].
         digits: String,
     },
-    /// The verdict `done`; the job's other records are deleted with it.
+    /// The verdict `done`, with the deletion of the job's other records.
     Finished {
-        /// The job.
+        /// The job that completed.
         job: JobId,
     },
-    /// A cancelled job's records are deleted.
+    /// The deletion of a cancelled job's records.
     Retired {
-        /// The job.
+        /// The job that was cancelled.
         job: JobId,
     },
     /// A shard of the machine inventory.
@@ -133,18 +138,19 @@
     },
 }
 
-/// A write the cluster state waits for.
+/// A write for which the cluster state waits.
 #[derive(Debug, Clone)]
 pub struct RecordWrite {
-    /// What it is for.
+    /// The purpose of the write, with what its outcome changes.
     pub kind: RecordKind,
-    /// Conditions and changes; the leader's own condition is added by who sends it.
+    /// The conditions and changes. The sender adds the condition that this process is the
+    /// leader.
     pub transaction: Transaction,
-    /// What it may go before.
+    /// The priority among all writes to the store.
     pub priority: WritePriority,
 }
 
-/// The changes that delete a job's records, but for its verdict.
+/// The changes that delete all records of a job except its verdict.
 fn delete_records(id: &JobId, job: &Job, verdict: Verdict) -> Vec<Change> {
     let record = JobRecord::bare(verdict, job.spec.tasks);
     let mut apply = vec![Change::put(keys::job(id), to_value(&record))];
@@ -156,11 +162,11 @@
     apply
 }
 
-/// Dispatches that are to be recorded, by the urgency of their jobs.
+/// Dispatches to be recorded, by the write priority of their jobs.
 type DueDispatches = BTreeMap<WritePriority, Vec<DispatchEntry>>;
 
-/// How soon starts of such jobs have to be dispatched.
-fn urgency_of(priority: Priority) -> WritePriority {
+/// The write priority of dispatch records for jobs of this priority.
+fn write_priority_of(priority: Priority) -> WritePriority {
     if priority == Priority::BestEffort {
         WritePriority::Low
     } else {
@@ -168,16 +174,16 @@
     }
 }
 
-/// The write by which a job ends in the records, if it is due.
-fn verdict_write(id: &JobId, job: &Job, blocked: bool) -> Option<RecordWrite> {
+/// The write that finishes or retires a job, if it is due.
+fn verdict_write(id: &JobId, job: &Job, may_be_running: bool) -> Option<RecordWrite> {
     let all_done = job.done.len() == job.spec.tasks;
-    let (kind, verdict, urgency) = match job.verdict {
+    let (kind, verdict, priority) = match job.verdict {
         Verdict::Accepted if all_done && !job.has_placements() => (
             RecordKind::Finished { job: id.clone() },
             Verdict::Done,
             WritePriority::High,
         ),
-        Verdict::Cancelled if !(job.has_placements() || blocked) => (
+        Verdict::Cancelled if !(job.has_placements() || may_be_running) => (
             RecordKind::Retired { job: id.clone() },
             Verdict::Cancelled,
             WritePriority::Progress,
@@ -188,11 +194,12 @@
     Some(RecordWrite {
         kind,
         transaction: Transaction::new(conditions, delete_records(id, job, verdict)),
-        priority: urgency,
+        priority,
     })
 }
 
-/// The versions of records by which a write is conditional: the later of our own and the replica's.
+/// The record versions on which writes are conditional: the later of this leader's last write
+/// and the replica's.
 struct KnownVersions<'a> {
     own: &'a HashMap<String, u64>,
     replica: &'a Replica,
@@ -212,17 +219,17 @@
     }
 }
 
-/// The write of a chunk of completed tasks, if one is due.
+/// The write of a chunk of completed tasks, if it is due.
 fn progress_write(
     id: &JobId,
     job: &mut Job,
     versions: &KnownVersions,
     now: Instant,
 ) -> Option<RecordWrite> {
-    let rested = job
+    let interval_elapsed = job
         .progress_written_at
         .is_none_or(|at| now.saturating_duration_since(at) >= PROGRESS_INTERVAL);
-    let chunk = job.done.dirty_chunk().filter(|_| rested)?;
+    let chunk = job.done.dirty_chunk().filter(|_| interval_elapsed)?;
     job.progress_written_at = Some(now);
     let digits = job.done.encode(chunk);
     let record = DoneRecord {
@@ -246,12 +253,12 @@
 }
 
 impl Cluster {
-    /// The writes that are due. Each is marked as under way until
-    /// [`Cluster::apply_write_outcome`] takes its outcome.
+    /// The writes that are due. Each is marked as in flight until
+    /// [`Cluster::apply_write_outcome`] is called.
     ///
-    /// A write of a chunk or a shard replaces the one before, so it is conditional on the
-    /// version before: a write that got no answer may be applied minutes late, and must not
-    /// then undo a newer one.
+    /// A write of a chunk or a shard replaces the one before and is conditional on its
+    /// version: a write without a response may be committed minutes later, and must not
+    /// revert a newer one.
     pub fn due_writes(&mut self, replica: &Replica, now: Instant) -> Vec<RecordWrite> {
         let mut writes = Vec::new();
         let dispatches = self.due_job_writes(replica, &mut writes, now);
@@ -260,7 +267,7 @@
         writes
     }
 
-    /// Adds the writes of verdicts and of progress; the dispatches that are to be recorded.
+    /// Adds the writes of verdicts and progress, and returns the dispatches to be recorded.
     fn due_job_writes(
         &mut self,
         replica: &Replica,
@@ -273,16 +280,20 @@
             replica,
         };
         for (id, job) in &mut self.jobs {
-            // What is cancelled without the replica showing it will be seen to in a moment.
+            // The replica does not show the cancellation yet. Its records are
+            // written once it does.
             let cancelling = job.cancellation_requested && job.verdict == Verdict::Accepted;
             if job.writing || cancelling {
                 continue;
             }
-            let blocked = blocked_by(&self.unreconciled, &self.machines, job);
-            let mut write = verdict_write(id, job, blocked);
+            let may_be_running =
+                may_have_unreconciled_tasks(&self.unreconciled, &self.machines, job);
+            let mut write = verdict_write(id, job, may_be_running);
             if write.is_none() && job.verdict == Verdict::Accepted {
                 if let Some(targets) = job.unrecorded_targets() {
-                    let due = dispatches.entry(urgency_of(job.spec.priority)).or_default();
+                    let due = dispatches
+                        .entry(write_priority_of(job.spec.priority))
+                        .or_default();
                     let job = id.clone();
                     due.push(DispatchEntry { job, targets });
                     continue;
@@ -297,45 +308,49 @@
         dispatches
     }
 
-    /// Adds dispatch records for the starts that are due, the urgent ones first, and the deletion
-    /// of one that nobody needs.
+    /// Adds dispatch records, those with high priority first, and the deletion of one
+    /// surplus record.
     fn due_dispatch_writes(
         &mut self,
         dispatches: DueDispatches,
         writes: &mut Vec<RecordWrite>,
         now: Instant,
     ) {
-        let highest = dispatches.keys().next().copied();
-        let rested = self
+        let highest_priority = dispatches.keys().next().copied();
+        let interval_elapsed = self
             .dispatch_recorded_at
             .is_none_or(|at| now.saturating_duration_since(at) >= LOW_DISPATCH_INTERVAL);
-        let highest = highest.filter(|urgency| *urgency != WritePriority::Low || rested);
-        if highest.is_some() {
+        let highest_priority =
+            highest_priority.filter(|priority| *priority != WritePriority::Low || interval_elapsed);
+        if highest_priority.is_some() {
             self.dispatch_recorded_at = Some(now);
         }
-        // Entries that could wait go along with those that can't.
+        // Entries with low priority are written along with those with high priority.
         let mut due: Vec<DispatchEntry> = dispatches.into_values().flatten().collect();
-        while let Some(urgency) =
-            highest.filter(|_| !due.is_empty() && self.dispatch_log.may_write())
+        while let Some(priority) =
+            highest_priority.filter(|_| !due.is_empty() && self.dispatch_log.may_write())
         {
-            let Some(page) = self.dispatch_log.next_page(&mut due) else {
+            let Some(record_change) = self.dispatch_log.next_record_change(&mut due) else {
                 break;
             };
-            for entry in &page.entries {
+            for entry in &record_change.entries {
                 if let Some(job) = self.jobs.get_mut(&entry.job) {
                     job.writing = true;
                 }
             }
-            writes.push(dispatch_write(page, urgency));
+            writes.push(dispatch_write(record_change, priority));
         }
-        // A deletion that waits for its turn must not keep a record from being written.
+        // A deletion that waits for its turn must not delay the write of a record.
         if due.is_empty() && self.dispatch_log.is_idle() {
-            let surplus = self.dispatch_log.surplus();
-            writes.extend(surplus.map(|page| dispatch_write(page, WritePriority::Progress)));
+            let deletion = self.dispatch_log.next_surplus_deletion();
+            writes.extend(
+                deletion
+                    .map(|record_change| dispatch_write(record_change, WritePriority::Progress)),
+            );
         }
     }
 
-    /// Adds the shards of the machine inventory that the records don't show as they are.
+    /// Adds the shards of the machine inventory that differ from their records.
     fn due_inventory_writes(&mut self, replica: &Replica, writes: &mut Vec<RecordWrite>) {
         for machine in self.machines.values_mut() {
             if machine.last_heartbeat_at.is_some()
@@ -349,7 +364,7 @@
             own: &self.written_versions,
             replica,
         };
-        for (shard, machines) in self.inventory.due() {
+        for (shard, machines) in self.inventory.take_dirty_shards() {
             let record = InventoryRecord {
                 machines: machines.iter().map(|id| id.0.to_string()).collect(),
             };
@@ -365,7 +380,8 @@
         }
     }
 
-    /// Takes a write's outcome. Whatever is not known to be written is written again.
+    /// Applies the outcome of a write. Whatever is not known to be committed is written
+    /// again.
     pub fn apply_write_outcome(&mut self, kind: &RecordKind, outcome: &TransactionOutcome) {
         self.scheduling_needed = true;
         let committed = outcome.committed();
@@ -406,7 +422,7 @@
     ) {
         let jobs = entries.iter().map(|entry| entry.job.clone());
         let known = jobs.filter(|id| self.jobs.contains_key(id)).collect();
-        self.dispatch_log.written(key, known, version);
+        self.dispatch_log.apply_write_outcome(key, known, version);
         for entry in entries {
             let Some(job) = self.jobs.get_mut(&entry.job) else {
                 continue;
@@ -454,14 +470,13 @@
     }
 }
 
-/// The write of a dispatch record.
-fn dispatch_write(page: DispatchPage, urgency: WritePriority) -> RecordWrite {
+fn dispatch_write(record_change: DispatchRecordChange, priority: WritePriority) -> RecordWrite {
     RecordWrite {
         kind: RecordKind::Dispatch {
-            key: page.key,
-            entries: page.entries,
+            key: record_change.key,
+            entries: record_change.entries,
         },
-        transaction: Transaction::new(vec![page.condition], vec![page.change]),
-        priority: urgency,
+        transaction: Transaction::new(vec![record_change.condition], vec![record_change.change]),
+        priority,
     }
 }
--- a/src/cluster/recovery.rs
+++ b/src/cluster/recovery.rs
@@ -1,5 +1,5 @@
-//! Recovery of the cluster state by a new leader: the records are read, and machines of earlier
-//! terms stay unreconciled until they are heard or their leases are over.
+//! Recovery of the cluster state by a new leader from the records. Machines of earlier terms
+//! stay unreconciled until they are fenced, terminated, or their leases have expired.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::time::{Duration, Instant, SystemTime};
@@ -18,7 +18,7 @@
 use crate::timing::WorkerTiming;
 
 impl Cluster {
-    /// Builds the cluster state of a new term from the records, and trusts nothing else.
+    /// Builds the cluster state of a new term from the records alone.
     pub fn recover(
         term: Term,
         settings: &Settings,
@@ -47,14 +47,14 @@
             pools: MachinePools::default(),
             images: Images::default(),
             unpublished: UnpublishedChanges::default(),
-            hints: HashMap::new(),
+            inherited_hints: HashMap::new(),
             slowdowns: VecDeque::new(),
             terminated_machines: BTreeSet::new(),
-            zone_cuts: BTreeMap::new(),
+            zone_partitions: BTreeMap::new(),
             attempts_issued: 0,
             command_budget: commands::CommandBudget::new(settings.params.resources.cores, now),
             written_versions: HashMap::new(),
-            chunk: done::chunk_size(settings.params.state.value_kb),
+            tasks_per_chunk: done::tasks_per_chunk(settings.params.state.value_kb),
             inventory,
             dispatch_log,
             dispatch_recorded_at: None,
@@ -81,18 +81,21 @@
         for id in ids {
             self.sync_job(&id, replica, now, wall, true);
         }
-        // Of whatever else is listed no task can be anywhere.
+        // Other jobs in the dispatch records are over, and no task of them can be on any
+        // machine.
         self.recovered_targets.clear();
         let jobs = &self.jobs;
-        self.dispatch_log.keep(|id| jobs.contains_key(id));
+        self.dispatch_log.retain_jobs(|id| jobs.contains_key(id));
     }
 
-    /// Takes an earlier leader's summary of the machines. Those that are gone must not come back
-    /// by late copies of their heartbeats.
+    /// Applies an earlier leader's summary of the machines. Late heartbeats of machines
+    /// that it shows as removed must not add them again.
     pub fn adopt_summary(&mut self, summary: &SummaryCache) {
-        self.hints = summary.hints.clone();
+        self.inherited_hints = summary.hints.clone();
         for id in &self.unreconciled {
-            if let (Some(machine), Some(hint)) = (self.machines.get_mut(id), self.hints.get(id)) {
+            if let (Some(machine), Some(hint)) =
+                (self.machines.get_mut(id), self.inherited_hints.get(id))
+            {
                 machine.address.clone_from(&hint.address);
                 machine.last_message.epoch = hint.epoch;
             }
@@ -104,7 +107,8 @@
         self.terminated_machines.extend(gone.cloned());
     }
 
-    /// The machine is reconciled: nothing of earlier terms is unknown about it any more.
+    /// Marks the machine as reconciled: no tasks of earlier terms are unknown on it any
+    /// more.
     pub(super) fn mark_reconciled(&mut self, id: &MachineId) {
         if !self.unreconciled.remove(id) {
             return;
@@ -115,7 +119,8 @@
         }
     }
 
-    /// How long after the start of the term all machines were reconciled; given out once.
+    /// The time from the start of observation until all machines were reconciled, returned
+    /// once.
     pub fn take_reconciliation_time(&mut self, now: Instant) -> Option<Duration> {
         if self.reconciliation_reported || !self.unreconciled.is_empty() {
             return None;
--- a/src/cluster/slow_machines.rs
+++ b/src/cluster/slow_machines.rs
@@ -9,15 +9,16 @@
 use super::Cluster;
 use crate::model::{JobId, MachineId};
 
-/// Jobs of which a machine's slowdown is compared with the others'.
+/// The last jobs on a machine whose slowdowns are compared with the median.
 const JOBS_TO_COMPARE: usize = 3;
-/// A machine this much slower than the median, for all of them, is quarantined.
+/// A machine is quarantined if its slowdowns for all these jobs exceed the median by this
+/// factor.
 const SLOW_FACTOR: f64 = 2.5;
-/// Tasks anywhere whose slowdown is remembered, and how many there must be for a judgement.
+/// Slowdowns kept of tasks on any machine, and how many are required for a comparison.
 const SLOWDOWNS_KEPT: usize = 60;
 const SLOWDOWNS_TO_JUDGE: usize = 15;
 
-/// The run time of an instance over its estimate, if both are known.
+/// The ratio of an instance's run time to its estimate, if both are known.
 fn slowdown_of(machine: &Machine, instance: &InstanceId, now: Instant) -> Option<f64> {
     let state = machine.instances.get(instance)?;
     let estimate_s = state.spec.as_ref()?.estimate_s;
@@ -35,7 +36,7 @@
 }
 
 impl Machine {
-    /// Replaces the slowdown of the job's last task here.
+    /// Replaces the slowdown of the job's last task on this machine.
     fn record_slowdown(&mut self, job: &JobId, slowdown: f64) {
         self.slowdowns.retain(|(known, _)| known != job);
         self.slowdowns.push((job.clone(), slowdown));
@@ -46,8 +47,9 @@
 }
 
 impl Cluster {
-    /// Compares how long a task ran with its estimate, and the machine's slowdowns with those of
-    /// all: estimates are often wrong by half, but not for several jobs on one machine only.
+    /// Compares the run time of a task with its estimate, and the machine's slowdowns with
+    /// the median of all. Estimates are often wrong by half, but not for several jobs on
+    /// only one machine.
     pub(super) fn note_slowdown(&mut self, id: &MachineId, instance: &InstanceId, now: Instant) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
--- a/src/cluster/sync.rs
+++ b/src/cluster/sync.rs
@@ -1,4 +1,4 @@
-//! What the records and the cloud say of jobs and machines.
+//! Updates of jobs and machines from the records and from the cloud.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -16,7 +16,7 @@
 use crate::time::{secs, unix_ms};
 use crate::wire::ListedMachine;
 
-/// Where starts may have been sent by a job's own record.
+/// Machines to which starts may have been sent, according to the job's own record.
 fn targets_of(record: &LiveRecord) -> DispatchTargets {
     match &record.hosts {
         Some(names) => DispatchTargets::Machines(
@@ -31,7 +31,8 @@
 }
 
 impl Cluster {
-    /// Takes what the records now say of a job.
+    /// Applies the current records of a job. `recovering` marks jobs that are not new
+    /// submissions.
     pub fn sync_job(
         &mut self,
         id: &JobId,
@@ -55,7 +56,7 @@
         self.scheduling_needed = true;
     }
 
-    /// Takes a newer verdict of a known job.
+    /// Applies a newer verdict of a known job.
     fn update_job(&mut self, id: &JobId, replica: &Replica) {
         let (Some(verdict), Some(job)) = (replica.jobs.get(id), self.jobs.get_mut(id)) else {
             return;
@@ -68,15 +69,19 @@
                 self.stop_job(id, 0.0);
             }
         }
-        // Our own retirement of the job: the records are deleted, and no task of it is left. A
-        // controller of 0.3.0 that cancels deletes the description sooner.
-        let gone = !self.jobs.get(id).is_some_and(Job::has_placements);
-        if gone && !replica.live.contains_key(id) && verdict.record.verdict != Verdict::Accepted {
+        // This leader has retired the job: its records are deleted, and no task of it is
+        // left. A controller of version 0.3.0 deletes the description earlier, with the
+        // cancellation.
+        let no_placements = !self.jobs.get(id).is_some_and(Job::has_placements);
+        if no_placements
+            && !replica.live.contains_key(id)
+            && verdict.record.verdict != Verdict::Accepted
+        {
             self.forget_job(id);
         }
     }
 
-    /// A job as its records have it, unless it is over.
+    /// The job by its records, unless it is over.
     fn job_from_records(
         &mut self,
         id: &JobId,
@@ -94,7 +99,7 @@
             dispatch_targets.add(recovered);
         }
         let age = Duration::from_millis(unix_ms(wall).saturating_sub(record.submitted_ms));
-        let mut done = DoneSet::new(record.spec.tasks, self.chunk);
+        let mut done = DoneSet::new(record.spec.tasks, self.tasks_per_chunk);
         for (chunk, digits) in replica.done_chunks(id) {
             done.mark_durable(chunk, &digits.bits);
         }
@@ -138,13 +143,13 @@
         for chunk in 0..job.done.chunks() {
             self.written_versions.remove(&keys::done(id, chunk));
         }
-        self.dispatch_log.over(id);
+        self.dispatch_log.remove_job(id);
         for machine in self.machines.values_mut().filter(|m| m.commands_pending()) {
             machine.drop_plans_of(id);
         }
     }
 
-    /// The machine is confirmed terminated, and all tasks that were on it.
+    /// Removes a machine that is confirmed terminated, and all tasks that were on it.
     pub fn remove_terminated_machine(&mut self, id: &MachineId) {
         if let Some(machine) = self.machines.remove(id) {
             for instance in machine.instances.keys() {
@@ -154,7 +159,7 @@
         self.mark_reconciled(id);
         self.unpublished.machines.insert(id.clone());
         self.inventory.remove(id);
-        // Heartbeats of it may still be on their way; they must not bring it back.
+        // Late heartbeats may still arrive and must not add the machine again.
         self.terminated_machines.insert(id.clone());
         if self.terminated_machines.len() > GONE_MACHINES_KEPT {
             self.terminated_machines.pop_first();
@@ -162,7 +167,7 @@
         self.scheduling_needed = true;
     }
 
-    /// Adds machines that the cloud has rented to us.
+    /// Adds machines that the cloud has rented to this deployment.
     pub fn add_rented_machines(&mut self, names: &[String], pool: &MachinePool, now: Instant) {
         for name in names {
             let id = MachineId(name.as_str().into());
@@ -179,7 +184,8 @@
         }
     }
 
-    /// Takes the cloud's list. It lags, so absence from it is no evidence.
+    /// Applies the cloud's list of machines. The list lags, so absence from it is no
+    /// evidence.
     pub fn apply_machine_list(&mut self, list: &[ListedMachine], now: Instant) {
         for entry in list {
             let id = MachineId(entry.id.as_str().into());
@@ -200,13 +206,13 @@
                 machine.rented_at = rented.min(machine.rented_at);
             }
             machine.known_to_cloud = true;
-            let listed = match entry.status.as_str() {
+            let cloud_status = match entry.status.as_str() {
                 "booting" => CloudStatus::Booting,
                 "failed" => CloudStatus::Failed,
                 _ => CloudStatus::Running,
             };
-            if machine.cloud_status != listed {
-                machine.cloud_status = listed;
+            if machine.cloud_status != cloud_status {
+                machine.cloud_status = cloud_status;
                 machine.cloud_status_since = now;
             }
         }
--- a/src/model.rs
+++ b/src/model.rs
@@ -1,4 +1,4 @@
-//! The model of the cluster: jobs, tasks, gangs, teams, machines and attempts.
+//! The domain model: jobs, tasks, gangs, machines, attempts, terms and fencing tokens.
 
 use std::fmt;
 use std::sync::Arc;
@@ -12,17 +12,17 @@
 
 impl JobId {
     const PREFIX: &'static str = "wk-";
-    /// Most digits accepted: more would not fit any counter.
+    /// More digits would not fit a 64-bit counter.
     const ID_DIGITS_MAX: usize = 19;
 
-    /// Parses an id; rejects every other form.
+    /// Parses an id, and rejects every other form.
     pub fn parse(text: &str) -> Option<Self> {
         let digits = text.strip_prefix(Self::PREFIX)?;
         let fits = !digits.is_empty() && digits.len() <= Self::ID_DIGITS_MAX;
         (fits && digits.bytes().all(|b| b.is_ascii_digit())).then(|| Self(text.into()))
     }
 
-    /// The id as text.
+    /// The id with its prefix.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -40,12 +40,12 @@
     }
 }
 
-/// One task of a job.
+/// The id of one task of a job.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
-    /// The job.
+    /// The job that the task belongs to.
     pub job: JobId,
-    /// The task's number within it.
+    /// The task's number within the job, from 0.
     pub index: u32,
 }
 
@@ -72,7 +72,7 @@
     }
 }
 
-/// A machine's name. Names sort by creation.
+/// A machine's name, given by the cloud. Names sort by creation.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MachineId(pub Arc<str>);
 
@@ -88,34 +88,36 @@
     }
 }
 
-/// An attempt to run a task or a whole gang, unique among all attempts: the term, then a counter.
+/// An attempt to run a task or a whole gang, unique among all attempts: the term, then a
+/// counter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Attempt(pub u64);
 
 impl Attempt {
-    /// Bits of the counter; a term would have to start four thousand million tasks to run out of them.
+    /// Bits of the counter. A term would have to start four billion tasks to exhaust it.
     const COUNTER_BITS: u32 = 32;
 
-    /// The `count`th attempt of a term. No two terms share an attempt, so none is stored.
+    /// The attempt with this counter value. Terms share no attempts, so the counter is not
+    /// stored.
     pub fn of(term: Term, count: u32) -> Self {
         Self((term.0 << Self::COUNTER_BITS) | u64::from(count))
     }
 }
 
-/// The term of a leader.
+/// A leader's term, which rises with every election.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Term(pub u64);
 
-/// The fencing token by which workers reject commands of deposed leaders: a term, and a count within
-/// it. A leader may raise the count for one machine, which makes the worker send a heartbeat at
-/// once; another term's tokens are all lower or all higher.
+/// The fencing token by which workers reject commands of deposed leaders: a term, then a
+/// counter. A leader may raise the counter for one machine, which makes the worker send a
+/// heartbeat at once. Tokens of a later term are higher than all tokens of an earlier one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FencingToken(pub u64);
 
 impl FencingToken {
-    /// Bits of the count. A machine's token is raised a few times a minute at most.
+    /// Bits of the counter. A machine's token is raised a few times per minute at most.
     const COUNT_BITS: u32 = 20;
 
     /// The first token of a term.
@@ -123,30 +125,30 @@
         Self(term.0 << Self::COUNT_BITS)
     }
 
-    /// The term it belongs to.
+    /// The term that issued it.
     pub fn term(self) -> Term {
         Term(self.0 >> Self::COUNT_BITS)
     }
 
-    /// The next one of the same term, if there is one left.
+    /// The next token of the same term, unless the counter is exhausted.
     pub fn raised(self) -> Option<Self> {
         let next = Self(self.0 + 1);
         (next.term() == self.term()).then_some(next)
     }
 }
 
-/// The kind of a job.
+/// How the tasks of a job depend on each other, and whether they end by themselves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobKind {
-    /// Independent tasks, each a gang of one.
+    /// Independent tasks.
     Array,
-    /// Tasks that run all at the same time or not at all.
+    /// Tasks that all run at the same time or not at all.
     Gang,
     /// Independent tasks that run until their user cancels the job.
     Service,
 }
 
-/// Priority class, lowest first so that the derived order is that of priorities.
+/// Priority class, lowest first, so that the derived order is that of the priorities.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Priority {
     /// `best_effort`
@@ -159,43 +161,43 @@
     Production,
 }
 
-/// Amounts of the resources of a machine.
+/// Amounts of resources, required by a task or provided by a machine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Resources {
-    /// Processors.
+    /// Processor cores.
     pub cpus: f64,
-    /// Graphics cards.
+    /// Number of GPUs.
     pub gpus: f64,
     /// Memory in GB.
     pub memory: f64,
 }
 
-/// Decimal amounts are summed and subtracted many times; differences below this are rounding.
-const ROUNDING: f64 = 1e-6;
+/// Differences below this are rounding errors of repeated additions and subtractions.
+const ROUNDING_TOLERANCE: f64 = 1e-6;
 
 impl Resources {
-    /// Whether this fits into the free capacity.
+    /// Whether these amounts fit into the free capacity.
     pub fn fits(&self, free: &Resources) -> bool {
-        self.cpus <= free.cpus + ROUNDING
-            && self.gpus <= free.gpus + ROUNDING
-            && self.memory <= free.memory + ROUNDING
+        self.cpus <= free.cpus + ROUNDING_TOLERANCE
+            && self.gpus <= free.gpus + ROUNDING_TOLERANCE
+            && self.memory <= free.memory + ROUNDING_TOLERANCE
     }
 
-    /// Adds other amounts.
+    /// Adds the other amounts to these.
     pub fn add(&mut self, other: &Resources) {
         self.cpus += other.cpus;
         self.gpus += other.gpus;
         self.memory += other.memory;
     }
 
-    /// Subtracts other amounts.
+    /// Subtracts the other amounts from these.
     pub fn sub(&mut self, other: &Resources) {
         self.cpus -= other.cpus;
         self.gpus -= other.gpus;
         self.memory -= other.memory;
     }
 
-    /// These amounts `n` times.
+    /// These amounts multiplied by `n`.
     pub fn times(&self, n: u32) -> Resources {
         let n = f64::from(n);
         Resources {
@@ -205,7 +207,7 @@
         }
     }
 
-    /// How many of this fit into the free capacity.
+    /// How many times these amounts fit into the free capacity.
     pub fn count_in(&self, free: &Resources) -> u32 {
         let parts = [
             (self.cpus, free.cpus),
@@ -214,8 +216,8 @@
         ];
         let fit = parts
             .iter()
-            .filter(|(need, _)| *need > ROUNDING)
-            .map(|(need, have)| ((have + ROUNDING) / need).floor())
+            .filter(|(need, _)| *need > ROUNDING_TOLERANCE)
+            .map(|(need, have)| ((have + ROUNDING_TOLERANCE) / need).floor())
             .fold(f64::from(u32::MAX), f64::min);
         fit.max(0.0) as u32
     }
@@ -224,55 +226,55 @@
 /// A job as its user described it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// Its id.
+    /// The id chosen by the user.
     pub id: JobId,
-    /// Its job class.
+    /// The job class, to which objectives refer.
     pub class: String,
     /// The team whose quota applies.
     pub team: String,
-    /// Array, gang or service.
+    /// Whether the tasks are independent, and whether they end by themselves.
     #[serde(rename = "shape")]
     pub kind: JobKind,
-    /// Priority.
+    /// The priority class.
     #[serde(rename = "rank")]
     pub priority: Priority,
-    /// Number of tasks.
+    /// The number of tasks.
     pub tasks: u32,
-    /// What each task needs.
+    /// Resources that each task requires.
     #[serde(rename = "need")]
     pub task_resources: Resources,
-    /// Machine types allowed; `None`: any.
+    /// The allowed machine types; `None`: any.
     #[serde(rename = "builds")]
     pub machine_types: Option<Vec<String>>,
-    /// The only zone allowed.
+    /// The only allowed zone; `None`: any.
     pub zone: Option<String>,
-    /// All tasks in one zone.
+    /// Whether all tasks have to run in one zone.
     #[serde(rename = "one_zone")]
     pub single_zone: bool,
-    /// At most half, rounded up, in one zone.
+    /// Whether at most half of the tasks, rounded up, may run in one zone.
     #[serde(rename = "spread")]
     pub zone_spread: bool,
-    /// May use spot machines.
+    /// Whether spot machines are allowed.
     pub spot: bool,
-    /// Its image, pulled before a task runs.
+    /// The image, which a machine pulls before a task runs.
     pub image: String,
-    /// Its size in GB.
+    /// The size of the image in GB.
     pub image_gb: f64,
-    /// The owner's estimate of a task's run time, in seconds.
+    /// The owner's estimate of a task's run time, in seconds; 0: none.
     pub estimate_s: f64,
     /// Seconds of progress between two checkpoints; 0: no checkpoints.
     #[serde(rename = "checkpoint_s")]
     pub checkpoint_interval_s: f64,
-    /// Seconds that a checkpoint takes.
+    /// Seconds that writing a checkpoint takes.
     #[serde(rename = "save_s")]
     pub checkpoint_cost_s: f64,
-    /// Seconds from its submission to its deadline.
+    /// Seconds from submission to the deadline.
     #[serde(rename = "due_s")]
     pub deadline_s: Option<f64>,
 }
 
 impl JobSpec {
-    /// The least number of members with which a gang runs.
+    /// The number of members with which a gang is complete; 1 for independent tasks.
     pub fn min_running_tasks(&self) -> u32 {
         match self.kind {
             JobKind::Array | JobKind::Service => 1,
@@ -285,9 +287,9 @@
         self.checkpoint_interval_s > 0.0
     }
 
-    /// The grace period in which a checkpoint is saved, in seconds.
+    /// The grace period for writing a last checkpoint, in seconds.
     pub fn checkpoint_grace_s(&self) -> f64 {
-        // One second on top, so that rounding on the way never makes it too little.
+        // One extra second, so that delays and rounding never make it too short.
         self.checkpoint_cost_s + 1.0
     }
 
@@ -296,7 +298,7 @@
         crate::time::secs(self.estimate_s)
     }
 
-    /// Most tasks in one zone, by the zone spread constraint if the job has it.
+    /// The most tasks in one zone, which the zone spread constraint lowers.
     pub fn max_tasks_per_zone(&self) -> u32 {
         if self.zone_spread {
             self.tasks.div_ceil(2)
@@ -305,7 +307,7 @@
         }
     }
 
-    /// Whether the job may use machines of this type, zone and kind at all.
+    /// Whether the job may use machines of this type and zone, spot or on demand.
     pub fn allows(&self, machine_type: &str, zone: &str, spot: bool) -> bool {
         (self.spot || !spot)
             && self.zone.as_deref().is_none_or(|z| z == zone)
@@ -319,26 +321,26 @@
 /// A machine type of the cloud's catalog.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MachineType {
-    /// Its name.
+    /// The name by which jobs and rentals refer to it.
     pub name: String,
-    /// Its capacity.
+    /// Resources of one machine, all available to tasks.
     pub capacity: Resources,
-    /// Price an hour.
+    /// On-demand price per hour.
     pub hourly_price: f64,
-    /// Price an hour as a spot machine, at present.
+    /// Current spot price per hour.
     pub hourly_spot_price: f64,
-    /// Nominal boot time.
+    /// Nominal time from the rental to the first heartbeat.
     pub boot_time: Duration,
-    /// Image cache in GB.
+    /// Size of the image cache in GB.
     pub cache_gb: f64,
-    /// The rate of image pulls in GB a second.
+    /// Throughput of image pulls in GB per second.
     pub pull_gb_per_s: f64,
-    /// Zones that have it.
+    /// Zones in which it can be rented.
     pub zones: Vec<String>,
 }
 
 impl MachineType {
-    /// Price an hour, on demand or spot.
+    /// Price per hour, spot or on demand.
     pub fn hourly_price_of(&self, spot: bool) -> f64 {
         if spot {
             self.hourly_spot_price
@@ -348,25 +350,25 @@
     }
 }
 
-/// A pool of machines that can be rented: one type, in one zone, spot or on demand.
+/// A pool of machines that can be rented: one type in one zone, spot or on demand.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct MachinePool {
-    /// Type.
+    /// The name of the machine type.
     pub machine_type: String,
-    /// Zone.
+    /// The zone in which the machines are rented.
     pub zone: String,
-    /// Spot or on demand.
+    /// Whether its machines are spot machines.
     pub spot: bool,
 }
 
-/// What the records say of a job.
+/// The recorded outcome of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
-    /// Accepted; it has to run.
+    /// The job was accepted and has to run.
     Accepted,
-    /// All tasks completed.
+    /// All tasks have completed.
     Done,
-    /// Its user cancelled it.
+    /// The user cancelled the job.
     Cancelled,
 }
 
--- a/src/model/tests.rs
+++ b/src/model/tests.rs
@@ -2,7 +2,8 @@
 
 use super::*;
 
-/// Terms must stay apart whatever the counts: a worker knows tokens only by their size.
+/// Workers compare tokens by their numeric value alone, so the tokens of two terms must never
+/// overlap, however often a token is raised.
 #[test]
 fn tokens_of_a_later_term_are_higher_than_all_of_an_earlier_one() {
     let mut last = FencingToken::first(Term(3));
--- a/src/pending_reason.rs
+++ b/src/pending_reason.rs
@@ -1,4 +1,4 @@
-//! Why tasks of a job are pending, as the scheduler decides it and operators read it.
+//! Why tasks of a job are pending, as decided by the scheduler and shown to operators.
 
 use std::fmt;
 
@@ -10,33 +10,34 @@
 pub enum PendingReason {
     /// No scheduling cycle has considered the job yet.
     NotConsidered,
-    /// The replica of the records is too old for starts.
+    /// The replica of the records is too old to start tasks.
     StaleReplica,
-    /// This controller must not place tasks with its present connection to the key-value store.
+    /// The gate suspends placements, since this controller's connection to the key-value
+    /// store is poor.
     Gate(GateRefusal),
-    /// Machines of an earlier term are unreconciled, and tasks of the job may be on them.
+    /// Tasks of the job may be on machines of an earlier term that are not reconciled yet.
     UnreconciledMachines,
-    /// A suspected job waits for its next trial.
+    /// The job is suspected of failing everywhere, and its next trial is not due yet.
     TrialBackoff,
-    /// The backoff after a failure is not over.
+    /// The backoff after a failure has not ended.
     FailureBackoff,
     /// Tasks of the gang are still being terminated.
     Terminating,
     /// The limit of the team's quota is reached.
     TeamLimit,
-    /// A suspected job that may be tried now finds no capacity for the trial.
+    /// The next trial of a suspected job is due and finds no capacity.
     TrialCapacity,
     /// There is no capacity for all missing members of the gang.
     GangCapacity,
-    /// A machine that has the image is expected to have capacity sooner than the image could be
-    /// pulled elsewhere.
+    /// A machine that has the image is expected to release capacity sooner than the image
+    /// could be pulled elsewhere.
     ImageLocality,
     /// There is no free capacity.
     Capacity,
 }
 
 impl PendingReason {
-    /// All reasons.
+    /// All reasons, each text once.
     pub const ALL: [Self; 14] = [
         Self::NotConsidered,
         Self::StaleReplica,
@@ -54,7 +55,8 @@
         Self::Capacity,
     ];
 
-    /// The text in the admin interface. Scripts of operators may depend on it.
+    /// The text in the admin interface. Operators' scripts may match it, so it must not
+    /// change.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NotConsidered => "its first round",
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,4 +1,4 @@
-//! The scheduling policy: teams' quotas and the service-level objectives of job classes.
+//! The scheduling policy: team quotas and the service-level objectives of job classes.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -6,29 +6,29 @@
 use crate::config::{Settings, TeamSettings};
 use crate::model::Resources;
 
-/// A class that may take this many boots to start can wait for one: the rest is for a late boot, for
-/// pulling the image, and for capacity.
+/// A class whose start objective allows this many boot times can wait for a boot. The rest of
+/// the time is for a late boot, for pulling the image, and for waiting for capacity.
 const BOOTS_PER_START: u32 = 3;
 
-/// Quotas and objectives, from the settings.
+/// Quotas and objectives from the settings.
 #[derive(Debug, Clone)]
 pub struct SchedulingPolicy {
-    /// Teams by name.
+    /// Quotas by the name of the team.
     pub teams: HashMap<String, TeamSettings>,
     /// Objectives on the time from submission to completion by class, shortest first.
     pub completion_objectives: HashMap<String, Vec<Duration>>,
-    /// Objectives on the time from submission to start by class.
+    /// The shortest objective on the time from submission to start, by class.
     pub start_objectives: HashMap<String, Duration>,
-    /// Objectives on deadlines by class, as factors of the deadline, least first.
+    /// Objectives on deadlines by class, as factors of the deadline, lowest first.
     pub deadline_objectives: HashMap<String, Vec<f64>>,
-    /// The objective on the time in which work within a guarantee starts.
+    /// The objective on the time within which tasks covered by a team's guarantee start.
     pub guarantee_objective: Option<Duration>,
-    /// Zones of the deployment.
+    /// The zones of the deployment.
     pub zones: Vec<String>,
 }
 
 impl SchedulingPolicy {
-    /// The policy of the settings.
+    /// Extracts the policy from the settings.
     pub fn new(settings: &Settings) -> Self {
         let mut completion_objectives: HashMap<String, Vec<Duration>> = HashMap::new();
         let mut start_objectives: HashMap<String, Duration> = HashMap::new();
@@ -53,7 +53,8 @@
                     times.push(objective.times.unwrap_or(1.0));
                     times.sort_by(f64::total_cmp);
                 }
-                // Objectives of other kinds say nothing about when a job should start or end.
+                // Objectives of other kinds do not affect when a job should
+                // start or complete.
                 _ => {}
             }
         }
@@ -70,15 +71,15 @@
         }
     }
 
-    /// Whether jobs of a class have to start so soon that they can't wait for a machine to boot. An
+    /// Whether jobs of a class have to start too soon to wait for a machine to boot. An
     /// objective that leaves time for several boots needs no spare capacity.
     pub fn cannot_wait_for_boot(&self, class: &str, boot: Duration) -> bool {
         let within = self.start_objectives.get(class);
         within.is_some_and(|within| *within < boot * BOOTS_PER_START)
     }
 
-    /// Whether this use is within the limit of the team's quota. A team that the settings don't name
-    /// any more has no limit: its accepted jobs have to run all the same.
+    /// Whether this usage is within the limit of the team's quota. A team removed from the
+    /// settings has no limit, since its accepted jobs still have to run.
     pub fn within_limit(&self, team: &str, used: &Resources) -> bool {
         self.teams.get(team).is_none_or(|t| {
             let limit = Resources {
@@ -90,14 +91,14 @@
         })
     }
 
-    /// Whether the team's guarantee covers a resource that a task uses.
+    /// Whether the team's guarantee covers any resource that a task uses.
     pub fn has_guarantee_for(&self, team: &str, task: &Resources) -> bool {
         self.teams
             .get(team)
             .is_some_and(|t| (t.cpus > 0.0 && task.cpus > 0.0) || (t.gpus > 0.0 && task.gpus > 0.0))
     }
 
-    /// Whether this use exceeds the team's guarantee of a resource that the task uses, too.
+    /// Whether this usage exceeds the team's guarantee of any resource that the task uses.
     pub fn exceeds_guarantee(&self, team: &str, used: &Resources, task: &Resources) -> bool {
         self.teams.get(team).is_none_or(|t| {
             let over = |used: f64, guaranteed: f64, task: f64| task > 0.0 && used > guaranteed;
@@ -106,7 +107,7 @@
         })
     }
 
-    /// Whether this use is within the team's guarantee.
+    /// Whether this usage is within the team's guarantee.
     pub fn within_guarantee(&self, team: &str, used: &Resources) -> bool {
         self.teams.get(team).is_some_and(|t| {
             let managed = t.cpus > 0.0 || t.gpus > 0.0;
--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-/// An objective on starting within several boots made machines stand idle for a class that can
-/// wait for one: 8% of a day's cost at Brackenridge.
+/// An objective that allows several boots before a start must not keep machines idle: that took
+/// 8% of a day's cost at Brackenridge, for a class that can wait for a boot.
 #[test]
 fn only_objectives_within_a_few_boots_need_spare_capacity() {
     let text = include_str!("../../deploy/example.toml");
