--- a/src/capacity/mod.rs
+++ b/src/capacity/mod.rs
@@ -78,8 +78,8 @@
         }
     }
 
-    /// Pools within the job's price cap that it may use, in one zone or any, whose machines
-    /// can hold a task of it.
+    /// Pools within the job's price cap that it may use, in one zone or any, whose machines can
+    /// hold a task of it.
     pub fn pools_for(&self, spec: &JobSpec, zone: Option<&str>) -> Vec<PoolId> {
         let mut pools = self.pools_for_at_any_price(spec, zone);
         pools.retain(|id| {
--- a/src/capacity/price_cap.rs
+++ b/src/capacity/price_cap.rs
@@ -1,14 +1,14 @@
-//! A price cap for best-effort jobs, which excludes machines that cost several times what a
-//! task needs.
+//! A price cap for best-effort jobs, which excludes machines that cost several times what a task
+//! needs.
 //!
-//! Best-effort tasks use any free capacity. On the processors of machines rented for their
-//! GPUs, they would keep these machines from being released, at ten times the price.
+//! Best-effort tasks use any free capacity. On the processors of machines rented for their GPUs,
+//! they would keep these machines from being released, at ten times the price.
 
 use crate::model::{JobSpec, MachineType, Priority};
 
-/// A machine type is excluded if the share that a task takes of it costs more than this many
-/// times the cheapest type's. Prices of types for the same resource differ by less, as do spot
-/// and on-demand prices of one type: no objective says whether money matters more than time.
+/// A machine type is excluded if the share that a task takes of it costs more than this many times
+/// the cheapest type's. Prices of types for the same resource differ by less, as do spot and
+/// on-demand prices of one type: no objective says whether money matters more than time.
 const PRICE_CAP_FACTOR: f64 = 3.0;
 
 /// The share of the task's dominant resource in the machine's capacity.
--- a/src/capacity/releases.rs
+++ b/src/capacity/releases.rs
@@ -9,8 +9,8 @@
 
 /// Expected remaining time, at least, of a task that has exceeded its estimate.
 const REMAINING_TIME_MIN_S: f64 = 3.0;
-/// Time from the end of a task to the start of another in its place: its heartbeat, a
-/// scheduling cycle, and the heartbeat whose response carries the start.
+/// Time from the end of a task to the start of another in its place: its heartbeat, a scheduling
+/// cycle, and the heartbeat whose response carries the start.
 const TURNOVER_S: f64 = 2.0;
 
 /// Capacity that a running task is expected to release.
@@ -48,14 +48,14 @@
     pub within_s: f64,
 }
 
-/// Expected releases, soonest first. A task waits for a release on a machine that has its image
-/// if pulling the image elsewhere takes longer.
+/// Expected releases, soonest first. A task waits for a release on a machine that has its image if
+/// pulling the image elsewhere takes longer.
 #[derive(Debug)]
 pub struct ExpectedReleases {
     releases: Vec<ExpectedRelease>,
     reserved: Vec<bool>,
-    /// Releases by the images of their machines, soonest first. Built on first use: where
-    /// images are pulled in no time, no task waits for a machine that has one.
+    /// Releases by the images of their machines, soonest first. Built on first use: where images
+    /// are pulled in no time, no task waits for a machine that has one.
     by_image: Option<HashMap<ImageId, Vec<u32>>>,
 }
 
@@ -139,9 +139,9 @@
         matching.len() as u32
     }
 
-    /// Reserves the first release in time on a machine with the image, and returns whether
-    /// there was one. `next_candidate` is where the search continues after earlier calls
-    /// for the same job.
+    /// Reserves the first release in time on a machine with the image, and returns whether there
+    /// was one. `next_candidate` is where the search continues after earlier calls for the same
+    /// job.
     pub fn reserve_with_image(
         &mut self,
         capacity: &CapacityIndex,
--- a/src/cluster/commands.rs
+++ b/src/cluster/commands.rs
@@ -9,15 +9,13 @@
 use crate::state_summary::{Counts, MachineSummary, SummaryContents};
 use crate::wire::{DirectCommand, WorkerCommand};
 
-/// Interval between direct repetitions of a stop. Every response to a heartbeat repeats it as
-/// well.
+/// Interval between direct repetitions of a stop. Every response to a heartbeat repeats it as well.
 const STOP_REPEAT_INTERVAL: Duration = Duration::from_secs(2);
 /// Shortest interval between two probes of a machine.
 const PROBE_INTERVAL: Duration = Duration::from_secs(3);
 /// Lower bound of the probes per scheduling cycle: each costs about as much as a heartbeat.
 const PROBES_PER_CYCLE_MIN: usize = 40;
-/// Scheduling cycles in which all machines of an earlier term are probed once, if there are
-/// more.
+/// Scheduling cycles in which all machines of an earlier term are probed once, if there are more.
 const CYCLES_TO_PROBE_ALL: usize = 50;
 /// Processor time of a direct command with its connection.
 const COMMAND_CPU_S: f64 = 0.0003;
@@ -25,9 +23,8 @@
 /// their heartbeats a moment later anyway.
 const DEFERRABLE_COMMANDS_CPU_FRACTION: f64 = 0.5;
 
-/// Limits deferrable direct commands by the processor time of the controller. With few cores,
-/// 767 starts planned in one cycle raised as many tokens, which delayed all other work for
-/// seconds.
+/// Limits deferrable direct commands by the processor time of the controller. With few cores, 767
+/// starts planned in one cycle raised as many tokens, which delayed all other work for seconds.
 #[derive(Debug)]
 pub struct CommandBudget {
     bucket: TokenBucket,
@@ -64,9 +61,9 @@
 }
 
 impl Cluster {
-    /// Commands that are sent directly: stops, and a raised token where a start waits for
-    /// the machine's next heartbeat, since a worker sends a heartbeat at once when its
-    /// token rises. Starts are never sent directly.
+    /// Commands that are sent directly: stops, and a raised token where a start waits for the
+    /// machine's next heartbeat, since a worker sends a heartbeat at once when its token rises.
+    /// Starts are never sent directly.
     pub fn direct_commands(&mut self, now: Instant) -> Vec<AddressedCommand> {
         let mut remaining = self.command_budget.available(now);
         let per_cycle = self.unreconciled.len() / CYCLES_TO_PROBE_ALL;
@@ -115,8 +112,8 @@
         let probe_due = |at: Option<Instant>| {
             at.is_none_or(|at| now.saturating_duration_since(at) >= PROBE_INTERVAL)
         };
-        // Machines never probed come first, then those probed longest ago, so that
-        // machines that do not respond never displace those that would.
+        // Machines never probed come first, then those probed longest ago, so that machines that do
+        // not respond never displace those that would.
         let unreconciled = self
             .unreconciled
             .iter()
@@ -138,8 +135,8 @@
                 && probe_due(machine.last_probed_at)
                 && !machine.address.is_empty()
             {
-                // If the probe arrives, the machine sends its next heartbeat at
-                // once and confirms it.
+                // If the probe arrives, the machine sends its next heartbeat at once and confirms
+                // it.
                 machine.last_probed_at = Some(now);
                 all.push(status_probe(machine, machine.last_message.epoch, first));
                 continue;
--- a/src/cluster/detection.rs
+++ b/src/cluster/detection.rs
@@ -10,12 +10,12 @@
 /// The longest regular interval between two heartbeats, as a factor of the nominal one.
 const HEARTBEAT_INTERVAL_FACTOR_MAX: f64 = 1.25;
 /// How long a worker waits for a response before it tries another controller, by the protocol.
-const WORKER_ANSWER_TIMEOUT: Duration = Duration::from_secs(4);
+const WORKER_RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
 
 impl Cluster {
-    /// Continues after an interval in which this process received no heartbeats, and counts
-    /// it against no machine. The ends of worker leases are not moved, since they count
-    /// from this leader's last response.
+    /// Continues after an interval in which this process received no heartbeats, and counts it
+    /// against no machine. The ends of worker leases are not moved, since they count from this
+    /// leader's last response.
     pub fn resume_after_pause(&mut self, missed: Duration, now: Instant) {
         let shifted = |at: Instant| (at + missed).min(now);
         self.observing_since = shifted(self.observing_since);
@@ -28,8 +28,7 @@
         }
     }
 
-    /// Records that a zone counts as partitioned. All machines together have a reserved
-    /// name.
+    /// Records that a zone counts as partitioned. All machines together have a reserved name.
     pub fn record_zone_partition(&mut self, zone: &str, now: Instant) {
         self.zone_partitions.insert(zone.to_owned(), now);
     }
@@ -40,16 +39,16 @@
         at.is_some_and(|at| now.saturating_duration_since(*at) < limit)
     }
 
-    /// Whether few of the machines that sent heartbeats or should have sent some still do.
-    /// Either these machines are lost, or this controller is partitioned from them.
+    /// Whether few of the machines that sent heartbeats or should have sent some still do. Either
+    /// these machines are lost, or this controller is partitioned from them.
     pub fn receives_few_heartbeats(&self, now: Instant) -> bool {
-        // The longest regular interval, a response that timed out, and another
-        // controller tried first.
+        // The longest regular interval, a response that timed out, and another controller tried
+        // first.
         let limit = self
             .timing
             .heartbeat_interval
             .mul_f64(HEARTBEAT_INTERVAL_FACTOR_MAX)
-            + WORKER_ANSWER_TIMEOUT;
+            + WORKER_RESPONSE_TIMEOUT;
         if now.saturating_duration_since(self.observing_since) < limit {
             return false;
         }
@@ -65,8 +64,8 @@
         few_workers_reporting(known, reporting)
     }
 
-    /// The judge of the machines' health at this time. A controller that receives few
-    /// heartbeats can't distinguish failed machines from its own failure.
+    /// The judge of the machines' health at this time. A controller that receives few heartbeats
+    /// can't distinguish failed machines from its own failure.
     pub fn health_judge(&self, now: Instant) -> HealthJudge {
         HealthJudge {
             limits: HealthLimits {
--- a/src/cluster/dispatch_log.rs
+++ b/src/cluster/dispatch_log.rs
@@ -1,5 +1,5 @@
-//! The dispatch records: the machines to which starts may have been sent. Each record names
-//! many jobs, so that small jobs cost one change per batch instead of one per job.
+//! The dispatch records: the machines to which starts may have been sent. Each record names many
+//! jobs, so that small jobs cost one change per batch instead of one per job.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -23,7 +23,7 @@
 /// A job with the machines to which its starts are to be dispatched.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DispatchEntry {
-    /// The job, which is not over when the entry is written.
+    /// A job with planned starts.
     pub job: JobId,
     /// Machines that the record adds to the job's earlier targets.
     pub targets: DispatchTargets,
@@ -62,8 +62,7 @@
 }
 
 impl DispatchLog {
-    /// Loads the stored records, and returns the dispatch targets of each job that they
-    /// name.
+    /// Loads the stored records, and returns the dispatch targets of each job that they name.
     pub fn load(
         term: Term,
         records: &BTreeMap<String, Versioned<SentRecord>>,
@@ -149,8 +148,7 @@
                 ENTRY_BYTES + MACHINE_BYTES * entry.targets.machines().map_or(0, BTreeSet::len);
             bytes <= self.record_bytes_max
         });
-        // A single larger entry still fits a value, since its number of machines is
-        // limited.
+        // A single larger entry still fits a value, since its number of machines is limited.
         let count = fitting.count().max(1).min(entries.len());
         let entries: Vec<DispatchEntry> = entries.drain(..count).collect();
         if entries.is_empty() {
@@ -208,8 +206,8 @@
     }
 
     /// Applies the outcome of a write. `version` is absent unless the write is known to be
-    /// committed. A write of unknown outcome may still be committed later, so its key is
-    /// not used again.
+    /// committed. A write of unknown outcome may still be committed later, so its key is not used
+    /// again.
     pub fn apply_write_outcome(&mut self, key: &str, jobs: BTreeSet<JobId>, version: Option<u64>) {
         self.writing.remove(key);
         self.records.remove(key);
--- a/src/cluster/done.rs
+++ b/src/cluster/done.rs
@@ -1,5 +1,5 @@
-//! The set of a job's completed tasks, stored in chunks that each fit one value of the store,
-//! so that 100,000 tasks take a handful of keys and one write per batch.
+//! The set of a job's completed tasks, stored in chunks that each fit one value of the store, so
+//! that 100,000 tasks take a handful of keys and one write per batch.
 
 const WORD_BITS: usize = 64;
 /// Bits of a hexadecimal digit.
@@ -14,8 +14,8 @@
     count: u32,
 }
 
-/// Tasks per chunk for a given value size limit: the digits take half of a value, the rest is
-/// left for the envelope.
+/// Tasks per chunk for a given value size limit: the digits take half of a value, the rest is left
+/// for the envelope.
 pub fn tasks_per_chunk(value_kb: f64) -> usize {
     let digits = (value_kb * 1024.0 / 2.0).max(64.0) as usize;
     digits * DIGIT_BITS / WORD_BITS * WORD_BITS
--- a/src/cluster/done/tests.rs
+++ b/src/cluster/done/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_hundred_thousand_tasks_fit_a_few_values() {
+fn chunks_of_100_000_tasks_each_fit_a_value() {
     let chunk = tasks_per_chunk(16.0);
     let mut set = DoneSet::new(100_000, chunk);
     for index in (0..100_000).step_by(2) {
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_task_is_durable_only_once_written() {
+fn a_task_is_durable_only_after_its_chunk_is_written() {
     let mut set = DoneSet::new(3, tasks_per_chunk(16.0));
     set.insert(1);
     assert!(set.contains(1) && !set.is_durable(1));
@@ -32,5 +32,5 @@
     set.mark_durable(0, &digits);
     assert!(set.is_durable(1) && !set.is_durable(2));
     assert_eq!(set.dirty_chunk(), Some(0));
-    assert!(!set.insert(70), "outside the job");
+    assert!(!set.insert(70), "a number beyond the set is ignored");
 }
--- a/src/cluster/expiry.rs
+++ b/src/cluster/expiry.rs
@@ -28,8 +28,8 @@
         }
     }
 
-    /// Late heartbeats suffice to drop a plan, since nothing was dispatched; a dispatched
-    /// start needs proof that it ended.
+    /// Late heartbeats suffice to drop a plan, since nothing was dispatched; a dispatched start
+    /// needs proof that it ended.
     fn evidence(self, state: &TaskInstance) -> Option<TerminationEvidence> {
         if state.is_dispatched() {
             self.lease_expired
@@ -71,9 +71,8 @@
         }
     }
 
-    /// Reconciles machines of earlier terms to which this leader has sent no response:
-    /// their leases have expired, so they hold no tasks. When such machines are released is
-    /// decided separately.
+    /// Reconciles machines of earlier terms to which this leader has sent no response: their leases
+    /// have expired, so they hold no tasks. When such machines are released is decided separately.
     fn reconcile_expired(&mut self) {
         let expired = self.unreconciled.iter().filter(|id| {
             let machine = self.machines.get(*id);
--- a/src/cluster/faults.rs
+++ b/src/cluster/faults.rs
@@ -1,8 +1,7 @@
 //! Attribution of task failures to a faulty machine or to a job that can never succeed.
 //!
-//! A job that can never succeed fails on every machine and never completes a task; a faulty
-//! machine fails every job. Completed tasks of the same job elsewhere distinguish the two
-//! cases.
+//! A job that can never succeed fails on every machine and never completes a task; a faulty machine
+//! fails every job. Completed tasks of the same job elsewhere distinguish the two cases.
 
 use std::time::{Duration, Instant};
 
@@ -14,15 +13,16 @@
 
 /// Distinct jobs that fail on a machine and complete tasks elsewhere until it is quarantined.
 const PROVEN_JOBS_TO_QUARANTINE: usize = 2;
-/// Distinct jobs that fail on a machine until it is quarantined, whatever their results
-/// elsewhere. Three, since two jobs may both be faulty themselves.
+/// Distinct jobs that fail on a machine until it is quarantined, whatever their results elsewhere.
+/// Three, since two jobs may both be faulty themselves.
 const JOBS_TO_QUARANTINE: usize = 3;
 /// Machines on which a job without a completed task fails until the job is suspected.
 const MACHINES_TO_SUSPECT: usize = 3;
-/// How long a machine gets no new tasks after a failure, so that a faulty machine does not attract all tasks.
+/// How long a machine gets no new tasks after a failure, so that a faulty machine does not attract
+/// all tasks.
 const MACHINE_BACKOFF: Duration = Duration::from_secs(10);
-/// First and longest backoff of a suspected job; each failed trial doubles it. The job's user
-/// may notice the failure late or never.
+/// First and longest backoff of a suspected job; each failed trial doubles it. The job's user may
+/// notice the failure late or never.
 const JOB_BACKOFF_INITIAL: Duration = Duration::from_secs(15);
 const JOB_BACKOFF_MAX: Duration = Duration::from_secs(120);
 
@@ -31,8 +31,7 @@
 pub struct FaultAttribution {
     /// The job, at most once per machine.
     pub job: JobId,
-    /// Whether the job has completed tasks elsewhere, which proves that the machine is at
-    /// fault.
+    /// Whether the job has completed tasks elsewhere, which proves that the machine is at fault.
     pub(super) proven: bool,
 }
 
@@ -121,8 +120,8 @@
         machine.quarantine_if_faulty();
     }
 
-    /// Records that a task of the job has completed on the machine: neither is at fault, so
-    /// the job's failures elsewhere were due to the machines.
+    /// Records that a task of the job has completed on the machine: neither is at fault, so the
+    /// job's failures elsewhere were due to the machines.
     pub(super) fn note_completion(&mut self, id: &MachineId, job_id: &JobId) {
         if let Some(machine) = self.machines.get_mut(id) {
             machine.faults.clear();
--- a/src/cluster/instances.rs
+++ b/src/cluster/instances.rs
@@ -1,7 +1,7 @@
 //! Planning and termination of task instances.
 //!
-//! Every placement ends in [`Cluster::remove_placement`], whose caller passes the evidence that
-//! the task is not on the machine.
+//! Every placement ends in [`Cluster::remove_placement`], whose caller passes the evidence that the
+//! task is not on the machine.
 
 use std::time::Instant;
 
@@ -67,8 +67,8 @@
         if !state.occupies() {
             return;
         }
-        // A shorter grace period, as of a cancellation, replaces the earlier one also
-        // during a checkpoint.
+        // A shorter grace period, as of a cancellation, replaces the earlier one also during a
+        // checkpoint.
         if state.termination.is_none_or(|stop| grace_s < stop.grace_s) {
             state.termination = Some(Termination {
                 grace_s,
@@ -121,8 +121,8 @@
         instances
     }
 
-    /// Requests the termination of a gang's current attempt, with time for a checkpoint if
-    /// the job can save one.
+    /// Requests the termination of a gang's current attempt, with time for a checkpoint if the job
+    /// can save one.
     pub fn stop_gang(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -150,8 +150,8 @@
         self.remove_placement(machine_id, instance, evidence);
     }
 
-    /// Removes a placement, by the evidence that the task is not on that machine any more
-    /// or never was.
+    /// Removes a placement, by the evidence that the task is not on that machine any more or never
+    /// was.
     pub(super) fn remove_placement(
         &mut self,
         machine_id: &MachineId,
--- a/src/cluster/intern.rs
+++ b/src/cluster/intern.rs
@@ -1,5 +1,5 @@
-//! Interned image names and pools. Scheduling cycles compare and look up thousands of them,
-//! which is faster with small numbers.
+//! Interned image names and pools. Scheduling cycles compare and look up thousands of them, which
+//! is faster with small numbers.
 
 use std::collections::HashMap;
 use std::sync::Arc;
--- a/src/cluster/job.rs
+++ b/src/cluster/job.rs
@@ -21,8 +21,7 @@
 }
 
 /// Machines to which starts of a job may ever have been sent. Recorded before a start is
-/// dispatched, so that a new leader need not wait for machines that can't hold a task of the
-/// job.
+/// dispatched, so that a new leader need not wait for machines that can't hold a task of the job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DispatchTargets {
     /// Only these machines.
@@ -63,9 +62,8 @@
     }
 }
 
-/// Machines named in a job's record, and writes of the record for further machines. Beyond
-/// either limit the record names no machines, which stands for any: a large array soon runs
-/// everywhere.
+/// Machines named in a job's record, and writes of the record for further machines. Beyond either
+/// limit the record names no machines, which stands for any: a large array soon runs everywhere.
 const NAMED_MACHINES_MAX: usize = 64;
 const DISPATCH_WRITES_MAX: u32 = 3;
 
@@ -87,8 +85,7 @@
     pub image: ImageId,
     /// When it was submitted, on this process's monotonic clock.
     pub submitted_at: Instant,
-    /// The store version of the verdict record, on which writes for the job are
-    /// conditional.
+    /// The store version of the verdict record, on which writes for the job are conditional.
     pub(super) version: u64,
     /// The verdict in the records, as the replica shows it.
     pub(super) verdict: Verdict,
@@ -96,8 +93,8 @@
     pub(super) cancellation_requested: bool,
     /// Whether the records show that starts may have been sent.
     pub(super) dispatch_record: Persistence,
-    /// Whether it was started in an earlier term, so that tasks of it may be on machines
-    /// that are not reconciled yet.
+    /// Whether it was started in an earlier term, so that tasks of it may be on machines that are
+    /// not reconciled yet.
     pub(super) started_in_earlier_term: bool,
     /// Machines to which starts may ever have been sent, according to the records.
     pub(super) dispatch_targets: DispatchTargets,
@@ -119,8 +116,8 @@
     pub backoff_until: Option<Instant>,
     /// Machines on which tasks of it failed.
     pub failed_on: BTreeSet<MachineId>,
-    /// Present while it has failed on several machines and completed nothing. It then gets
-    /// only rare trials.
+    /// Present while it has failed on several machines and completed nothing. It then gets only
+    /// rare trials.
     pub(super) suspicion: Option<SuspectedJob>,
     /// Whether a write of its records is in flight.
     pub(super) writing: bool,
@@ -135,8 +132,7 @@
 }
 
 impl Job {
-    /// The targets missing from the dispatch records, if these do not cover all planned
-    /// placements.
+    /// The targets missing from the dispatch records, if these do not cover all planned placements.
     pub fn unrecorded_targets(&self) -> Option<DispatchTargets> {
         let planned = || {
             self.placements
--- a/src/cluster/machine.rs
+++ b/src/cluster/machine.rs
@@ -17,8 +17,8 @@
 /// Bytes of a task in a heartbeat, in the encoding by which the body limit is measured.
 const TASK_STATUS_BYTES: usize = 80;
 /// Tasks on a machine, including results that are not recorded yet, from which it gets no more:
-/// half of what a heartbeat can hold. While records can't be written, results of short tasks
-/// would otherwise accumulate until the machine could send no heartbeat.
+/// half of what a heartbeat can hold. While records can't be written, results of short tasks would
+/// otherwise accumulate until the machine could send no heartbeat.
 const TASKS_PER_MACHINE_MAX: usize = BODY_LIMIT / TASK_STATUS_BYTES / 2;
 
 /// One start of a task.
@@ -35,8 +35,8 @@
 pub enum InstancePhase {
     /// The start is decided and not sent, so it can have had no effect.
     Planned,
-    /// The start was sent in the response to a heartbeat. The next heartbeat that the
-    /// worker sends on its own shows whether it arrived.
+    /// The start was sent in the response to a heartbeat. The next heartbeat that the worker sends
+    /// on its own shows whether it arrived.
     Dispatched {
         /// The heartbeat whose response carried the start.
         in_reply_to: MessageOrder,
@@ -58,7 +58,7 @@
 pub struct Termination {
     /// Time for a checkpoint, in seconds; 0: none.
     pub(super) grace_s: f64,
-    /// When it was last sent to the machine; reset by every response to a heartbeat.
+    /// When it was last sent to the machine.
     pub(super) last_sent_at: Option<Instant>,
 }
 
@@ -67,7 +67,7 @@
 pub struct TaskInstance {
     /// The job's description, if the job was known when the instance was first seen.
     pub spec: Option<Arc<JobSpec>>,
-    /// The phase, from the last heartbeat if the start took effect.
+    /// The phase, as last reported once a heartbeat has shown the instance.
     pub phase: InstancePhase,
     /// When it was planned or first seen.
     pub known_since: Instant,
@@ -98,8 +98,7 @@
     pub allocated: Resources,
     /// The number of tasks that may be on the machine.
     pub tasks: usize,
-    /// Whether an instance of an unknown job, whose resources are unknown, may be on the
-    /// machine.
+    /// Whether an instance of an unknown job, whose resources are unknown, may be on the machine.
     pub has_unknown_task: bool,
     /// Whether a start is planned or a termination requested.
     pub commands_pending: bool,
@@ -121,7 +120,7 @@
 pub enum DrainReason {
     /// Tasks of several jobs failed on it.
     Faulty,
-    /// It is much slower than all machines usually are.
+    /// Its tasks exceed their estimates much further than tasks on other machines do.
     Slow,
     /// An operator cordoned it.
     Operator,
@@ -157,36 +156,35 @@
     pub rented_at: Instant,
     /// Order of the last heartbeat within its current incarnation.
     pub(super) last_message: MessageOrder,
-    /// Highest token that it has shown or that this leader has raised for it.
+    /// Highest token that it has shown or that this leader has used for it.
     pub token: FencingToken,
     /// Whether it has shown this term, so that it rejects commands of earlier leaders.
     pub fenced: bool,
-    /// Whether it has shown no token and no tasks since the cloud named it. Starts may then
-    /// be planned for it, and are sent once it is fenced.
+    /// Whether the cloud has named it and its last heartbeat showed no token and no tasks. Starts
+    /// may then be planned for it, and are sent once it is fenced.
     pub(super) never_fenced: bool,
-    /// Whether a rental's response or the cloud's list has named it. A late copy of a
-    /// heartbeat alone does not prove that the machine exists.
+    /// Whether a rental's response or the cloud's list has named it. A late copy of a heartbeat
+    /// alone does not prove that the machine exists.
     pub(super) known_to_cloud: bool,
     /// When its token was last raised to make it send a heartbeat at once.
     pub(super) token_raised_at: Option<Instant>,
     /// Whether it has acknowledged this leader's responses and commands.
     pub reachability: Reachability,
-    /// The probe that shows whether an apparently old heartbeat comes from a new
-    /// incarnation.
+    /// The probe that shows whether an apparently old heartbeat comes from a new incarnation.
     pub(super) pending_probe: Option<PendingProbe>,
     /// When it was last probed, to fence it or to confirm that responses reach it.
     pub(super) last_probed_at: Option<Instant>,
     /// Direct commands without a response since its last heartbeat.
     pub unanswered_commands: u32,
-    /// The first token of its current incarnation; later heartbeats with a lower token are
-    /// from a former one.
+    /// The first token of its current incarnation; later heartbeats with a lower token are from a
+    /// former one.
     pub(super) incarnation_token: FencingToken,
     /// When its first heartbeat of this term arrived.
     pub first_heartbeat_at: Option<Instant>,
     /// When its last heartbeat of this term arrived.
     pub last_heartbeat_at: Option<Instant>,
-    /// When this leader last responded with 200; its lease lasts at least `timing.lease`
-    /// from then.
+    /// When this leader last responded with 200. The worker's lease ends at most `timing.lease`
+    /// later.
     pub last_response_at: Option<Instant>,
     /// When the cloud will take back the spot machine, if it has given notice.
     pub spot_deadline: Option<Instant>,
@@ -202,8 +200,7 @@
     pub releasing: bool,
     /// Jobs whose tasks failed on it since a task last completed there.
     pub faults: Vec<FaultAttribution>,
-    /// For each of the last few jobs on it, the ratio of run time to estimate of the last
-    /// task.
+    /// For each of the last few jobs on it, the ratio of run time to estimate of the last task.
     pub(super) slowdowns: Vec<(JobId, f64)>,
     /// Until when it takes no new tasks after a failure.
     pub backoff_until: Option<Instant>,
@@ -233,7 +230,7 @@
     NotListed,
     /// It is rented and boots.
     Booting,
-    /// Any status except the other two.
+    /// The list shows it with any other status.
     Running,
     /// The cloud reports that it failed.
     Failed,
@@ -292,8 +289,7 @@
         self.last_heartbeat_at.is_none() && up
     }
 
-    /// The resources of its instances, including unconfirmed starts and unfinished
-    /// terminations.
+    /// The resources of its instances, including unconfirmed starts and unfinished terminations.
     pub fn allocated(&self) -> Resources {
         self.load.allocated
     }
@@ -308,9 +304,8 @@
         self.load.commands_pending
     }
 
-    /// Computes the sums over its instances anew. They are cached, since every scheduling
-    /// cycle reads them for all machines, while the instances of few machines change
-    /// between two cycles.
+    /// Computes the sums over its instances anew. They are cached, since every scheduling cycle
+    /// reads them for all machines, while the instances of few machines change between two cycles.
     pub fn update_load(&mut self) {
         self.load = self.computed_load();
     }
@@ -339,7 +334,7 @@
         &self.load
     }
 
-    /// Whether its last heartbeat of this term is older than `limit`.
+    /// Whether it has sent heartbeats in this term, the last one longer than `limit` ago.
     pub fn heartbeat_overdue(&self, now: Instant, limit: Duration) -> bool {
         self.last_heartbeat_at
             .is_some_and(|at| now.saturating_duration_since(at) > limit)
@@ -406,8 +401,8 @@
         self.placement_refusal(now, suspect_after).is_none()
     }
 
-    /// Drops the planned starts of a job that is over. Dispatched instances stay until
-    /// their termination is proven.
+    /// Drops the planned starts of a job that is over. Dispatched instances stay until their
+    /// termination is proven.
     pub(super) fn drop_plans_of(&mut self, job: &JobId) {
         let id = &self.id;
         self.instances.retain(|instance, state| {
@@ -420,8 +415,8 @@
         self.update_load();
     }
 
-    /// Excludes the machine from starts after a response or command had no effect, until it
-    /// shows a raised token, which it can only have from a later response or command.
+    /// Excludes the machine from starts after a response or command had no effect, until it shows a
+    /// raised token, which it can only have from a later response or command.
     pub(super) fn require_confirmation(&mut self, now: Instant) {
         if let Some(raised) = self
             .token
@@ -445,7 +440,7 @@
         self.images.iter().any(|(known, _)| *known == image)
     }
 
-    /// Marks an image as the most recently used, and evicts the oldest ones beyond the
+    /// Marks an image as the most recently used, and evicts the least recently used ones beyond the
     /// cache size.
     pub fn record_image_use(&mut self, image: ImageId, gb: f64, cache_gb: f64) {
         self.images.retain(|(known, _)| *known != image);
--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -1,5 +1,5 @@
-//! The cluster state of the leader, rebuilt from records and heartbeats: the only source of
-//! where a task may be placed.
+//! The cluster state of the leader, rebuilt from records and heartbeats: the only source of where a
+//! task may be placed.
 //!
 //! Quota checks, zone constraints and placement all read it, so that unconfirmed starts and
 //! unfinished terminations count the same for each of them. A placement ends only by
@@ -64,8 +64,8 @@
 pub struct Cluster {
     /// The term of this leader.
     pub term: Term,
-    /// When observation of the machines began: the start of the term, moved forward by
-    /// every interval in which this process received no heartbeats.
+    /// When observation of the machines began: the start of the term, moved forward by every
+    /// interval in which this process received no heartbeats.
     pub observing_since: Instant,
     /// When this process became the leader; pauses do not move it.
     became_leader_at: Instant,
@@ -75,8 +75,8 @@
     pub jobs: BTreeMap<JobId, Job>,
     /// Machines known from records, the cloud or heartbeats, and not confirmed terminated.
     pub machines: BTreeMap<MachineId, Machine>,
-    /// Machines of earlier terms that have not shown this term's token, may still hold a
-    /// lease, and are not confirmed terminated.
+    /// Machines of earlier terms that have not shown this term's token, may still hold a lease, and
+    /// are not confirmed terminated.
     pub unreconciled: BTreeSet<MachineId>,
     /// Whether the time until all of them were reconciled has been reported.
     reconciliation_reported: bool,
@@ -90,32 +90,30 @@
     pub pools: MachinePools,
     /// Images of all jobs and machines seen in this term.
     pub images: Images,
-    /// Machines whose images changed and jobs whose task counts may have changed since the
-    /// summary was last published.
+    /// Machines whose images changed and jobs whose task counts may have changed since the summary
+    /// was last published.
     unpublished: UnpublishedChanges,
     inherited_hints: HashMap<MachineId, MachineSummary>,
-    /// Ratios of run time to estimate of the last tasks on any machine: the usual error of
-    /// the estimates.
+    /// Ratios of run time to estimate of the last tasks on any machine: the usual error of the
+    /// estimates.
     slowdowns: VecDeque<f64>,
     /// Terminated machines, whose late heartbeats must not add them again.
     terminated_machines: BTreeSet<MachineId>,
-    /// When a zone last counted as partitioned. The caller uses a reserved name for all
-    /// machines.
+    /// When a zone last counted as partitioned. The caller uses a reserved name for all machines.
     zone_partitions: BTreeMap<String, Instant>,
     attempts_issued: u32,
     /// Completed tasks per progress record.
     tasks_per_chunk: usize,
     /// The budget of direct commands that can be deferred.
     command_budget: commands::CommandBudget,
-    /// Versions of the chunks and shards that this leader wrote, which the replica may not
-    /// show yet.
+    /// Versions of the chunks and shards that this leader wrote, which the replica may not show
+    /// yet.
     written_versions: HashMap<String, u64>,
     inventory: records::MachineInventory,
     dispatch_log: DispatchLog,
     /// When a dispatch record was last written.
     dispatch_recorded_at: Option<Instant>,
-    /// Dispatch targets from the dispatch records for jobs that are not in the cluster
-    /// state yet.
+    /// Dispatch targets from the dispatch records for jobs that are not in the cluster state yet.
     recovered_targets: HashMap<JobId, DispatchTargets>,
     catalog: Catalog,
 }
@@ -131,8 +129,7 @@
         &self.catalog
     }
 
-    /// Sets the same pending reason for all schedulable jobs, for a cycle that places
-    /// nothing.
+    /// Sets the same pending reason for all schedulable jobs, for a cycle that places nothing.
     pub fn set_pending_reason(&mut self, reason: PendingReason) {
         let open = self.jobs.values_mut().filter(|job| job.is_schedulable());
         open.for_each(|job| job.pending_reason = reason);
--- a/src/cluster/placement_refusal.rs
+++ b/src/cluster/placement_refusal.rs
@@ -48,8 +48,7 @@
         Self::TooManyTasks,
     ];
 
-    /// The text in the admin interface. Operators' scripts may match it, so it must not
-    /// change.
+    /// The text in the admin interface. Operators' scripts may match it, so it must not change.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NoHeartbeat => "it has not reported in this term",
--- a/src/cluster/quota.rs
+++ b/src/cluster/quota.rs
@@ -6,8 +6,8 @@
 use crate::model::{MachineId, Resources};
 
 impl Cluster {
-    /// Whether tasks of the job may be on unreconciled machines: on those that its records
-    /// name, or on any that it may use if they name none.
+    /// Whether tasks of the job may be on unreconciled machines: on those that its records name, or
+    /// on any that it may use if they name none.
     pub fn may_have_unreconciled_tasks(&self, job: &Job) -> bool {
         may_have_unreconciled_tasks(&self.unreconciled, &self.machines, job)
     }
@@ -18,8 +18,8 @@
         for job in self.jobs.values() {
             let mut count: usize = job.placements.values().map(Vec::len).sum();
             if self.may_have_unreconciled_tasks(job) {
-                // Pending tasks may still be running from an earlier term, not
-                // shown by a heartbeat yet.
+                // Pending tasks may still be running from an earlier term, not shown by a heartbeat
+                // yet.
                 count += job.pending_count() as usize;
             }
             if count > 0 {
--- a/src/cluster/reconcile/absence.rs
+++ b/src/cluster/reconcile/absence.rs
@@ -6,8 +6,8 @@
 use crate::cluster::{Cluster, InstanceId, InstancePhase, TaskInstance, TerminationEvidence};
 use crate::model::MachineId;
 
-/// The evidence given by the absence of an instance from a heartbeat with this order. There is
-/// none while its start may still be in flight.
+/// The evidence given by the absence of an instance from a heartbeat with this order. There is none
+/// while its start may still be in flight.
 pub(super) fn evidence_of_absence(
     state: &TaskInstance,
     order: MessageOrder,
@@ -18,9 +18,8 @@
         InstancePhase::Dispatched { in_reply_to } if order.epoch > in_reply_to.epoch => {
             Some(TerminationEvidence::LaterEpoch)
         }
-        // The response to a direct command may overtake the response that carried the
-        // start, so only the next heartbeat that the worker sends on its own proves that
-        // the start was lost.
+        // The response to a direct command may overtake the response that carried the start, so
+        // only the next heartbeat that the worker sends on its own proves that the start was lost.
         InstancePhase::Dispatched { in_reply_to }
             if source != HeartbeatSource::Worker || order <= in_reply_to =>
         {
@@ -31,8 +30,7 @@
 }
 
 impl Cluster {
-    /// Removes the instances that are not `reported` in the last heartbeat of a fenced
-    /// machine.
+    /// Removes the instances that are not `reported` in the last heartbeat of a fenced machine.
     pub(super) fn remove_absent(
         &mut self,
         id: &MachineId,
--- a/src/cluster/reconcile/exits.rs
+++ b/src/cluster/reconcile/exits.rs
@@ -9,8 +9,8 @@
 use crate::time::secs;
 use crate::wire::ExitCause;
 
-/// Backoff of a job after a refused start, which leaves time for heartbeats to correct the
-/// cluster state.
+/// Backoff of a job after a refused start, which leaves time for heartbeats to correct the cluster
+/// state.
 const BACKOFF_AFTER_REFUSAL_S: f64 = 3.0;
 
 impl Cluster {
@@ -35,9 +35,8 @@
                     job.backoff_until = Some(now + secs(BACKOFF_AFTER_REFUSAL_S));
                 }
             }
-            // If a gang can never succeed, every member fails by itself. A member
-            // that only ends because another one was lost has no fault of its own,
-            // and neither has the job.
+            // If a gang can never succeed, every member fails by itself. A member that only ends
+            // because another one was lost has no fault of its own, and neither has the job.
             ExitCause::GangMemberLost => self.confirm_machine_faults(job_id),
             ExitCause::Stopped | ExitCause::GangBarrierTimeout | ExitCause::Other => {}
         }
@@ -57,8 +56,8 @@
     }
 
     /// Drops the planned starts of a completed task. A late heartbeat of a machine that was
-    /// declared failed may show the completion after the task was planned elsewhere.
-    /// Nothing was dispatched there, and no heartbeat would ever end such a plan.
+    /// declared failed may show the completion after the task was planned elsewhere. Nothing was
+    /// dispatched there, and no heartbeat would ever end such a plan.
     fn drop_plans(&mut self, task: &TaskId) {
         let Some(job) = self.jobs.get(&task.job) else {
             return;
--- a/src/cluster/reconcile/incarnation.rs
+++ b/src/cluster/reconcile/incarnation.rs
@@ -6,16 +6,16 @@
 use crate::model::MachineId;
 
 impl Cluster {
-    /// Begins a new incarnation of the machine: all instances ended with the former one,
-    /// and responses to the former one's heartbeats can't reach it.
+    /// Begins a new incarnation of the machine: all instances ended with the former one, and
+    /// responses to the former one's heartbeats can't reach it.
     pub(super) fn begin_incarnation(&mut self, id: &MachineId) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
         machine.last_response_at = None;
         if let Some(raised) = machine.token.raised() {
-            // The former incarnation never had this token; the new one gets it with
-            // the next response.
+            // The former incarnation never had this token; the new one gets it with the next
+            // response.
             machine.token = raised;
             machine.incarnation_token = raised;
         }
--- a/src/cluster/reconcile/machine_status.rs
+++ b/src/cluster/reconcile/machine_status.rs
@@ -1,5 +1,4 @@
-//! The part of a heartbeat about the machine itself: its order, description, spot notice and
-//! token.
+//! The part of a heartbeat about the machine itself: its order, description, spot notice and token.
 
 use std::time::{Duration, Instant};
 
@@ -12,8 +11,8 @@
 use crate::wire::Heartbeat;
 
 impl Machine {
-    /// Detects a later epoch although the last response should still hold the lease, which
-    /// means that the response was lost.
+    /// Detects a later epoch although the last response should still hold the lease, which means
+    /// that the response was lost.
     fn note_lost_lease(&mut self, order: MessageOrder, lease: Duration, now: Instant) {
         let later_epoch = self.last_heartbeat_at.is_some() && order.epoch > self.last_message.epoch;
         let lease_held = self
@@ -41,8 +40,8 @@
 }
 
 impl Cluster {
-    /// Applies all of a newer heartbeat except its tasks, and returns whether the machine
-    /// was busy before.
+    /// Applies all of a newer heartbeat except its tasks, and returns whether the machine was busy
+    /// before.
     pub(super) fn apply_machine_status(
         &mut self,
         id: &MachineId,
@@ -64,8 +63,8 @@
         self.apply_token(id, heartbeat)
     }
 
-    /// Handles the first heartbeat of this term. An earlier leader's summary gives the
-    /// machine's images.
+    /// Handles the first heartbeat of this term. An earlier leader's summary gives the machine's
+    /// images.
     fn note_first_heartbeat(&mut self, id: &MachineId, now: Instant) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
@@ -103,8 +102,8 @@
         }
     }
 
-    /// Applies the token that the machine shows, and whether it may hold tasks. Returns
-    /// whether it was busy before.
+    /// Applies the token that the machine shows, and whether it may hold tasks. Returns whether it
+    /// was busy before.
     fn apply_token(&mut self, id: &MachineId, heartbeat: &Heartbeat) -> Option<bool> {
         let machine = self.machines.get_mut(id)?;
         let token = FencingToken(heartbeat.token);
@@ -116,8 +115,7 @@
             heartbeat.token == 0 && heartbeat.tasks.is_empty() && machine.known_to_cloud;
         let was_busy = machine.is_busy();
         if was_never_fenced && !heartbeat.tasks.is_empty() {
-            // A late copy made the machine look new, so its free capacity was
-            // overestimated.
+            // A late copy made the machine look new, so its free capacity was overestimated.
             let plans = machine
                 .instances
                 .iter()
--- a/src/cluster/reconcile/mod.rs
+++ b/src/cluster/reconcile/mod.rs
@@ -1,8 +1,8 @@
 //! Reconciliation of the cluster state with a heartbeat. Each step has its own module.
 //!
 //! The steps run in a fixed order: [`ordering`] decides whether the heartbeat is applied,
-//! [`machine_status`] applies the part about the machine and [`task_status`] that about its
-//! tasks, and [`absence`] removes the instances that a fenced machine does not show.
+//! [`machine_status`] applies the part about the machine and [`task_status`] that about its tasks,
+//! and [`absence`] removes the instances that a fenced machine does not show.
 
 mod absence;
 mod exits;
@@ -20,9 +20,9 @@
 use crate::wire::Heartbeat;
 
 impl Cluster {
-    /// Reconciles the cluster state with a heartbeat. One that the worker sends on its own
-    /// shows the effect of starts in the response to the one before, but may be a late
-    /// copy. One in response to a direct command is as recent as the command.
+    /// Reconciles the cluster state with a heartbeat. One that the worker sends on its own shows
+    /// the effect of starts in the response to the one before, but may be a late copy. One in
+    /// response to a direct command is as recent as the command.
     pub fn apply_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
--- a/src/cluster/reconcile/ordering.rs
+++ b/src/cluster/reconcile/ordering.rs
@@ -50,8 +50,7 @@
 }
 
 impl Cluster {
-    /// Whether a heartbeat is newer than all before. The first one of a new incarnation is
-    /// newer.
+    /// Whether a heartbeat is newer than all before. The first one of a new incarnation is newer.
     pub(super) fn is_newer(
         &mut self,
         id: &MachineId,
@@ -64,8 +63,8 @@
             .entry(id.clone())
             .or_insert_with(|| Machine::new(id.clone(), now));
         let order = MessageOrder::of(heartbeat);
-        // After a restart, late copies of the former incarnation's messages may have
-        // higher numbers.
+        // After a restart, late copies of the former incarnation's messages may have higher
+        // numbers.
         let former = source == HeartbeatSource::Worker
             && FencingToken(heartbeat.token) < machine.incarnation_token;
         if machine.last_heartbeat_at.is_none() || !(former || order <= machine.last_message) {
@@ -76,8 +75,8 @@
             HeartbeatSource::Command(at) => machine.last_heartbeat_at.is_some_and(|last| at > last),
         };
         if !requested_since || order == machine.last_message {
-            // Either a late copy, or a restarted machine that counts from 1 again. A
-            // probe shows which.
+            // Either a late copy, or a restarted machine that counts from 1 again. A probe shows
+            // which.
             if order < machine.last_message && machine.pending_probe.is_none() {
                 machine.pending_probe = Some(PendingProbe {
                     epoch: heartbeat.epoch,
@@ -86,8 +85,7 @@
             }
             return false;
         }
-        // Within one incarnation the order only rises, but this later message has a
-        // lower one.
+        // Within one incarnation the order only rises, but this later message has a lower one.
         info!(machine = %id, epoch = order.epoch, "machine restarted");
         self.begin_incarnation(id);
         true
--- a/src/cluster/reconcile/response.rs
+++ b/src/cluster/reconcile/response.rs
@@ -7,8 +7,8 @@
 use crate::model::{FencingToken, MachineId};
 use crate::wire::{ExitCause, WorkerCommand};
 
-/// Whether a machine may drop an exited task from its heartbeats. A completion that still
-/// matters has to be recorded first.
+/// Whether a machine may drop an exited task from its heartbeats. A completion that still matters
+/// has to be recorded first.
 fn may_clear(job: Option<&Job>, instance: &InstanceId, cause: ExitCause) -> bool {
     let unrecorded = |job: &Job| job.is_active() && !job.done.is_durable(instance.task.index);
     cause != ExitCause::Done || !job.is_some_and(unrecorded)
@@ -50,9 +50,9 @@
         })
     }
 
-    /// The commands in the response to a machine's last heartbeat. Only such responses
-    /// carry starts: the worker drops a late response, so no start in it takes effect late.
-    /// Without `starts`, planned starts wait, since the replica may lack a cancellation.
+    /// The commands in the response to a machine's last heartbeat. Only such responses carry
+    /// starts: the worker drops a late response, so no start in it takes effect late. Without
+    /// `starts`, planned starts wait, since the replica may lack a cancellation.
     pub fn respond(&mut self, id: &MachineId, now: Instant, starts: bool) -> Vec<WorkerCommand> {
         let mut commands = Vec::new();
         let Some(machine) = self.machines.get_mut(id) else {
@@ -75,8 +75,7 @@
                 terminate_unwanted(state);
             }
             if let Some(stop) = &mut state.termination {
-                // Every heartbeat shows whether the stop has arrived, so it may
-                // be sent again.
+                // Every heartbeat shows whether the stop has arrived, so it may be sent again.
                 stop.last_sent_at = None;
             }
             if let Some(command) = stop_command(instance, state, now) {
--- a/src/cluster/reconcile/task_status.rs
+++ b/src/cluster/reconcile/task_status.rs
@@ -43,8 +43,7 @@
 }
 
 impl Cluster {
-    /// Applies the task statuses of a heartbeat, and returns all instances with a valid
-    /// task id.
+    /// Applies the task statuses of a heartbeat, and returns all instances with a valid task id.
     pub(super) fn apply_task_statuses(
         &mut self,
         id: &MachineId,
--- a/src/cluster/reconcile/tests.rs
+++ b/src/cluster/reconcile/tests.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn absence_is_evidence_only_once_a_dispatched_start_can_not_be_on_its_way() {
+fn absence_is_evidence_only_when_a_dispatched_start_is_no_longer_in_flight() {
     let dispatched = instance(InstancePhase::Dispatched {
         in_reply_to: order(2, 5),
     });
@@ -37,7 +37,11 @@
     let worker = HeartbeatSource::Worker;
     let evidence = |order, source| evidence_of_absence(&dispatched, order, source);
     assert_eq!(evidence(order(2, 5), worker), None);
-    assert_eq!(evidence(order(2, 6), command), None, "it may overtake");
+    assert_eq!(
+        evidence(order(2, 6), command),
+        None,
+        "the response to a command may overtake the one with the start"
+    );
     let absent = Some(TerminationEvidence::AbsentFromHeartbeat);
     assert_eq!(evidence(order(2, 6), worker), absent);
     let later = Some(TerminationEvidence::LaterEpoch);
@@ -45,7 +49,7 @@
 }
 
 #[test]
-fn absence_shows_nothing_of_a_plan_and_ends_what_was_running() {
+fn absence_is_no_evidence_for_planned_instances_and_removes_running_ones() {
     let at = |phase| evidence_of_absence(&instance(phase), order(2, 6), HeartbeatSource::Worker);
     assert_eq!(at(InstancePhase::Planned), None);
     let absent = Some(TerminationEvidence::AbsentFromHeartbeat);
--- a/src/cluster/records.rs
+++ b/src/cluster/records.rs
@@ -18,8 +18,8 @@
 /// Interval between two writes of a job's completed tasks. The machines keep the results until
 /// then; otherwise a large array would write them in every scheduling cycle.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(2);
-/// Interval between two dispatch records that name only jobs of the lowest priority, so that
-/// each names many.
+/// Interval between two dispatch records that name only jobs of the lowest priority, so that each
+/// names many.
 const LOW_DISPATCH_INTERVAL: Duration = Duration::from_millis(800);
 
 /// Bytes of a machine's name in a shard, including the envelope.
@@ -32,8 +32,8 @@
 pub struct MachineInventory {
     shards: BTreeMap<usize, BTreeSet<MachineId>>,
     machines_per_shard: usize,
-    /// Shards that differ from their records. Terminated machines are removed as promptly
-    /// as others are added, since a new leader waits for every machine named.
+    /// Shards that differ from their records. Terminated machines are removed as promptly as others
+    /// are added, since a new leader waits for every machine named.
     dirty: BTreeSet<usize>,
     writing: BTreeSet<usize>,
 }
@@ -77,8 +77,7 @@
         self.dirty.insert(shard);
     }
 
-    /// Removes a terminated machine. The next write of its shard removes the name from the
-    /// record.
+    /// Removes a terminated machine. The next write of its shard removes the name from the record.
     pub fn remove(&mut self, id: &MachineId) {
         for (shard, names) in &mut self.shards {
             if names.remove(id) {
@@ -143,8 +142,7 @@
 pub struct RecordWrite {
     /// The purpose of the write, with what its outcome changes.
     pub kind: RecordKind,
-    /// The conditions and changes. The sender adds the condition that this process is the
-    /// leader.
+    /// The conditions and changes. The sender adds the condition that this process is the leader.
     pub transaction: Transaction,
     /// The priority among all writes to the store.
     pub priority: WritePriority,
@@ -198,8 +196,8 @@
     })
 }
 
-/// The record versions on which writes are conditional: the later of this leader's last write
-/// and the replica's.
+/// The record versions on which writes are conditional: the later of this leader's last write and
+/// the replica's.
 struct KnownVersions<'a> {
     own: &'a HashMap<String, u64>,
     replica: &'a Replica,
@@ -253,12 +251,11 @@
 }
 
 impl Cluster {
-    /// The writes that are due. Each is marked as in flight until
-    /// [`Cluster::apply_write_outcome`] is called.
+    /// The writes that are due. Each is marked as in flight until [`Cluster::apply_write_outcome`]
+    /// is called.
     ///
-    /// A write of a chunk or a shard replaces the one before and is conditional on its
-    /// version: a write without a response may be committed minutes later, and must not
-    /// revert a newer one.
+    /// A write of a chunk or a shard replaces the one before and is conditional on its version: a
+    /// write without a response may be committed minutes later, and must not revert a newer one.
     pub fn due_writes(&mut self, replica: &Replica, now: Instant) -> Vec<RecordWrite> {
         let mut writes = Vec::new();
         let dispatches = self.due_job_writes(replica, &mut writes, now);
@@ -280,8 +277,7 @@
             replica,
         };
         for (id, job) in &mut self.jobs {
-            // The replica does not show the cancellation yet. Its records are
-            // written once it does.
+            // The replica does not show the cancellation yet. Its records are written once it does.
             let cancelling = job.cancellation_requested && job.verdict == Verdict::Accepted;
             if job.writing || cancelling {
                 continue;
@@ -308,8 +304,8 @@
         dispatches
     }
 
-    /// Adds dispatch records, those with high priority first, and the deletion of one
-    /// surplus record.
+    /// Adds dispatch records, those with high priority first, and the deletion of one surplus
+    /// record.
     fn due_dispatch_writes(
         &mut self,
         dispatches: DueDispatches,
@@ -380,8 +376,7 @@
         }
     }
 
-    /// Applies the outcome of a write. Whatever is not known to be committed is written
-    /// again.
+    /// Applies the outcome of a write. Whatever is not known to be committed is written again.
     pub fn apply_write_outcome(&mut self, kind: &RecordKind, outcome: &TransactionOutcome) {
         self.scheduling_needed = true;
         let committed = outcome.committed();
--- a/src/cluster/recovery.rs
+++ b/src/cluster/recovery.rs
@@ -1,5 +1,5 @@
-//! Recovery of the cluster state by a new leader from the records. Machines of earlier terms
-//! stay unreconciled until they are fenced, terminated, or their leases have expired.
+//! Recovery of the cluster state by a new leader from the records. Machines of earlier terms stay
+//! unreconciled until they are fenced, terminated, or their leases have expired.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::time::{Duration, Instant, SystemTime};
@@ -81,15 +81,14 @@
         for id in ids {
             self.sync_job(&id, replica, now, wall, true);
         }
-        // Other jobs in the dispatch records are over, and no task of them can be on any
-        // machine.
+        // Other jobs in the dispatch records are over, and no task of them can be on any machine.
         self.recovered_targets.clear();
         let jobs = &self.jobs;
         self.dispatch_log.retain_jobs(|id| jobs.contains_key(id));
     }
 
-    /// Applies an earlier leader's summary of the machines. Late heartbeats of machines
-    /// that it shows as removed must not add them again.
+    /// Applies an earlier leader's summary of the machines. Late heartbeats of machines that it
+    /// shows as removed must not add them again.
     pub fn adopt_summary(&mut self, summary: &SummaryCache) {
         self.inherited_hints = summary.hints.clone();
         for id in &self.unreconciled {
@@ -100,15 +99,14 @@
                 machine.last_message.epoch = hint.epoch;
             }
         }
-        let gone = summary
+        let removed = summary
             .gone
             .iter()
             .filter(|id| !self.unreconciled.contains(*id));
-        self.terminated_machines.extend(gone.cloned());
+        self.terminated_machines.extend(removed.cloned());
     }
 
-    /// Marks the machine as reconciled: no tasks of earlier terms are unknown on it any
-    /// more.
+    /// Marks the machine as reconciled: no tasks of earlier terms are unknown on it any more.
     pub(super) fn mark_reconciled(&mut self, id: &MachineId) {
         if !self.unreconciled.remove(id) {
             return;
@@ -119,8 +117,7 @@
         }
     }
 
-    /// The time from the start of observation until all machines were reconciled, returned
-    /// once.
+    /// The time from the start of observation until all machines were reconciled, returned once.
     pub fn take_reconciliation_time(&mut self, now: Instant) -> Option<Duration> {
         if self.reconciliation_reported || !self.unreconciled.is_empty() {
             return None;
--- a/src/cluster/slow_machines.rs
+++ b/src/cluster/slow_machines.rs
@@ -11,8 +11,7 @@
 
 /// The last jobs on a machine whose slowdowns are compared with the median.
 const JOBS_TO_COMPARE: usize = 3;
-/// A machine is quarantined if its slowdowns for all these jobs exceed the median by this
-/// factor.
+/// A machine is quarantined if its slowdowns for all these jobs exceed the median by this factor.
 const SLOW_FACTOR: f64 = 2.5;
 /// Slowdowns kept of tasks on any machine, and how many are required for a comparison.
 const SLOWDOWNS_KEPT: usize = 60;
@@ -47,9 +46,9 @@
 }
 
 impl Cluster {
-    /// Compares the run time of a task with its estimate, and the machine's slowdowns with
-    /// the median of all. Estimates are often wrong by half, but not for several jobs on
-    /// only one machine.
+    /// Compares the run time of a task with its estimate, and the machine's slowdowns with the
+    /// median of all. Estimates are often wrong by half, but not for several jobs on only one
+    /// machine.
     pub(super) fn note_slowdown(&mut self, id: &MachineId, instance: &InstanceId, now: Instant) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
--- a/src/cluster/sync.rs
+++ b/src/cluster/sync.rs
@@ -31,8 +31,7 @@
 }
 
 impl Cluster {
-    /// Applies the current records of a job. `recovering` marks jobs that are not new
-    /// submissions.
+    /// Applies the current records of a job. `recovering` marks jobs that are not new submissions.
     pub fn sync_job(
         &mut self,
         id: &JobId,
@@ -69,9 +68,8 @@
                 self.stop_job(id, 0.0);
             }
         }
-        // This leader has retired the job: its records are deleted, and no task of it is
-        // left. A controller of version 0.3.0 deletes the description earlier, with the
-        // cancellation.
+        // This leader has retired the job: its records are deleted, and no task of it is left. A
+        // controller of version 0.3.0 deletes the description earlier, with the cancellation.
         let no_placements = !self.jobs.get(id).is_some_and(Job::has_placements);
         if no_placements
             && !replica.live.contains_key(id)
@@ -184,8 +182,7 @@
         }
     }
 
-    /// Applies the cloud's list of machines. The list lags, so absence from it is no
-    /// evidence.
+    /// Applies the cloud's list of machines. The list lags, so absence from it is no evidence.
     pub fn apply_machine_list(&mut self, list: &[ListedMachine], now: Instant) {
         for entry in list {
             let id = MachineId(entry.id.as_str().into());
--- a/src/model.rs
+++ b/src/model.rs
@@ -88,8 +88,7 @@
     }
 }
 
-/// An attempt to run a task or a whole gang, unique among all attempts: the term, then a
-/// counter.
+/// An attempt to run a task or a whole gang, unique among all attempts: the term, then a counter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Attempt(pub u64);
 
@@ -97,8 +96,7 @@
     /// Bits of the counter. A term would have to start four billion tasks to exhaust it.
     const COUNTER_BITS: u32 = 32;
 
-    /// The attempt with this counter value. Terms share no attempts, so the counter is not
-    /// stored.
+    /// The attempt with this counter value. Terms share no attempts, so the counter is not stored.
     pub fn of(term: Term, count: u32) -> Self {
         Self((term.0 << Self::COUNTER_BITS) | u64::from(count))
     }
@@ -110,9 +108,9 @@
 )]
 pub struct Term(pub u64);
 
-/// The fencing token by which workers reject commands of deposed leaders: a term, then a
-/// counter. A leader may raise the counter for one machine, which makes the worker send a
-/// heartbeat at once. Tokens of a later term are higher than all tokens of an earlier one.
+/// The fencing token by which workers reject commands of deposed leaders: a term, then a counter. A
+/// leader may raise the counter for one machine, which makes the worker send a heartbeat at once.
+/// Tokens of a later term are higher than all tokens of an earlier one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FencingToken(pub u64);
 
@@ -274,7 +272,7 @@
 }
 
 impl JobSpec {
-    /// The number of members with which a gang is complete; 1 for independent tasks.
+    /// The fewest tasks that have to run at the same time: all of a gang, else one.
     pub fn min_running_tasks(&self) -> u32 {
         match self.kind {
             JobKind::Array | JobKind::Service => 1,
@@ -289,7 +287,7 @@
 
     /// The grace period for writing a last checkpoint, in seconds.
     pub fn checkpoint_grace_s(&self) -> f64 {
-        // One extra second, so that delays and rounding never make it too short.
+        // One extra second, so that rounding on the way to the worker never makes it too short.
         self.checkpoint_cost_s + 1.0
     }
 
@@ -329,7 +327,7 @@
     pub hourly_price: f64,
     /// Current spot price per hour.
     pub hourly_spot_price: f64,
-    /// Nominal time from the rental to the first heartbeat.
+    /// Nominal time from the rental until the machine runs.
     pub boot_time: Duration,
     /// Size of the image cache in GB.
     pub cache_gb: f64,
@@ -361,7 +359,7 @@
     pub spot: bool,
 }
 
-/// The recorded outcome of a job.
+/// The state of a job in its records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
     /// The job was accepted and has to run.
--- a/src/model/tests.rs
+++ b/src/model/tests.rs
@@ -5,7 +5,7 @@
 /// Workers compare tokens by their numeric value alone, so the tokens of two terms must never
 /// overlap, however often a token is raised.
 #[test]
-fn tokens_of_a_later_term_are_higher_than_all_of_an_earlier_one() {
+fn tokens_of_a_later_term_exceed_all_tokens_of_an_earlier_term() {
     let mut last = FencingToken::first(Term(3));
     for _ in 0..5 {
         last = last.raised().unwrap();
@@ -16,6 +16,6 @@
     assert_eq!(
         end.raised(),
         None,
-        "a term's tokens end before the next term's begin"
+        "the last token of a term cannot be raised into the next term"
     );
 }
--- a/src/pending_reason.rs
+++ b/src/pending_reason.rs
@@ -12,8 +12,8 @@
     NotConsidered,
     /// The replica of the records is too old to start tasks.
     StaleReplica,
-    /// The gate suspends placements, since this controller's connection to the key-value
-    /// store is poor.
+    /// The gate suspends placements, since this controller's connection to the key-value store is
+    /// poor.
     Gate(GateRefusal),
     /// Tasks of the job may be on machines of an earlier term that are not reconciled yet.
     UnreconciledMachines,
@@ -29,15 +29,15 @@
     TrialCapacity,
     /// There is no capacity for all missing members of the gang.
     GangCapacity,
-    /// A machine that has the image is expected to release capacity sooner than the image
-    /// could be pulled elsewhere.
+    /// A machine that has the image is expected to release capacity sooner than the image could be
+    /// pulled elsewhere.
     ImageLocality,
     /// There is no free capacity.
     Capacity,
 }
 
 impl PendingReason {
-    /// All reasons, each text once.
+    /// All reasons, including all refusals of the gate.
     pub const ALL: [Self; 14] = [
         Self::NotConsidered,
         Self::StaleReplica,
@@ -55,8 +55,7 @@
         Self::Capacity,
     ];
 
-    /// The text in the admin interface. Operators' scripts may match it, so it must not
-    /// change.
+    /// The text in the admin interface. Operators' scripts may match it, so it must not change.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NotConsidered => "its first round",
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -6,8 +6,8 @@
 use crate::config::{Settings, TeamSettings};
 use crate::model::Resources;
 
-/// A class whose start objective allows this many boot times can wait for a boot. The rest of
-/// the time is for a late boot, for pulling the image, and for waiting for capacity.
+/// A class whose start objective allows this many boot times can wait for a boot. The rest of the
+/// time is for a late boot, for pulling the image, and for waiting for capacity.
 const BOOTS_PER_START: u32 = 3;
 
 /// Quotas and objectives from the settings.
@@ -53,8 +53,7 @@
                     times.push(objective.times.unwrap_or(1.0));
                     times.sort_by(f64::total_cmp);
                 }
-                // Objectives of other kinds do not affect when a job should
-                // start or complete.
+                // Objectives of other kinds do not affect when a job should start or complete.
                 _ => {}
             }
         }
@@ -71,15 +70,15 @@
         }
     }
 
-    /// Whether jobs of a class have to start too soon to wait for a machine to boot. An
-    /// objective that leaves time for several boots needs no spare capacity.
+    /// Whether jobs of a class have to start too soon to wait for a machine to boot. An objective
+    /// that leaves time for several boots needs no spare capacity.
     pub fn cannot_wait_for_boot(&self, class: &str, boot: Duration) -> bool {
         let within = self.start_objectives.get(class);
         within.is_some_and(|within| *within < boot * BOOTS_PER_START)
     }
 
-    /// Whether this usage is within the limit of the team's quota. A team removed from the
-    /// settings has no limit, since its accepted jobs still have to run.
+    /// Whether this usage is within the limit of the team's quota. A team removed from the settings
+    /// has no limit, since its accepted jobs still have to run.
     pub fn within_limit(&self, team: &str, used: &Resources) -> bool {
         self.teams.get(team).is_none_or(|t| {
             let limit = Resources {
@@ -101,9 +100,10 @@
     /// Whether this usage exceeds the team's guarantee of any resource that the task uses.
     pub fn exceeds_guarantee(&self, team: &str, used: &Resources, task: &Resources) -> bool {
         self.teams.get(team).is_none_or(|t| {
-            let over = |used: f64, guaranteed: f64, task: f64| task > 0.0 && used > guaranteed;
+            let exceeds = |used: f64, guaranteed: f64, task: f64| task > 0.0 && used > guaranteed;
             let managed = t.cpus > 0.0 || t.cpus_max > 0.0;
-            (managed && over(used.cpus, t.cpus, task.cpus)) || over(used.gpus, t.gpus, task.gpus)
+            (managed && exceeds(used.cpus, t.cpus, task.cpus))
+                || exceeds(used.gpus, t.gpus, task.gpus)
         })
     }
 
