--- a/src/actors/fleet.rs
+++ b/src/actors/fleet.rs
@@ -11,7 +11,9 @@
 use crate::cluster::{Catalog, Cluster, Machine};
 use crate::fleet::client::{CloudClient, CloudError};
 use crate::fleet::listing::MachineListing;
-use crate::fleet::{self, Action, CapacityBackoff, FleetView, ReleaseReason, RENTAL_SIZE_MAX};
+use crate::fleet::{
+    self, CapacityBackoff, FleetView, ReleaseReason, ScalingAction, RENTAL_SIZE_MAX,
+};
 use crate::model::{MachineId, MachinePool, Term};
 use crate::rate_limit::TokenBucket;
 use crate::service::Shared;
@@ -172,8 +174,8 @@
                 return false;
             }
             match action {
-                Action::Rent(pool, count) => retry |= self.rent(pool, count).await,
-                Action::Release(machines, reason) => {
+                ScalingAction::Rent(pool, count) => retry |= self.rent(pool, count).await,
+                ScalingAction::Release(machines, reason) => {
                     self.release(PendingRelease { machines, reason }).await;
                 }
             }
@@ -233,14 +235,14 @@
         let cloud = &self.shared.settings.params.cloud;
         let (interval, rate) = (secs(cloud.list_lag_s), cloud.rps * RATE_PART);
         let mut first = true;
-        while self.listing.due(interval, rate, Instant::now()) {
+        while self.listing.is_due(interval, rate, Instant::now()) {
             let free = self.calls.wait(1.0, Instant::now()).is_zero();
             if !first && !free {
                 return;
             }
             first = false;
             self.wait_for_rate_limit().await;
-            let page = match self.cloud.list_page(self.listing.after()).await {
+            let page = match self.cloud.list_page(self.listing.last_read_machine()).await {
                 Ok(page) => page,
                 Err(error) => {
                     debug!(%error, "machine list not read");
@@ -249,7 +251,7 @@
                 }
             };
             let now = Instant::now();
-            let Some(list) = self.listing.take_page(page, now) else {
+            let Some(list) = self.listing.add_page(page, now) else {
                 continue;
             };
             if let Some(cluster) = self.shared.cluster.lock().as_mut() {
@@ -258,7 +260,7 @@
         }
     }
 
-    fn plan(&mut self) -> Vec<Action> {
+    fn plan(&mut self) -> Vec<ScalingAction> {
         let now = Instant::now();
         let unmet_demand = self.unmet_demand.lock().clone();
         let idle_policy = self.shared.operator.lock().idle_policy();
@@ -281,7 +283,7 @@
             now,
         });
         for action in &actions {
-            if let Action::Release(machines, _) = action {
+            if let ScalingAction::Release(machines, _) = action {
                 set_releasing(cluster, machines, true);
             }
         }
@@ -307,10 +309,10 @@
             Ok(names) => self.machines_rented(&names, &rental, now),
             Err(CloudError::NoCapacity) => {
                 info!(machine_type = %pool.machine_type, zone = %pool.zone, spot = pool.spot, "no capacity in pool");
-                self.capacity_backoff.exhausted(pool, now);
+                self.capacity_backoff.record_exhausted(pool, now);
                 RentalOutcome::NoCapacity
             }
-            Err(CloudError::Unknown) => {
+            Err(CloudError::OutcomeUnknown) => {
                 warn!(request = %request.request, "rental outcome unknown");
                 self.pending_rentals.push(rental);
                 RentalOutcome::Unknown
@@ -340,7 +342,7 @@
         );
         let complete = names.len() as u32 >= request.count;
         if !complete {
-            self.capacity_backoff.exhausted(pool, now);
+            self.capacity_backoff.record_exhausted(pool, now);
         }
         self.shared.metrics.lock().counts.rented += names.len() as u64;
         if let Some(cluster) = self.shared.cluster.lock().as_mut() {
@@ -367,7 +369,7 @@
                 self.shared.metrics.lock().counts.returned += machines.len() as u64;
                 self.shared.machines_released(machines);
             }
-            Err(CloudError::Unknown) => self.pending_releases.push(release),
+            Err(CloudError::OutcomeUnknown) => self.pending_releases.push(release),
             Err(error) => {
                 debug!(%error, ?machines, "release failed");
                 if let Some(cluster) = self.shared.cluster.lock().as_mut() {
--- a/src/fleet/capacity_backoff.rs
+++ b/src/fleet/capacity_backoff.rs
@@ -19,7 +19,7 @@
 
 impl CapacityBackoff {
     /// The pool had no capacity, or less than requested.
-    pub fn exhausted(&mut self, pool: &MachinePool, now: Instant) {
+    pub fn record_exhausted(&mut self, pool: &MachinePool, now: Instant) {
         let retry_at = now + NO_CAPACITY_RETRY_DELAY;
         self.retry_at.insert(pool.clone(), retry_at);
         self.exhausted_at.insert(pool.clone(), now);
--- a/src/fleet/client.rs
+++ b/src/fleet/client.rs
@@ -29,7 +29,7 @@
     Refused(u16),
     /// No answer; it may have been executed.
     #[error("no answer from the cloud")]
-    Unknown,
+    OutcomeUnknown,
     /// An answer that cannot be decoded.
     #[error("the answer of the cloud cannot be decoded: {0}")]
     Undecodable(String),
@@ -62,7 +62,7 @@
             limit: REQUEST_TIMEOUT,
         };
         let answer = self.remote.send(request).await;
-        let (status, body) = answer.map_err(|_| CloudError::Unknown)?;
+        let (status, body) = answer.map_err(|_| CloudError::OutcomeUnknown)?;
         match status {
             200 => Ok(body),
             503 if is_no_capacity(&body) => Err(CloudError::NoCapacity),
--- a/src/fleet/listing.rs
+++ b/src/fleet/listing.rs
@@ -28,7 +28,7 @@
 impl MachineListing {
     /// Whether a page should be read now: one of a listing under way, or the first of a new one. A new
     /// one is due after `interval`, or later where the pages would take too many of the requests.
-    pub fn due(&self, interval: Duration, requests_per_s: f64, now: Instant) -> bool {
+    pub fn is_due(&self, interval: Duration, requests_per_s: f64, now: Instant) -> bool {
         if self.pages > 0 {
             return true;
         }
@@ -45,12 +45,12 @@
     }
 
     /// The machine after which the next page begins.
-    pub fn after(&self) -> Option<&str> {
+    pub fn last_read_machine(&self) -> Option<&str> {
         self.read.last().map(|machine| machine.id.as_str())
     }
 
     /// Adds a page; returns the whole list, if it was the last one.
-    pub fn take_page(&mut self, page: MachinePage, now: Instant) -> Option<Vec<ListedMachine>> {
+    pub fn add_page(&mut self, page: MachinePage, now: Instant) -> Option<Vec<ListedMachine>> {
         let last = !page.more || page.machines.is_empty();
         self.read.extend(page.machines);
         self.pages += 1;
--- a/src/fleet/listing/tests.rs
+++ b/src/fleet/listing/tests.rs
@@ -29,18 +29,18 @@
 fn a_list_of_4000_machines_is_read_over_several_looks_and_counts_when_it_is_whole() {
     let mut listing = MachineListing::default();
     let mut now = Instant::now();
-    assert!(listing.due(INTERVAL, REQUESTS_PER_S, now));
+    assert!(listing.is_due(INTERVAL, REQUESTS_PER_S, now));
     let mut requests = 0;
     let list = loop {
-        assert!(listing.due(INTERVAL, REQUESTS_PER_S, now), "it goes on");
+        assert!(listing.is_due(INTERVAL, REQUESTS_PER_S, now), "it goes on");
         requests += 1;
         let read = listing.read.len();
         assert_eq!(listing.under_way(), read > 0);
-        if let Some(list) = listing.take_page(page(read, 4_000), now) {
+        if let Some(list) = listing.add_page(page(read, 4_000), now) {
             break list;
         }
         assert_eq!(
-            listing.after().unwrap(),
+            listing.last_read_machine().unwrap(),
             format!("m-{:06}", read + PAGE - 1)
         );
         now += Duration::from_millis(400);
@@ -49,20 +49,20 @@
     // Half of the requests are left to rentals and returns.
     let paced = Duration::from_secs_f64(8.0 / (REQUESTS_PER_S / 2.0));
     assert!(paced > INTERVAL);
-    assert!(!listing.due(INTERVAL, REQUESTS_PER_S, now + INTERVAL));
-    assert!(listing.due(INTERVAL, REQUESTS_PER_S, now + paced));
+    assert!(!listing.is_due(INTERVAL, REQUESTS_PER_S, now + INTERVAL));
+    assert!(listing.is_due(INTERVAL, REQUESTS_PER_S, now + paced));
 }
 
 #[test]
 fn a_small_list_keeps_its_interval_and_an_abandoned_reading_begins_anew() {
     let mut listing = MachineListing::default();
     let now = Instant::now();
-    assert_eq!(listing.take_page(page(0, 40), now).unwrap().len(), 40);
-    assert!(!listing.due(INTERVAL, REQUESTS_PER_S, now));
-    assert!(listing.due(INTERVAL, REQUESTS_PER_S, now + INTERVAL));
-    assert!(listing.take_page(page(0, 1_200), now).is_none());
+    assert_eq!(listing.add_page(page(0, 40), now).unwrap().len(), 40);
+    assert!(!listing.is_due(INTERVAL, REQUESTS_PER_S, now));
+    assert!(listing.is_due(INTERVAL, REQUESTS_PER_S, now + INTERVAL));
+    assert!(listing.add_page(page(0, 1_200), now).is_none());
     listing.abandon();
     assert!(!listing.under_way());
-    assert!(listing.take_page(page(0, 600), now).is_none());
-    assert_eq!(listing.take_page(page(500, 600), now).unwrap().len(), 600);
+    assert!(listing.add_page(page(0, 600), now).is_none());
+    assert_eq!(listing.add_page(page(500, 600), now).unwrap().len(), 600);
 }
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -31,7 +31,7 @@
 
 /// What the fleet decides.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Action {
+pub enum ScalingAction {
     /// Rent so many machines of a pool.
     Rent(MachinePool, u32),
     /// Release these machines.
@@ -81,7 +81,7 @@
 }
 
 /// The machines to rent and to release now.
-pub fn plan(fleet_view: &FleetView) -> Vec<Action> {
+pub fn plan(fleet_view: &FleetView) -> Vec<ScalingAction> {
     let FleetView { cluster, now, .. } = *fleet_view;
     let failed = scale_in::failed::machines(cluster, now);
     let releasing: HashSet<MachineId> = failed.iter().map(|r| r.machine.clone()).collect();
@@ -96,13 +96,13 @@
     for Release { machine, reason } in failed.into_iter().chain(idle) {
         by_reason.entry(reason).or_default().push(machine);
     }
-    let mut actions: Vec<Action> = rentals
+    let mut actions: Vec<ScalingAction> = rentals
         .into_iter()
-        .map(|(pool, count)| Action::Rent(pool, count))
+        .map(|(pool, count)| ScalingAction::Rent(pool, count))
         .collect();
     for (reason, machines) in by_reason {
         let chunks = machines.chunks(RELEASE_SIZE_MAX);
-        actions.extend(chunks.map(|chunk| Action::Release(chunk.to_vec(), reason)));
+        actions.extend(chunks.map(|chunk| ScalingAction::Release(chunk.to_vec(), reason)));
     }
     actions
 }
--- a/src/sched/decisions.rs
+++ b/src/sched/decisions.rs
@@ -107,13 +107,13 @@
     /// Tasks without capacity, for the fleet.
     pub unmet_demand: Vec<UnmetDemand>,
     /// Why tasks of jobs stay pending.
-    pub pending: Vec<PendingJob>,
+    pub pending_jobs: Vec<PendingJob>,
 }
 
 impl Decisions {
     pub(super) fn keep_pending(&mut self, job: &JobId, reason: PendingReason) {
         let job = job.clone();
-        self.pending.push(PendingJob { job, reason });
+        self.pending_jobs.push(PendingJob { job, reason });
     }
 
     pub(super) fn restart_gang(&mut self, job: &JobId, reason: GangRestartReason) {
@@ -180,7 +180,7 @@
             });
         }
     }
-    for PendingJob { job: id, reason } in &decisions.pending {
+    for PendingJob { job: id, reason } in &decisions.pending_jobs {
         if let Some(job) = cluster.jobs.get_mut(id) {
             if job.pending_reason != *reason {
                 tracing::debug!(job = %id, %reason, "pending reason changed");
--- a/tests/common/scene.rs
+++ b/tests/common/scene.rs
@@ -10,7 +10,7 @@
     AddressedCommand, Cluster, DispatchTargets, HeartbeatOrdering, HeartbeatSource, RecordKind,
 };
 use knotlanding::config::Settings;
-use knotlanding::fleet::{self, Action, CapacityBackoff, FleetView, IdlePolicy};
+use knotlanding::fleet::{self, CapacityBackoff, FleetView, IdlePolicy, ScalingAction};
 use knotlanding::model::{
     FencingToken, JobId, JobKind, JobSpec, MachineId, MachineType, Priority, Resources, Term,
     Verdict,
@@ -248,7 +248,7 @@
                 termination.task, termination.machine
             ));
         }
-        for pending in &decisions.pending {
+        for pending in &decisions.pending_jobs {
             let (job, reason) = (&pending.job, pending.reason);
             self.note(&format!("round: {job} waits for {reason}"));
         }
@@ -414,8 +414,10 @@
         });
         for action in actions {
             let shown = match action {
-                Action::Rent(pool, count) => format!("Rent({pool:?}, {count})"),
-                Action::Release(ids, reason) => format!("Return({ids:?}, {:?})", reason.as_str()),
+                ScalingAction::Rent(pool, count) => format!("Rent({pool:?}, {count})"),
+                ScalingAction::Release(ids, reason) => {
+                    format!("Return({ids:?}, {:?})", reason.as_str())
+                }
             };
             self.note(&format!("fleet: {shown}"));
         }
--- a/tests/common/world.rs
+++ b/tests/common/world.rs
@@ -41,7 +41,7 @@
 };
 use knotlanding::config::{Peer, Settings, WorkerSettings};
 use knotlanding::demand::UnmetDemand;
-use knotlanding::fleet::{self, Action, CapacityBackoff, FleetView, IdlePolicy};
+use knotlanding::fleet::{self, CapacityBackoff, FleetView, IdlePolicy, ScalingAction};
 use knotlanding::leader::Leadership;
 use knotlanding::model::{
     FencingToken, JobId, JobKind, JobSpec, MachineId, MachinePool, Resources, Term, Verdict,
--- a/tests/common/world/controllers.rs
+++ b/tests/common/world/controllers.rs
@@ -448,7 +448,7 @@
                 now,
             });
             for action in &actions {
-                if let Action::Release(ids, _) = action {
+                if let ScalingAction::Release(ids, _) = action {
                     for id in ids {
                         if let Some(machine) = cluster.machines.get_mut(id) {
                             machine.releasing = true;
@@ -460,8 +460,10 @@
         };
         for action in actions {
             match action {
-                Action::Rent(pool, count) => self.send(Mail::Rent(n, incarnation, pool, count)),
-                Action::Release(ids, _) => self.send(Mail::Return(n, incarnation, ids)),
+                ScalingAction::Rent(pool, count) => {
+                    self.send(Mail::Rent(n, incarnation, pool, count))
+                }
+                ScalingAction::Release(ids, _) => self.send(Mail::Return(n, incarnation, ids)),
             }
         }
     }
--- a/tests/common/world/delivery.rs
+++ b/tests/common/world/delivery.rs
@@ -233,7 +233,7 @@
             cluster.machines_rented(&names, &pool, now);
         }
         if names.is_empty() {
-            self.nodes[n].market.exhausted(&pool, now);
+            self.nodes[n].market.record_exhausted(&pool, now);
         }
     }
 
