--- a/src/fleet/client.rs
+++ b/src/fleet/client.rs
@@ -1,4 +1,4 @@
-//! The cloud's protocol over pooled connections. Lives on one thread.
+//! A client of the cloud's protocol over pooled connections. It must stay on one thread.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -11,38 +11,40 @@
 use crate::model::{MachineId, MachineType};
 use crate::wire::{self, MachineNames, MachinePage, MachineTypeCatalog, RentalRequest};
 
-/// The cloud answers in a fraction of a second; after this a request has an unknown outcome.
+/// The cloud responds in a fraction of a second. After this time the outcome of a request is
+/// unknown.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
-/// Machines in a page of the list.
+/// The number of machines per page of the machine list.
 const PAGE_SIZE: usize = 500;
-/// Largest body accepted: a page of the list, whose machines take some 200 bytes each.
+/// The largest response body in bytes. A page of the machine list is the largest response; a
+/// machine takes about 200 bytes in it.
 const BODY_SIZE_MAX: usize = 1024 * 1024;
 
-/// Why a request to the cloud failed.
+/// The error of a request to the cloud.
 #[derive(Debug, Error, PartialEq)]
 pub enum CloudError {
-    /// The pool has no capacity.
-    #[error("no capacity")]
+    /// The pool has no capacity for a rental.
+    #[error("the cloud has no capacity in the requested pool")]
     NoCapacity,
-    /// The cloud refused the request, or has a fault.
-    #[error("the cloud refuses ({0})")]
+    /// The cloud responded with another HTTP status than 200: it rejected the request or failed.
+    #[error("the cloud rejected the request with HTTP status {0}")]
     Refused(u16),
-    /// No answer; it may have been executed.
-    #[error("no answer from the cloud")]
+    /// No complete response arrived. The cloud may have executed the request.
+    #[error("no complete response from the cloud; the request may have been executed")]
     OutcomeUnknown,
-    /// An answer that cannot be decoded.
-    #[error("the answer of the cloud cannot be decoded: {0}")]
+    /// The body of a successful response can't be decoded; with the decoder's message.
+    #[error("response of the cloud cannot be decoded: {0}")]
     Undecodable(String),
 }
 
-/// The client.
+/// A client of one cloud endpoint. Clones share the connections.
 #[derive(Clone)]
 pub struct CloudClient {
     remote: Remote,
 }
 
 impl CloudClient {
-    /// A client of the cloud at `address`.
+    /// Creates a client that sends its requests to `address`.
     pub fn new(address: SocketAddrV4, http: Client) -> Self {
         Self {
             remote: Remote::new(address, http, BODY_SIZE_MAX),
@@ -61,8 +63,8 @@
             body,
             limit: REQUEST_TIMEOUT,
         };
-        let answer = self.remote.send(request).await;
-        let (status, body) = answer.map_err(|_| CloudError::OutcomeUnknown)?;
+        let response = self.remote.send(request).await;
+        let (status, body) = response.map_err(|_| CloudError::OutcomeUnknown)?;
         match status {
             200 => Ok(body),
             503 if is_no_capacity(&body) => Err(CloudError::NoCapacity),
@@ -70,24 +72,24 @@
         }
     }
 
-    fn read<T: serde::de::DeserializeOwned>(body: &[u8]) -> Result<T, CloudError> {
+    fn decode<T: serde::de::DeserializeOwned>(body: &[u8]) -> Result<T, CloudError> {
         wire::decode(body).map_err(|error| CloudError::Undecodable(error.to_string()))
     }
 
-    /// The machine types.
+    /// Requests all machine types that the cloud offers.
     pub async fn catalog(&self) -> Result<Vec<MachineType>, CloudError> {
         let body = self.call(Method::GET, "/flavors", None).await?;
-        Self::read::<MachineTypeCatalog>(&body).map(MachineTypeCatalog::machine_types)
+        Self::decode::<MachineTypeCatalog>(&body).map(MachineTypeCatalog::machine_types)
     }
 
-    /// Rents machines; returns their names.
+    /// Rents machines and returns their names, which may be fewer than requested.
     pub async fn rent(&self, request: &RentalRequest) -> Result<Vec<String>, CloudError> {
         let body = wire::encode(request);
         let body = self.call(Method::POST, "/machines", Some(body)).await?;
-        Self::read::<MachineNames>(&body).map(|names| names.machines)
+        Self::decode::<MachineNames>(&body).map(|names| names.machines)
     }
 
-    /// Releases machines. When this succeeds, all tasks on them are confirmed terminated.
+    /// Releases machines. Success confirms that all tasks on them are terminated.
     pub async fn release(&self, machines: &[MachineId]) -> Result<(), CloudError> {
         let body = wire::encode(&MachineNames {
             machines: machines.iter().map(|id| id.0.to_string()).collect(),
@@ -97,14 +99,14 @@
             .map(|_| ())
     }
 
-    /// The page of the machine list that begins after a machine's name.
+    /// Requests the page of the machine list after the machine named `after`, or the first page.
     pub async fn list_page(&self, after: Option<&str>) -> Result<MachinePage, CloudError> {
         let path = match after {
             Some(after) => format!("/machines?after={after}&limit={PAGE_SIZE}"),
             None => format!("/machines?limit={PAGE_SIZE}"),
         };
         let body = self.call(Method::GET, &path, None).await?;
-        Self::read(&body)
+        Self::decode(&body)
     }
 }
 
--- a/src/fleet/demand.rs
+++ b/src/fleet/demand.rs
@@ -1,4 +1,4 @@
-//! Demand to come: how likely jobs of each class still arrive.
+//! Expected demand: how likely more jobs of each class arrive.
 
 use std::collections::HashMap;
 use std::time::Instant;
@@ -6,43 +6,43 @@
 use crate::cluster::{Cluster, ARRIVALS_KEPT};
 use crate::model::{JobSpec, MachinePool, MachineType};
 
-/// Arrivals needed to say anything about the time between them.
+/// The least number of arrivals from which the time between arrivals is estimated.
 const ARRIVALS_MIN: usize = 5;
-/// Mean times between arrivals without any, after which it is doubtful that more come (for
-/// random arrivals this happens by chance one time in fifty).
-const DOUBTFUL_AFTER: f64 = 4.0;
-/// The same after which no more are expected (one time in four hundred).
-const OVER_AFTER: f64 = 6.0;
+/// Time without arrivals, in mean times between two, after which the likelihood of more starts to
+/// decline. Random arrivals leave such a gap by chance one time in fifty.
+const DECLINE_START_GAPS: f64 = 4.0;
+/// Time without arrivals, in mean times between two, after which no more are expected. Random
+/// arrivals leave such a gap by chance one time in four hundred.
+const DECLINE_END_GAPS: f64 = 6.0;
 
-/// A job of a class, and how likely more of them arrive.
+/// The spec of one job of a class, and the likelihood, from 0 to 1, that more arrive.
 struct ClassTrend<'a> {
     spec: &'a JobSpec,
     likelihood: f64,
 }
 
-/// Arrivals of a class.
 struct ClassArrivals<'a> {
     spec: &'a JobSpec,
     count: usize,
-    last: Instant,
+    last_arrival_at: Instant,
 }
 
 /// How likely more jobs of each class arrive, from 0 to 1.
 pub(super) struct ArrivalTrend<'a>(HashMap<&'a str, ClassTrend<'a>>);
 
 impl<'a> ArrivalTrend<'a> {
-    /// By the time since the last arrival, against the mean time between two: after several times
-    /// that, it is unlikely that they go on as before.
+    /// Estimates the likelihood from the time since the last arrival: once it is several times the
+    /// mean time between arrivals, they are unlikely to continue at the same rate.
     pub(super) fn of(cluster: &'a Cluster, now: Instant) -> Self {
         let mut classes: HashMap<&str, ClassArrivals> = HashMap::new();
         for (at, spec) in &cluster.arrivals {
             let arrivals = classes.entry(&spec.class).or_insert(ClassArrivals {
                 spec,
                 count: 0,
-                last: *at,
+                last_arrival_at: *at,
             });
             arrivals.count += 1;
-            arrivals.last = arrivals.last.max(*at);
+            arrivals.last_arrival_at = arrivals.last_arrival_at.max(*at);
         }
         let trends = classes.into_iter().map(|(class, arrivals)| {
             let trend = ClassTrend {
@@ -54,38 +54,43 @@
         Self(trends.collect())
     }
 
-    /// For jobs of a class. Of one that was never seen nothing is known.
-    pub(super) fn of_class(&self, spec: &JobSpec) -> f64 {
+    /// Returns the likelihood for the class of a job; 1 if the class has no recorded arrivals,
+    /// which gives no evidence either way.
+    pub(super) fn class_likelihood(&self, spec: &JobSpec) -> f64 {
         let trend = self.0.get(spec.class.as_str());
         trend.map_or(1.0, |trend| trend.likelihood)
     }
 
-    /// For a pool, by the classes that can use it. Where none was seen, more may arrive as long as
-    /// the leader is young.
-    pub(super) fn of_pool(
+    /// Returns the highest likelihood among the classes that can use a pool. If none of them has
+    /// recorded arrivals, it is 1 while the leader is recently elected, and 0 later.
+    pub(super) fn pool_likelihood(
         &self,
         pool: &MachinePool,
         machine_type: &MachineType,
-        young: bool,
+        recently_elected: bool,
     ) -> f64 {
         let users = self.0.values().filter(|ClassTrend { spec, .. }| {
             spec.allows(&pool.machine_type, &pool.zone, pool.spot)
                 && spec.task_resources.fits(&machine_type.capacity)
         });
-        let most = users.map(|trend| trend.likelihood).reduce(f64::max);
-        most.unwrap_or(if young { 1.0 } else { 0.0 })
+        let highest = users.map(|trend| trend.likelihood).reduce(f64::max);
+        highest.unwrap_or(if recently_elected { 1.0 } else { 0.0 })
     }
 }
 
 impl ClassArrivals<'_> {
     fn likelihood(&self, cluster: &Cluster, now: Instant) -> f64 {
-        let known = now.saturating_duration_since(cluster.since);
-        if self.count < ARRIVALS_MIN && known < ARRIVALS_KEPT {
+        let observed_for = now.saturating_duration_since(cluster.since);
+        if self.count < ARRIVALS_MIN && observed_for < ARRIVALS_KEPT {
             return 1.0;
         }
-        let mean_s = known.min(ARRIVALS_KEPT).as_secs_f64() / self.count as f64;
-        let gaps = now.saturating_duration_since(self.last).as_secs_f64() / mean_s;
-        let likelihood = 1.0 - (gaps - DOUBTFUL_AFTER) / (OVER_AFTER - DOUBTFUL_AFTER);
+        let mean_s = observed_for.min(ARRIVALS_KEPT).as_secs_f64() / self.count as f64;
+        let gaps = now
+            .saturating_duration_since(self.last_arrival_at)
+            .as_secs_f64()
+            / mean_s;
+        let likelihood =
+            1.0 - (gaps - DECLINE_START_GAPS) / (DECLINE_END_GAPS - DECLINE_START_GAPS);
         likelihood.clamp(0.0, 1.0)
     }
 }
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,5 +1,7 @@
-//! Scaling of the fleet: which machines to rent for demand, and which to release. Pure decisions
-//! here, the cloud's protocol in [`client`].
+//! Scaling of the fleet: decides which machines to rent for demand, and which to release.
+//!
+//! The decisions are pure functions of the cluster state and the time. [`client`] implements the
+//! cloud's protocol.
 
 pub mod capacity_backoff;
 pub mod client;
@@ -24,26 +26,28 @@
 use crate::model::{MachineId, MachinePool};
 use crate::policy::SchedulingPolicy;
 
-/// Most machines in one rental request, by the cloud's protocol.
+/// The most machines in one rental request; a limit of the cloud's protocol.
 pub const RENTAL_SIZE_MAX: u32 = 50;
-/// Most machines in one release request, by the cloud's protocol.
+/// The most machines in one release request; a limit of the cloud's protocol.
 pub const RELEASE_SIZE_MAX: usize = 100;
 
-/// What the fleet decides.
+/// One request to the cloud that a scaling decision results in.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ScalingAction {
-    /// Rent so many machines of a pool.
+    /// Rent this number of machines of a pool. It may exceed [`RENTAL_SIZE_MAX`].
     Rent(MachinePool, u32),
-    /// Release these machines.
+    /// Release these machines, at most [`RELEASE_SIZE_MAX`], all for the same reason.
     Release(Vec<MachineId>, ReleaseReason),
 }
 
-/// Operators' settings of how long idle machines and how much spare capacity are kept.
+/// Operators' settings for how long idle machines and how much spare capacity are kept.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct IdlePolicy {
-    /// Idle machines are kept for this many times what a new one would take to be as useful.
+    /// Factor on the time for which idle machines are kept, which is based on the time that a new
+    /// machine takes to boot and to pull the same images.
     pub idle_factor: f64,
-    /// Spare capacity kept for urgent classes, as a part of what may arrive.
+    /// Factor on the spare capacity kept for urgent classes, which is based on what may arrive
+    /// while a machine boots.
     pub spare_factor: f64,
 }
 
@@ -56,42 +60,44 @@
     }
 }
 
-/// What a scaling decision is made from.
+/// The input of a scaling decision.
 #[derive(Debug, Clone, Copy)]
 pub struct FleetView<'a> {
-    /// The cluster state.
+    /// The cluster state, including machines that are booting.
     pub cluster: &'a Cluster,
-    /// The scheduling policy.
+    /// Determines which classes are urgent.
     pub policy: &'a SchedulingPolicy,
     /// The unmet demand of the last scheduling cycle.
     pub unmet_demand: &'a [UnmetDemand],
-    /// Pools that had no capacity lately.
+    /// Pools in which the cloud had no capacity recently.
     pub capacity_backoff: &'a CapacityBackoff,
-    /// Operators' settings.
+    /// Factors that operators can change at run time.
     pub idle_policy: IdlePolicy,
-    /// The time.
+    /// The time of the decision.
     pub now: Instant,
 }
 
-/// A machine to be released.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Release {
     machine: MachineId,
     reason: ReleaseReason,
 }
 
-/// The machines to rent and to release now.
+/// Decides which machines to rent and to release now. Rentals come first, then releases by reason.
 pub fn plan(fleet_view: &FleetView) -> Vec<ScalingAction> {
     let FleetView { cluster, now, .. } = *fleet_view;
-    let failed = scale_in::failed::machines(cluster, now);
-    let releasing: HashSet<MachineId> = failed.iter().map(|r| r.machine.clone()).collect();
+    let failed = scale_in::failed::releases(cluster, now);
+    let releasing: HashSet<MachineId> = failed
+        .iter()
+        .map(|release| release.machine.clone())
+        .collect();
     let trend = ArrivalTrend::of(cluster, now);
     let mut planner = ScaleOutPlanner::new(fleet_view, &releasing);
     place_demand(fleet_view, &mut planner);
     planner.reserve_spare_capacity(&trend, fleet_view.idle_policy);
-    let (rentals, mut kept) = planner.into_plan();
-    kept.extend(releasing);
-    let idle = scale_in::idle::machines(fleet_view, &trend, &kept);
+    let (rentals, mut kept_machines) = planner.into_plan();
+    kept_machines.extend(releasing);
+    let idle = scale_in::idle::releases(fleet_view, &trend, &kept_machines);
     let mut by_reason: BTreeMap<ReleaseReason, Vec<MachineId>> = BTreeMap::new();
     for Release { machine, reason } in failed.into_iter().chain(idle) {
         by_reason.entry(reason).or_default().push(machine);
@@ -107,24 +113,24 @@
     actions
 }
 
-/// Places the unmet demand on capacity that is free or will be. Urgent jobs do not wait for
-/// running tasks to complete.
+/// Places the unmet demand on capacity that is free or will be, and on machines to rent. Urgent
+/// jobs do not wait for running tasks to complete.
 fn place_demand(fleet_view: &FleetView, planner: &mut ScaleOutPlanner) {
     let FleetView {
         policy,
         unmet_demand,
         ..
     } = *fleet_view;
-    let (urgent, patient): (Vec<&UnmetDemand>, Vec<&UnmetDemand>) =
+    let (urgent, non_urgent): (Vec<&UnmetDemand>, Vec<&UnmetDemand>) =
         unmet_demand.iter().partition(|demand| {
             let spec = &demand.spec;
-            policy.is_urgent(&spec.class, planner.quickest_boot(spec))
+            policy.is_urgent(&spec.class, planner.shortest_boot(spec))
         });
     for demand in urgent {
         planner.place(demand);
     }
     planner.include_releases();
-    for demand in patient {
+    for demand in non_urgent {
         planner.place(demand);
     }
     planner.exclude_releases();
--- a/src/fleet/partition.rs
+++ b/src/fleet/partition.rs
@@ -1,64 +1,64 @@
-//! Detection of network partitions: zones most of whose machines are unresponsive at once are more
-//! likely cut off than failed.
+//! Detection of network partitions: if most machines of a zone are unresponsive at once, a network
+//! partition is more likely than the failure of all of them.
 
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
 
 use crate::cluster::{Cluster, Machine};
 
-/// Part of the fleet that must be responsive before the rest is taken for failed: when hardly any
-/// machine is, the fault is more likely this controller's.
-const RESPONSIVE_PART: f64 = 0.5;
-/// Machines of a zone that must be unresponsive before the zone may count as partitioned.
+/// The part of the fleet that must be responsive before the others may be declared failed. If fewer
+/// machines are, the fault is more likely on the side of this controller.
+const RESPONSIVE_PART_MIN: f64 = 0.5;
+/// The least number of unresponsive machines with which a zone may count as partitioned.
 const PARTITIONED_MACHINES_MIN: usize = 3;
-/// Status probes without an answer after which a machine that others wait for is not waited for
-/// any longer than a heartbeat may take.
+/// Unanswered status probes after which an unreconciled machine, which blocks jobs, is given no
+/// more time for its first heartbeat than [`heartbeat_delay_max`].
 pub(super) const UNANSWERED_PROBES_MAX: u32 = 2;
-/// Times the heartbeat interval that a heartbeat may take: the interval and a quarter, finding the
-/// new leader, and some time on the way.
+/// The longest time until a heartbeat arrives, in heartbeat intervals: one and a quarter intervals
+/// to the next heartbeat, the time to find a new leader, and the transmission.
 const HEARTBEAT_DELAY_FACTOR: f64 = 2.0;
-/// The name under which a partition from most of all machines is remembered; no zone's, since
-/// those have no spaces.
+/// The key under which a partition from most of all machines is recorded. It can't be the name of a
+/// zone, since those contain no spaces.
 const ALL_ZONES: &str = "every zone";
 
-/// Whether commands to a machine have no effect: it sends no heartbeats, or they show nothing of
-/// the answers to them.
-pub(super) fn unresponsive(machine: &Machine, now: Instant, limit: Duration) -> bool {
-    let known_for_long = machine
+/// Whether commands have no effect on a machine: it has sent no heartbeat for longer than `limit`,
+/// or its heartbeats do not acknowledge the responses to them.
+pub(super) fn is_unresponsive(machine: &Machine, now: Instant, limit: Duration) -> bool {
+    let first_heartbeat_past_limit = machine
         .first_heartbeat
         .is_some_and(|first| now.saturating_duration_since(first) > limit);
     machine.silent(now, limit)
         || machine.reachability.overdue(now, limit)
-        || (known_for_long && !machine.fenced)
+        || (first_heartbeat_past_limit && !machine.fenced)
 }
 
-/// How long a heartbeat of a machine that sends them at all may take.
+/// Returns the longest time until the next heartbeat of a responsive machine arrives.
 pub(super) fn heartbeat_delay_max(cluster: &Cluster) -> Duration {
     let interval = cluster.timing.heartbeat_interval;
     interval.mul_f64(HEARTBEAT_DELAY_FACTOR)
 }
 
-/// Whether a zone counts as partitioned: that a machine there is unresponsive is no evidence that it
-/// failed, and what would be rented there could not be reached either.
-pub(super) fn partitioned(cluster: &Cluster, zone: &str, now: Instant) -> bool {
+/// Whether a zone counts as partitioned. Then a missing heartbeat is no evidence that a machine in
+/// it has failed, and machines rented in it would be unreachable too.
+pub(super) fn is_partitioned(cluster: &Cluster, zone: &str, now: Instant) -> bool {
     cluster.cut_lately(zone, now, heartbeat_delay_max(cluster))
 }
 
 /// Whether this controller counts as partitioned from most of all machines.
-pub(super) fn isolated(cluster: &Cluster, now: Instant) -> bool {
-    partitioned(cluster, ALL_ZONES, now)
+pub(super) fn is_isolated(cluster: &Cluster, now: Instant) -> bool {
+    is_partitioned(cluster, ALL_ZONES, now)
 }
 
-/// Detects which zones are partitioned, and whether this controller is isolated, and remembers it:
-/// when a partition is over, half of a zone's machines send heartbeats before the other half, which
-/// must not be declared failed until then.
+/// Detects which zones are partitioned and whether this controller is isolated, and records it with
+/// the time. When a partition ends, the machines of a zone resume their heartbeats one after
+/// another; the record keeps the later half from being declared failed meanwhile.
 pub fn detect_partitions(cluster: &mut Cluster, now: Instant) {
     let (mut machines, mut responsive) = (0, 0);
     for (_, unresponsive) in known_machines(cluster, now) {
         machines += 1;
         responsive += usize::from(!unresponsive);
     }
-    let isolated = machines == 0 || (responsive as f64) < machines as f64 * RESPONSIVE_PART;
+    let isolated = machines == 0 || (responsive as f64) < machines as f64 * RESPONSIVE_PART_MIN;
     let zones = unresponsive_zones(known_machines(cluster, now));
     let mut partitions: Vec<String> = zones.into_iter().map(str::to_owned).collect();
     if isolated {
@@ -69,45 +69,47 @@
     }
 }
 
-/// Machines that should send heartbeats, and whether they are unresponsive.
+/// Returns the machines that should be sending heartbeats, and whether each is unresponsive.
 fn known_machines(cluster: &Cluster, now: Instant) -> impl Iterator<Item = (&Machine, bool)> {
     let timing = &cluster.timing;
-    let leader_for = now.saturating_duration_since(cluster.since);
-    // Machines that others wait for are judged before they may be declared failed: else a new leader
-    // would give up a partitioned zone machine by machine before it detects the partition.
+    let leading_for = now.saturating_duration_since(cluster.since);
+    // An unreconciled machine counts as unresponsive before it may be declared failed. Otherwise a
+    // new leader would release a partitioned zone machine by machine before it detects the
+    // partition.
     let delay_max = heartbeat_delay_max(cluster);
-    let never_heard = move |machine: &Machine| {
-        let unanswered =
-            machine.unanswered_commands >= UNANSWERED_PROBES_MAX && leader_for > delay_max / 2;
-        unanswered || leader_for > delay_max.min(timing.suspect_after)
+    let first_heartbeat_overdue = move |machine: &Machine| {
+        let probes_unanswered =
+            machine.unanswered_commands >= UNANSWERED_PROBES_MAX && leading_for > delay_max / 2;
+        probes_unanswered || leading_for > delay_max.min(timing.suspect_after)
     };
     let known = cluster.machines.values().filter(|machine| {
         machine.last_heartbeat.is_some() || cluster.unreconciled.contains(&machine.id)
     });
     known.map(move |machine| {
-        let unresponsive = unresponsive(machine, now, timing.suspect_after)
-            || (machine.last_heartbeat.is_none() && never_heard(machine));
+        let unresponsive = is_unresponsive(machine, now, timing.suspect_after)
+            || (machine.last_heartbeat.is_none() && first_heartbeat_overdue(machine));
         (machine, unresponsive)
     })
 }
 
-/// Zones most of whose machines are unresponsive.
+/// Returns the zones most of whose machines are unresponsive.
 fn unresponsive_zones<'a>(machines: impl Iterator<Item = (&'a Machine, bool)>) -> HashSet<&'a str> {
     #[derive(Default)]
     struct Count {
-        all: usize,
+        machines: usize,
         unresponsive: usize,
     }
     let mut zones: HashMap<&str, Count> = HashMap::new();
-    // A machine known by its inventory record only has no zone that could be partitioned. It is most
-    // likely gone, and must not be kept for others like it: it blocks jobs that may run on it.
+    // The zone of a machine that is known from its inventory record only is unknown. Most likely it
+    // has been terminated, and it blocks jobs that may run on it, so that an unknown zone never
+    // counts as partitioned.
     for (machine, unresponsive) in machines.filter(|(machine, _)| !machine.zone.is_empty()) {
         let count = zones.entry(machine.zone.as_str()).or_default();
-        count.all += 1;
+        count.machines += 1;
         count.unresponsive += usize::from(unresponsive);
     }
     let partitioned = zones.into_iter().filter(|(_, count)| {
-        count.unresponsive >= PARTITIONED_MACHINES_MIN && count.unresponsive * 2 > count.all
+        count.unresponsive >= PARTITIONED_MACHINES_MIN && count.unresponsive * 2 > count.machines
     });
     partitioned.map(|(zone, _)| zone).collect()
 }
--- a/src/fleet/scale_in/failed.rs
+++ b/src/fleet/scale_in/failed.rs
@@ -1,34 +1,39 @@
-//! Machines that are released whatever the demand: failed, unfit, or with a hopeless boot.
+//! Machines that are released whatever the demand: failed or unfit ones, and those whose boot takes
+//! too long.
 
 use std::time::{Duration, Instant};
 
 use crate::cluster::{find_machine_type, Cluster, DrainReason, Listed, Machine, Persistence};
 use crate::fleet::partition::{
-    heartbeat_delay_max, isolated, partitioned, unresponsive, UNANSWERED_PROBES_MAX,
+    heartbeat_delay_max, is_isolated, is_partitioned, is_unresponsive, UNANSWERED_PROBES_MAX,
 };
 use crate::fleet::{Release, ReleaseReason};
 
-/// Worker leases for which machines of a partitioned zone are kept. Their work is lost with the
-/// first; but to boot and to pull images anew takes as long as most partitions last, and where all
-/// machines of a type are rented, nothing replaces them meanwhile.
-const PARTITION_LEASES: u32 = 4;
-/// A boot of this many times its nominal time is given up.
-const HOPELESS_BOOT_FACTOR: f64 = 4.0;
-/// A machine listed as running for that long without a heartbeat is given up.
+/// How long machines of a partitioned zone are kept, in worker leases. Their tasks are lost when
+/// the first lease expires. But booting replacements and pulling images again takes as long as most
+/// partitions last, and there are no replacements if all machines of a type are rented already.
+const PARTITION_TIMEOUT_LEASES: u32 = 4;
+/// A machine is released when its boot takes longer than its nominal boot time times this.
+const BOOT_TIMEOUT_FACTOR: f64 = 4.0;
+/// A machine is released when the cloud has listed it as running for this long without a heartbeat.
 const FIRST_HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Machines that are released whatever the demand.
-pub(in crate::fleet) fn machines(cluster: &Cluster, now: Instant) -> Vec<Release> {
-    let isolated = isolated(cluster, now);
-    let machines = cluster.machines.values().filter(|m| !m.releasing);
+/// Returns the machines to release whatever the demand, without those already being released.
+pub(in crate::fleet) fn releases(cluster: &Cluster, now: Instant) -> Vec<Release> {
+    let isolated = is_isolated(cluster, now);
+    let machines = cluster
+        .machines
+        .values()
+        .filter(|machine| !machine.releasing);
     let releases = machines.filter_map(|machine| {
         let assessment = Assessment {
             cluster,
             machine,
             now,
-            trusted: !isolated && !partitioned(cluster, &machine.zone, now),
+            missing_heartbeats_are_evidence: !isolated
+                && !is_partitioned(cluster, &machine.zone, now),
         };
-        assessment.reason().map(|reason| Release {
+        assessment.release_reason().map(|reason| Release {
             machine: machine.id.clone(),
             reason,
         })
@@ -36,92 +41,95 @@
     releases.collect()
 }
 
-/// The assessment of one machine.
 struct Assessment<'a> {
     cluster: &'a Cluster,
     machine: &'a Machine,
     now: Instant,
-    /// Whether missing heartbeats are evidence of a failure. In a partitioned zone work goes on for a
-    /// lease, and machines need not boot again.
-    trusted: bool,
+    /// Whether missing heartbeats are evidence of a failure. They are not in a partitioned zone,
+    /// where tasks run until their lease expires and machines need not boot again afterwards, and
+    /// not if this controller is isolated.
+    missing_heartbeats_are_evidence: bool,
 }
 
 impl Assessment<'_> {
-    fn reason(&self) -> Option<ReleaseReason> {
+    fn release_reason(&self) -> Option<ReleaseReason> {
         let machine = self.machine;
         if machine.listed == Listed::Failed {
             Some(ReleaseReason::Failed)
         } else if machine.last_heartbeat.is_some() {
-            self.after_heartbeats()
+            self.reason_after_heartbeats()
         } else if self.up_in_earlier_term() {
-            self.unreconciled()
+            self.reason_if_not_reconciled()
         } else if machine.listed == Listed::Running {
             let running_for = self.now.saturating_duration_since(machine.listed_since);
             let timed_out = running_for > FIRST_HEARTBEAT_TIMEOUT
-                && self.leader_for() > FIRST_HEARTBEAT_TIMEOUT;
-            timed_out.then_some(ReleaseReason::NeverReported)
+                && self.leading_for() > FIRST_HEARTBEAT_TIMEOUT;
+            timed_out.then_some(ReleaseReason::NoFirstHeartbeat)
         } else {
-            self.booting()
+            self.reason_while_booting()
         }
     }
 
-    fn leader_for(&self) -> Duration {
+    fn leading_for(&self) -> Duration {
         self.now.saturating_duration_since(self.cluster.since)
     }
 
-    /// How long heartbeats may be missing before the machine is declared failed.
+    /// Returns how long heartbeats may be missing before the machine is declared failed.
     fn failure_timeout(&self) -> Duration {
         let timing = &self.cluster.timing;
-        if self.trusted {
+        if self.missing_heartbeats_are_evidence {
             timing.failed_after
         } else {
-            timing.failed_after.max(timing.lease * PARTITION_LEASES)
+            timing
+                .failed_after
+                .max(timing.lease * PARTITION_TIMEOUT_LEASES)
         }
     }
 
-    /// Whether it was up in an earlier term, whether others wait for it or not.
+    /// Whether the machine was up in an earlier term. Unlike an unreconciled machine, one that has
+    /// only an inventory record need not block any jobs.
     fn up_in_earlier_term(&self) -> bool {
         self.cluster.unreconciled.contains(&self.machine.id)
             || self.machine.inventory_record == Persistence::Written
     }
 
-    /// Of a machine that has sent heartbeats in this term.
-    fn after_heartbeats(&self) -> Option<ReleaseReason> {
+    /// Returns the reason to release a machine that has sent heartbeats in this term.
+    fn reason_after_heartbeats(&self) -> Option<ReleaseReason> {
         let machine = self.machine;
         let timeout = self.failure_timeout();
-        let drained = machine.drain.is_some() && !machine.busy();
-        let by_operator = machine.drain == Some(DrainReason::Operator);
+        let drained_and_free = machine.drain.is_some() && !machine.busy();
+        let drained_by_operator = machine.drain == Some(DrainReason::Operator);
         if machine.silent(self.now, timeout) {
             Some(ReleaseReason::Unresponsive)
-        } else if unresponsive(machine, self.now, timeout) {
+        } else if is_unresponsive(machine, self.now, timeout) {
             Some(ReleaseReason::Unreachable)
-        } else if drained && !by_operator {
+        } else if drained_and_free && !drained_by_operator {
             Some(ReleaseReason::Unfit)
         } else {
             None
         }
     }
 
-    /// Of a machine that may hold tasks of an earlier term and has sent no heartbeat in this one.
-    /// Unanswered status probes and a heartbeat that should have come are enough, where missing
-    /// heartbeats are evidence.
-    fn unreconciled(&self) -> Option<ReleaseReason> {
+    /// Returns the reason to release a machine that was up in an earlier term and has sent no
+    /// heartbeat in this one. Where missing heartbeats are evidence of a failure, the time of one
+    /// heartbeat is enough if status probes were unanswered or the machine's zone is unknown.
+    fn reason_if_not_reconciled(&self) -> Option<ReleaseReason> {
         let machine = self.machine;
-        let unanswered =
+        let likely_terminated =
             machine.unanswered_commands >= UNANSWERED_PROBES_MAX || machine.zone.is_empty();
-        let timeout = if self.trusted && unanswered {
+        let timeout = if self.missing_heartbeats_are_evidence && likely_terminated {
             heartbeat_delay_max(self.cluster)
         } else {
             self.failure_timeout()
         };
-        (self.leader_for() > timeout).then_some(ReleaseReason::NotReconciled)
+        (self.leading_for() > timeout).then_some(ReleaseReason::NotReconciled)
     }
 
-    fn booting(&self) -> Option<ReleaseReason> {
+    fn reason_while_booting(&self) -> Option<ReleaseReason> {
         let machine = self.machine;
         let age = self.now.saturating_duration_since(machine.rented_at);
         let machine_type = find_machine_type(self.cluster.catalog(), &machine.machine_type)?;
-        let hopeless = age > machine_type.boot.mul_f64(HOPELESS_BOOT_FACTOR);
-        hopeless.then_some(ReleaseReason::HopelessBoot)
+        let timed_out = age > machine_type.boot.mul_f64(BOOT_TIMEOUT_FACTOR);
+        timed_out.then_some(ReleaseReason::BootTimeout)
     }
 }
--- a/src/fleet/scale_in/idle.rs
+++ b/src/fleet/scale_in/idle.rs
@@ -1,23 +1,25 @@
-//! Idle machines that cost more to keep than a new rental likely would.
+//! Idle machines that likely cost more to keep than a new rental.
 
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
 
 use crate::cluster::{find_machine_type, Cluster, Machine, PoolId, ARRIVALS_KEPT};
 use crate::fleet::demand::ArrivalTrend;
-use crate::fleet::partition::partitioned;
+use crate::fleet::partition::is_partitioned;
 use crate::fleet::{CapacityBackoff, FleetView, Release, ReleaseReason};
 use crate::model::{MachineId, MachinePool, MachineType};
 use crate::policy::SchedulingPolicy;
 
-/// How much shorter a machine is kept idle that serves only classes which can wait for a boot.
-const PATIENT_KEEP_FACTOR: f64 = 0.6;
-/// How much longer a machine is kept idle that serves an urgent class: it has the images, and no job
-/// waits for a boot.
+/// Factor on the idle time of a machine that no urgent class can use: the classes that can use it
+/// can wait for a boot.
+const NON_URGENT_KEEP_FACTOR: f64 = 0.6;
+/// Factor on the idle time of a machine that an urgent class can use: it has pulled the images, and
+/// jobs start on it without waiting for a boot.
 const URGENT_KEEP_FACTOR: f64 = 3.0;
 
-/// Idle machines that cost more to keep than a new rental likely would, without those to be kept.
-pub(in crate::fleet) fn machines(
+/// Returns the idle machines that likely cost more to keep than a new rental, without those in
+/// `kept`.
+pub(in crate::fleet) fn releases(
     fleet_view: &FleetView,
     trend: &ArrivalTrend,
     kept: &HashSet<MachineId>,
@@ -36,8 +38,8 @@
             continue;
         }
         let reason = match find_machine_type(cluster.catalog(), &machine.machine_type) {
-            // A type the catalog does not have is of no use to any job.
-            None => ReleaseReason::UnknownType,
+            // No job can use a machine whose type the catalog does not contain.
+            None => ReleaseReason::UnknownMachineType,
             Some(machine_type) => {
                 let idle_for = now.saturating_duration_since(machine.idle_since);
                 let keep_for = keep_for(fleet_view, trend, &urgent_pools, machine, machine_type);
@@ -56,15 +58,16 @@
 }
 
 fn is_idle(cluster: &Cluster, machine: &Machine, now: Instant) -> bool {
-    let idle =
+    let usable_and_free =
         machine.last_heartbeat.is_some() && machine.fenced && !machine.releasing && !machine.busy();
-    // A machine behind a partition lost its work with its lease, not for want of demand.
-    let silent = || machine.silent(now, cluster.timing.suspect_after);
-    idle && !(silent() && partitioned(cluster, &machine.zone, now))
+    // A machine in a partitioned zone lost its tasks because its lease expired, not because demand
+    // fell.
+    let unresponsive = || machine.silent(now, cluster.timing.suspect_after);
+    usable_and_free && !(unresponsive() && is_partitioned(cluster, &machine.zone, now))
 }
 
-/// How long an idle machine is kept: longer where a new one would cost more or take longer, and
-/// where more jobs that can use it are likely to arrive.
+/// Returns how long an idle machine is kept: longer if a new one would cost more or take longer to
+/// be usable, and if more jobs that can use it are likely to arrive.
 fn keep_for(
     fleet_view: &FleetView,
     trend: &ArrivalTrend,
@@ -78,71 +81,74 @@
         now,
         ..
     } = *fleet_view;
-    // What a new leader has not seen arrive may arrive yet.
-    let young = now.saturating_duration_since(cluster.since) < ARRIVALS_KEPT;
-    let replacement = replacement_price(machine_type, machine, capacity_backoff, now);
-    let price_part = (replacement / machine_type.price_of(machine.spot)).clamp(0.0, 1.0);
-    let urgent = machine
+    // A recently elected leader has recorded too few arrivals to rule out classes without any.
+    let recently_elected = now.saturating_duration_since(cluster.since) < ARRIVALS_KEPT;
+    let replacement_price = likely_replacement_price(machine_type, machine, capacity_backoff, now);
+    let price_ratio = (replacement_price / machine_type.price_of(machine.spot)).clamp(0.0, 1.0);
+    let is_urgent = machine
         .pool
         .is_some_and(|pool| urgent_pools.contains(&pool));
-    let urgency = if urgent {
+    let urgency_factor = if is_urgent {
         URGENT_KEEP_FACTOR
     } else {
-        PATIENT_KEEP_FACTOR
+        NON_URGENT_KEEP_FACTOR
     };
     let pool = machine.pool.and_then(|pool| cluster.pools.get(pool));
-    let likelihood = pool.map_or(0.0, |pool| trend.of_pool(pool, machine_type, young));
+    let likelihood = pool.map_or(0.0, |pool| {
+        trend.pool_likelihood(pool, machine_type, recently_elected)
+    });
     replacement_time(machine, machine_type)
-        .mul_f64(price_part)
-        .mul_f64(urgency)
+        .mul_f64(price_ratio)
+        .mul_f64(urgency_factor)
         .mul_f64(likelihood)
 }
 
-/// Pools that urgent classes could lately use.
+/// Returns the pools that urgent classes with recent arrivals can use.
 fn urgent_pools(cluster: &Cluster, policy: &SchedulingPolicy) -> HashSet<PoolId> {
     let mut pools = HashSet::new();
     for (id, pool) in cluster.pools.iter() {
         let Some(machine_type) = find_machine_type(cluster.catalog(), &pool.machine_type) else {
             continue;
         };
-        let urgent = cluster.arrivals.iter().any(|(_, spec)| {
+        let is_urgent = cluster.arrivals.iter().any(|(_, spec)| {
             policy.is_urgent(&spec.class, machine_type.boot)
                 && spec.allows(&pool.machine_type, &pool.zone, pool.spot)
                 && spec.task_resources.fits(&machine_type.capacity)
         });
-        if urgent {
+        if is_urgent {
             pools.insert(id);
         }
     }
     pools
 }
 
-/// The price at which such a machine could likely be rented again. An on-demand machine is not
-/// worth keeping as long where a spot machine would replace it.
-fn replacement_price(
+/// Returns the price at which a machine of this type could likely be rented again: the spot price
+/// if spot capacity is likely available, so that a replaceable on-demand machine is not kept as
+/// long.
+fn likely_replacement_price(
     machine_type: &MachineType,
     machine: &Machine,
     capacity_backoff: &CapacityBackoff,
     now: Instant,
 ) -> f64 {
-    let own = machine_type.price_of(machine.spot);
+    let current_price = machine_type.price_of(machine.spot);
     let mut spot_pools = machine_type.zones.iter().map(|zone| MachinePool {
         machine_type: machine_type.name.clone(),
         zone: zone.clone(),
         spot: true,
     });
-    if spot_pools.any(|pool| capacity_backoff.likely_available(&pool, now)) {
-        own.min(machine_type.spot_price)
+    if spot_pools.any(|pool| capacity_backoff.is_likely_available(&pool, now)) {
+        current_price.min(machine_type.spot_price)
     } else {
-        own
+        current_price
     }
 }
 
-/// How long a machine is worth keeping idle: the time a new one needs to boot and to pull the
-/// images that this one has. A policy that waits at most that long never pays more than twice what
-/// knowing the future would have cost.
+/// Returns the time that a new machine needs to boot and to pull the images that this one has. A
+/// policy that keeps an idle machine for at most that long never costs more than twice the optimum
+/// with known future demand.
 fn replacement_time(machine: &Machine, machine_type: &MachineType) -> Duration {
-    let images_gb: f64 = machine.images.iter().map(|(_, gb)| gb).sum();
+    let images_gb: f64 = machine.images.iter().map(|(_, size_gb)| size_gb).sum();
     let pull_s = images_gb / machine_type.fetch_rate.max(f64::MIN_POSITIVE);
     machine_type.boot + crate::time::secs(pull_s)
 }
--- a/src/fleet/scale_in/mod.rs
+++ b/src/fleet/scale_in/mod.rs
@@ -1,4 +1,4 @@
-//! Scale in: machines to be released because they failed, or because they are idle.
+//! Scale-in: selects the machines to release because they failed, or because they are idle.
 
 pub(super) mod failed;
 pub(super) mod idle;
--- a/src/fleet/scale_out/options.rs
+++ b/src/fleet/scale_out/options.rs
@@ -1,7 +1,7 @@
-//! Rental options: all pools of the catalog, and what a job can use of them.
+//! Rental options: all pools of the catalog, and those that a job can use.
 
 use crate::capacity::price_cap::exceeds_price_cap;
-use crate::fleet::partition::partitioned;
+use crate::fleet::partition::is_partitioned;
 use crate::fleet::FleetView;
 use crate::model::{JobSpec, MachinePool, MachineType};
 
@@ -9,28 +9,29 @@
 pub(super) struct RentalOption<'a> {
     pub(super) pool: MachinePool,
     pub(super) machine_type: &'a MachineType,
-    /// Whether it may get a request now.
+    /// Whether the pool may get a rental request now.
     pub(super) requestable: bool,
 }
 
 /// A rental option that a job can use.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct UsableOption {
-    /// The index of the option.
+    /// The index into the rental options.
     pub(super) option: usize,
-    /// Tasks of the job that fit one machine.
+    /// The number of the job's tasks that fit one machine; at least 1.
     pub(super) tasks_per_machine: u32,
 }
 
-/// A usable option with its price.
+/// A usable option with the price of its machines for the job.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PricedOption {
     pub(super) usable: UsableOption,
-    /// Price an hour for one task.
+    /// The price per hour of the part of a machine that one task takes.
     pub(super) price: f64,
 }
 
-/// All that the cloud offers.
+/// Returns all pools that the catalog offers: every combination of machine type, zone, and spot or
+/// on-demand. A pool in backoff or in a partitioned zone gets no request.
 pub(super) fn rental_options<'a>(fleet_view: &FleetView<'a>) -> Vec<RentalOption<'a>> {
     let FleetView {
         cluster,
@@ -48,7 +49,7 @@
                     spot,
                 };
                 let requestable =
-                    capacity_backoff.may_request(&pool, now) && !partitioned(cluster, zone, now);
+                    capacity_backoff.may_request(&pool, now) && !is_partitioned(cluster, zone, now);
                 options.push(RentalOption {
                     pool,
                     machine_type,
@@ -60,8 +61,8 @@
     options
 }
 
-/// Options that a job can use.
-pub(super) fn usable(
+/// Returns the options that a job can use in `zone`, or in any zone, within its price cap.
+pub(super) fn usable_options(
     options: &[RentalOption],
     catalog: &[MachineType],
     spec: &JobSpec,
@@ -82,20 +83,23 @@
                     && !exceeds_price_cap(spec, machine_type, catalog)
             },
         )
-        .map(|(at, option)| UsableOption {
-            option: at,
+        .map(|(index, option)| UsableOption {
+            option: index,
             tasks_per_machine: spec.task_resources.count_in(&option.machine_type.capacity),
         })
         .filter(|usable| usable.tasks_per_machine > 0)
         .collect()
 }
 
-/// Those of the usable options that may get a request now, cheapest for a task first.
-pub(super) fn cheapest(options: &[RentalOption], usable: &[UsableOption]) -> Vec<PricedOption> {
+/// Returns the usable options that may be requested now, the lowest price for a task first.
+pub(super) fn cheapest_first(
+    options: &[RentalOption],
+    usable: &[UsableOption],
+) -> Vec<PricedOption> {
     let requestable = usable
         .iter()
         .filter(|usable| options[usable.option].requestable);
-    let mut cheapest: Vec<PricedOption> = requestable
+    let mut priced: Vec<PricedOption> = requestable
         .map(|usable| {
             let RentalOption {
                 pool, machine_type, ..
@@ -106,6 +110,6 @@
             }
         })
         .collect();
-    cheapest.sort_by(|a, b| a.price.total_cmp(&b.price));
-    cheapest
+    priced.sort_by(|a, b| a.price.total_cmp(&b.price));
+    priced
 }
--- a/src/fleet/scale_out/spare.rs
+++ b/src/fleet/scale_out/spare.rs
@@ -1,4 +1,4 @@
-//! Spare capacity for jobs that have to start sooner than a machine boots.
+//! Spare capacity for jobs that have to start before a rented machine would have booted.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -8,21 +8,23 @@
 use crate::fleet::IdlePolicy;
 use crate::model::JobSpec;
 
-/// Standard deviations above the mean of what may arrive while a machine boots.
+/// Spare capacity covers the mean of what arrives while a machine boots, plus this many standard
+/// deviations.
 const SPARE_DEVIATIONS: f64 = 3.0;
-/// Shortest time over which arrivals are averaged, so that the first ones don't count for a
-/// flood.
-const ARRIVAL_WINDOW: Duration = Duration::from_secs(90);
+/// The shortest time over which arrivals are averaged, so that the first arrivals under a new
+/// leader don't appear as a high rate. The longest is twice that.
+const ARRIVAL_WINDOW_MIN: Duration = Duration::from_secs(90);
 
-/// Tasks of an urgent class that arrived lately.
+/// Recent arrivals of an urgent class.
 struct RecentArrivals<'a> {
+    /// Tasks of all jobs that arrived within the window.
     tasks: f64,
     spec: &'a JobSpec,
 }
 
 impl<'a> ScaleOutPlanner<'a> {
-    /// Keeps, and rents, capacity for what may arrive while a machine would boot, for classes whose
-    /// jobs have to start sooner than that.
+    /// Reserves capacity, and rents machines, for what may arrive while a machine boots, for
+    /// classes whose jobs have to start sooner than that.
     pub(in crate::fleet) fn reserve_spare_capacity(
         &mut self,
         trend: &ArrivalTrend,
@@ -31,17 +33,20 @@
         let window = self
             .now
             .saturating_duration_since(self.cluster.since)
-            .clamp(ARRIVAL_WINDOW, ARRIVAL_WINDOW * 2);
+            .clamp(ARRIVAL_WINDOW_MIN, ARRIVAL_WINDOW_MIN * 2);
         for (_, RecentArrivals { tasks, spec }) in self.urgent_arrivals(window) {
-            let usable = self.usable(spec, None);
-            let cheapest = self.cheapest(&usable);
-            let Some(first) = cheapest.first() else {
+            let usable = self.usable_options(spec, None);
+            let cheapest = self.cheapest_first(&usable);
+            let Some(cheapest_option) = cheapest.first() else {
                 continue;
             };
-            let boot = self.options[first.usable.option].machine_type.boot;
-            let expected = tasks / window.as_secs_f64() * boot.as_secs_f64();
-            let spare = (expected + SPARE_DEVIATIONS * expected.sqrt()) * idle_policy.spare_factor;
-            let spare = spare * trend.of_class(spec);
+            let boot = self.options[cheapest_option.usable.option]
+                .machine_type
+                .boot;
+            let expected_tasks = tasks / window.as_secs_f64() * boot.as_secs_f64();
+            let spare_tasks = (expected_tasks + SPARE_DEVIATIONS * expected_tasks.sqrt())
+                * idle_policy.spare_factor;
+            let spare_tasks = spare_tasks * trend.class_likelihood(spec);
             let mut unconstrained = spec.clone();
             unconstrained.single_zone = false;
             unconstrained.zone_spread = false;
@@ -51,18 +56,18 @@
                 wait_s: 0.0,
                 per_zone: HashMap::new(),
             };
-            self.pack(&unconstrained, spare.round() as u32, &mut limits);
+            self.pack(&unconstrained, spare_tasks.round() as u32, &mut limits);
         }
     }
 
-    /// Arrivals of urgent classes within the window.
+    /// Returns the arrivals of urgent classes within the last `window`, by class.
     fn urgent_arrivals(&self, window: Duration) -> BTreeMap<&'a str, RecentArrivals<'a>> {
         let cluster = self.cluster;
         let mut classes: BTreeMap<&str, RecentArrivals> = BTreeMap::new();
         for (at, spec) in &cluster.arrivals {
-            let recent = self.now.saturating_duration_since(*at) <= window;
-            let boot = self.quickest_boot(spec);
-            if recent && self.policy.is_urgent(&spec.class, boot) {
+            let is_recent = self.now.saturating_duration_since(*at) <= window;
+            let boot = self.shortest_boot(spec);
+            if is_recent && self.policy.is_urgent(&spec.class, boot) {
                 let arrivals = classes
                     .entry(&spec.class)
                     .or_insert(RecentArrivals { tasks: 0.0, spec });
--- a/src/sched/allocate.rs
+++ b/src/sched/allocate.rs
@@ -1,61 +1,71 @@
-//! Tentative allocation: filtering and scoring of machines for the tasks of one job.
+//! Tentative allocation: filters and scores machines for the tasks of one job.
 
 use std::cmp::Ordering;
 use std::collections::{BinaryHeap, HashMap, HashSet};
 
-use super::order::past_start_deadline;
-use super::{zones_of, View};
+use super::order::near_start_deadline;
+use super::{placements_by_zone, SchedulingView};
 use crate::capacity::releases::{ExpectedReleases, ImageReleaseRequest};
 use crate::capacity::{CapacityIndex, IndexedPool, MachineCapacity};
 use crate::cluster::{ImageId, InstancePhase, Job, PoolId};
 use crate::model::{JobSpec, MachineId, Resources};
 
-/// Score of the part of a machine that stays unused, in seconds of pulling an image.
-const FRAGMENTATION_S: f64 = 6.0;
-/// Factor of the rest of another image's pull: it delays ours, and ours delays it.
+/// Penalty for a machine all of whose capacity would stay unused, in seconds of pulling an image. A
+/// part that stays unused counts in proportion.
+const FRAGMENTATION_PENALTY_S: f64 = 6.0;
+/// Factor on the remaining time of a concurrent pull of another image. Each of the two pulls delays
+/// the other.
 const CONCURRENT_PULL_FACTOR: f64 = 1.5;
-/// Score of capacity that a class of higher priority could use and may have to preempt.
-const CONTENTION_S: f64 = 15.0;
-/// Score of an on-demand machine where a spot machine would do.
-const ON_DEMAND_S: f64 = 2.0;
-/// A pull shorter than this is never avoided by waiting for a machine that has the image.
-const LONG_PULL_S: f64 = 10.0;
+/// Penalty for capacity that a class of higher priority could use, and would have to preempt later.
+const CONTENTION_PENALTY_S: f64 = 15.0;
+/// Penalty for an on-demand machine, so that a spot machine is preferred.
+const ON_DEMAND_PENALTY_S: f64 = 2.0;
+/// A task waits for a machine that already has its image only if the pull would take longer than
+/// this.
+const DEFERRABLE_PULL_MIN_S: f64 = 10.0;
 
-/// Machines for tasks of one job. Nothing is taken from their capacity until it is reserved.
+/// Machines chosen for tasks of one job. Their capacity stays free until [`Allocation::reserve`].
 #[derive(Debug, Default)]
 pub struct Allocation {
-    /// Tasks with their machines, as indices into [`CapacityIndex::machines`].
+    /// Indices of tasks within the job, with the indices of their machines in
+    /// [`CapacityIndex::machines`].
     pub members: Vec<(u32, usize)>,
-    /// The zone to which the rest of the tasks is bound.
+    /// The zone to which existing placements bind a single-zone job; absent if there are none.
     pub zone: Option<String>,
-    /// Tasks that start sooner on an expected release.
-    pub deferred: u32,
+    /// The number of tasks left unplaced because an expected release lets them start sooner.
+    pub deferred_tasks: u32,
     score: f64,
 }
 
 impl Allocation {
-    /// Takes the capacity, for this cycle.
+    /// Subtracts the resources `need` of each task from the free capacity of its machine, for the
+    /// rest of the cycle.
     pub fn reserve(&self, capacity: &mut CapacityIndex, need: &Resources) {
-        for (_, at) in &self.members {
-            capacity.machines[*at].free.sub(need);
+        for (_, machine_index) in &self.members {
+            capacity.machines[*machine_index].free.sub(need);
         }
     }
 
-    /// Tasks with their machines.
-    pub fn machines(&self, capacity: &CapacityIndex) -> Vec<(u32, MachineId)> {
+    /// Returns the allocated tasks with the ids of their machines.
+    pub fn assignments(&self, capacity: &CapacityIndex) -> Vec<(u32, MachineId)> {
         let members = self.members.iter();
         members
-            .map(|(index, at)| (*index, capacity.machines[*at].machine.id.clone()))
+            .map(|(task_index, machine_index)| {
+                (
+                    *task_index,
+                    capacity.machines[*machine_index].machine.id.clone(),
+                )
+            })
             .collect()
     }
 }
 
-/// A class with an objective on its start, by the latest of its jobs.
+/// A job class with a start objective, represented by the spec of its latest job.
 #[derive(Debug)]
 pub struct LatencySensitiveClass<'a>(&'a JobSpec);
 
-/// The classes with an objective on their start of which jobs arrived lately.
-pub fn latency_sensitive_classes<'a>(view: View<'a>) -> Vec<LatencySensitiveClass<'a>> {
+/// Returns the classes with a start objective of which jobs have arrived recently.
+pub fn latency_sensitive_classes<'a>(view: SchedulingView<'a>) -> Vec<LatencySensitiveClass<'a>> {
     let mut seen: HashSet<&str> = HashSet::new();
     let arrivals = view.cluster.arrivals.iter().rev();
     arrivals
@@ -66,9 +76,9 @@
         .collect()
 }
 
-/// What scoring needs of a job, looked up once for all machines.
+/// The inputs of scoring that are the same for all machines.
 struct PlacementRequest<'a> {
-    view: View<'a>,
+    view: SchedulingView<'a>,
     spec: &'a JobSpec,
     image: ImageId,
     latency_sensitive: &'a [LatencySensitiveClass<'a>],
@@ -76,7 +86,7 @@
 
 impl<'a> PlacementRequest<'a> {
     fn of(
-        view: View<'a>,
+        view: SchedulingView<'a>,
         latency_sensitive: &'a [LatencySensitiveClass<'a>],
         job: &'a Job,
     ) -> Self {
@@ -88,16 +98,17 @@
         }
     }
 
-    /// Seconds until the image would be on the machine.
+    /// Returns the seconds until the job's image would be on the machine, which pulls `rate` GB per
+    /// second.
     fn pull_s(&self, candidate: &MachineCapacity, rate: f64) -> f64 {
         let machine = candidate.machine;
         if machine.has_image(self.image) {
             return 0.0;
         }
         let rate = rate.max(f64::MIN_POSITIVE);
-        let mut own = self.spec.image_gb / rate;
-        // Images pulled at the same time share the bandwidth: each of them delays the others.
-        let mut others: Vec<(ImageId, f64)> = Vec::new();
+        let mut own_s = self.spec.image_gb / rate;
+        // Images that are pulled concurrently share the bandwidth: each pull delays the others.
+        let mut other_pulls: Vec<(ImageId, f64)> = Vec::new();
         for instance in machine.instances.values() {
             let pulling = matches!(
                 instance.phase,
@@ -117,20 +128,25 @@
                 .view
                 .now
                 .saturating_duration_since(instance.known_since);
-            let left = (other.image_gb / rate - elapsed.as_secs_f64()).max(0.0);
+            let remaining_s = (other.image_gb / rate - elapsed.as_secs_f64()).max(0.0);
             if image == self.image {
-                own = own.min(left);
+                own_s = own_s.min(remaining_s);
             } else if !machine.has_image(image) {
-                match others.iter_mut().find(|(known, _)| *known == image) {
-                    Some((_, known)) => *known = known.min(left),
-                    None => others.push((image, left)),
+                match other_pulls.iter_mut().find(|(known, _)| *known == image) {
+                    Some((_, known_s)) => *known_s = known_s.min(remaining_s),
+                    None => other_pulls.push((image, remaining_s)),
                 }
             }
         }
-        own + others.iter().map(|(_, left)| left).sum::<f64>() * CONCURRENT_PULL_FACTOR
+        own_s
+            + other_pulls
+                .iter()
+                .map(|(_, remaining_s)| remaining_s)
+                .sum::<f64>()
+                * CONCURRENT_PULL_FACTOR
     }
 
-    /// The score of a machine with this much free capacity.
+    /// Scores a machine as if its free capacity were `free`.
     fn score(
         &self,
         capacity: &CapacityIndex,
@@ -144,32 +160,37 @@
                 pull_s: 0.0,
             };
         };
-        let left = |free: f64, need: f64, whole: f64| {
-            if whole > 0.0 {
-                (free - need) / whole
+        let unused_share = |free: f64, need: f64, total: f64| {
+            if total > 0.0 {
+                (free - need) / total
             } else {
                 0.0
             }
         };
         let need = &self.spec.task_resources;
-        // The part that stays unused, of the resource that the machine is rented for.
+        // The unused part is measured on the resource that the machine type is rented for.
         let fragmentation = if machine_type.capacity.gpus > 0.0 {
-            left(free.gpus, need.gpus, machine_type.capacity.gpus)
+            unused_share(free.gpus, need.gpus, machine_type.capacity.gpus)
         } else {
-            left(free.cpus, need.cpus, machine_type.capacity.cpus)
+            unused_share(free.cpus, need.cpus, machine_type.capacity.cpus)
         };
         let mut classes = self.latency_sensitive.iter();
-        let contested = classes.any(|LatencySensitiveClass(other)| {
+        let is_contested = classes.any(|LatencySensitiveClass(other)| {
             other.priority > self.spec.priority
                 && other.allows(&pool.machine_type, &pool.zone, pool.spot)
                 && other.task_resources.fits(free)
         });
-        let contention = if contested { CONTENTION_S } else { 0.0 };
+        let contention_s = if is_contested {
+            CONTENTION_PENALTY_S
+        } else {
+            0.0
+        };
         let pull_s = self.pull_s(candidate, machine_type.fetch_rate);
-        // Of two machines that are alike, the more expensive one is to become idle and be released.
-        let on_demand = if pool.spot { 0.0 } else { ON_DEMAND_S };
+        // Of two otherwise equal machines, the more expensive one should become idle and be
+        // released.
+        let on_demand_s = if pool.spot { 0.0 } else { ON_DEMAND_PENALTY_S };
         Score {
-            total: pull_s + fragmentation * FRAGMENTATION_S + contention + on_demand,
+            total: pull_s + fragmentation * FRAGMENTATION_PENALTY_S + contention_s + on_demand_s,
             pull_s,
         }
     }
@@ -179,14 +200,15 @@
 #[derive(Debug, Clone, Copy)]
 struct Score {
     total: f64,
-    /// The part of it that is pulling the image.
+    /// The part of the total that is the time to pull the image.
     pull_s: f64,
 }
 
-/// A machine with capacity for a task; the best one is the greatest.
+/// A machine with capacity for a task. The machine with the best score compares as the greatest, as
+/// [`BinaryHeap`] requires.
 struct Candidate {
     score: Score,
-    machine: usize,
+    machine_index: usize,
     free: Resources,
 }
 
@@ -207,103 +229,120 @@
 impl Ord for Candidate {
     fn cmp(&self, other: &Self) -> Ordering {
         let by_score = other.score.total.total_cmp(&self.score.total);
-        by_score.then(other.machine.cmp(&self.machine))
+        by_score.then(other.machine_index.cmp(&self.machine_index))
     }
 }
 
 /// Expected releases that tasks of a job may wait for.
 struct AwaitedReleases<'a> {
     releases: &'a mut ExpectedReleases,
-    /// How far earlier tasks of the job have searched them.
-    searched: usize,
+    /// How many releases earlier tasks of the job have examined; the search continues there.
+    examined: usize,
 }
 
-/// Filtering: machines that may take a task of the job, each with its score.
+/// Filters the machines that may take a task of the job, and scores them.
 fn candidates(
     request: &PlacementRequest,
     job: &Job,
     pools: &[PoolId],
     capacity: &CapacityIndex,
 ) -> BinaryHeap<Candidate> {
-    // A machine on which this job failed gets no second attempt while others are there.
+    // Machines on which this job failed are excluded, unless it failed on as many as take tasks
+    // now.
     let all_failed = capacity.machines.len() <= job.failed_on.len();
-    let eligible =
-        |at: &usize| all_failed || !job.failed_on.contains(&capacity.machines[*at].machine.id);
+    let eligible = |index: &usize| {
+        all_failed
+            || !job
+                .failed_on
+                .contains(&capacity.machines[*index].machine.id)
+    };
     capacity
         .fitting(pools, &request.spec.task_resources)
         .filter(eligible)
-        .map(|at| {
-            let candidate = &capacity.machines[at];
+        .map(|index| {
+            let candidate = &capacity.machines[index];
             Candidate {
                 score: request.score(capacity, candidate, &candidate.free),
-                machine: at,
+                machine_index: index,
                 free: candidate.free,
             }
         })
         .collect()
 }
 
-/// Pools whose machines the job may use.
-fn pools_of(view: View, job: &Job, zone: Option<&str>, capacity: &CapacityIndex) -> Vec<PoolId> {
-    let age = view.now.saturating_duration_since(job.submitted);
-    if past_start_deadline(job, age) {
-        // Whatever it costs, it has to start.
+/// Returns the pools whose machines the job may use.
+fn allowed_pools(
+    view: SchedulingView,
+    job: &Job,
+    zone: Option<&str>,
+    capacity: &CapacityIndex,
+) -> Vec<PoolId> {
+    let time_since_submission = view.now.saturating_duration_since(job.submitted);
+    if near_start_deadline(job, time_since_submission) {
+        // The job has to start now, at any price.
         capacity.all_pools_for(&job.spec, zone)
     } else {
         capacity.pools_for(&job.spec, zone)
     }
 }
 
-/// Allocates machines to `tasks` in their order as far as there is capacity, within `zone` if
-/// given.
+/// Allocates machines to `tasks`, in their order, until there is no more capacity; only machines in
+/// `zone` if it is given.
 fn allocate(
     request: &PlacementRequest,
     job: &Job,
     tasks: &[u32],
     zone: Option<&str>,
     capacity: &CapacityIndex,
-    mut awaited: Option<AwaitedReleases>,
+    mut awaited_releases: Option<AwaitedReleases>,
 ) -> Allocation {
     let spec = request.spec;
-    let cap = spec.zone_cap();
-    let mut in_zone: HashMap<&str, u32> = if spec.zone_spread {
-        zones_of(request.view.cluster, job)
+    let zone_cap = spec.zone_cap();
+    let mut placed_by_zone: HashMap<&str, u32> = if spec.zone_spread {
+        placements_by_zone(request.view.cluster, job)
     } else {
         HashMap::new()
     };
-    let pools = pools_of(request.view, job, zone, capacity);
+    let pools = allowed_pools(request.view, job, zone, capacity);
     let mut candidates = candidates(request, job, &pools, capacity);
     let mut allocation = Allocation::default();
     let mut tasks = tasks.iter();
-    let mut next = tasks.next();
-    while let (Some(index), Some(mut best)) = (next, candidates.pop()) {
-        let machine = &capacity.machines[best.machine];
+    let mut next_task = tasks.next();
+    while let (Some(task_index), Some(mut best)) = (next_task, candidates.pop()) {
+        let machine = &capacity.machines[best.machine_index];
         if spec.zone_spread {
             let zone = capacity.pool(machine.pool).pool.zone.as_str();
-            let placed = in_zone.entry(zone).or_default();
-            if *placed >= cap {
+            let placed = placed_by_zone.entry(zone).or_default();
+            if *placed >= zone_cap {
                 continue;
             }
             *placed += 1;
         }
         let pull_s = best.score.pull_s;
-        if let Some(awaited) = awaited.as_mut().filter(|_| pull_s > LONG_PULL_S) {
-            let wanted = ImageReleaseRequest {
+        if let Some(awaited_releases) = awaited_releases
+            .as_mut()
+            .filter(|_| pull_s > DEFERRABLE_PULL_MIN_S)
+        {
+            let release_request = ImageReleaseRequest {
                 pools: &pools,
                 image: request.image,
                 within_s: pull_s,
             };
-            let releases = &mut awaited.releases;
-            if releases.reserve_with_image(capacity, wanted, &mut awaited.searched) {
-                allocation.deferred += 1;
-                next = tasks.next();
+            let releases = &mut awaited_releases.releases;
+            if releases.reserve_with_image(
+                capacity,
+                release_request,
+                &mut awaited_releases.examined,
+            ) {
+                allocation.deferred_tasks += 1;
+                next_task = tasks.next();
                 candidates.push(best);
                 continue;
             }
         }
         allocation.score += best.score.total;
-        allocation.members.push((*index, best.machine));
-        next = tasks.next();
+        allocation.members.push((*task_index, best.machine_index));
+        next_task = tasks.next();
         best.free.sub(&spec.task_resources);
         if spec.task_resources.fits(&best.free) {
             best.score = request.score(capacity, machine, &best.free);
@@ -313,37 +352,46 @@
     allocation
 }
 
-/// The zones to be tried one by one, for a job bound to one zone: the one where its tasks are, or
-/// each.
-pub(super) fn zones_to_try(view: View, job: &Job, capacity: &CapacityIndex) -> Vec<Option<String>> {
+/// Returns the zones to try one by one: for a single-zone job the zone of its placements, or every
+/// zone with machines that take tasks if it has none; for other jobs one `None`, which stands for
+/// all zones.
+pub(super) fn candidate_zones(
+    view: SchedulingView,
+    job: &Job,
+    capacity: &CapacityIndex,
+) -> Vec<Option<String>> {
     if !job.spec.single_zone {
         return vec![None];
     }
-    let settled: HashSet<&str> = zones_of(view.cluster, job).into_keys().collect();
-    if !settled.is_empty() {
-        // Tasks in several zones must not be: nothing is started until that is over.
-        let mut settled: Vec<_> = settled.into_iter().map(|z| Some(z.to_owned())).collect();
-        settled.truncate(if settled.len() > 1 { 0 } else { 1 });
-        return settled;
+    let occupied: HashSet<&str> = placements_by_zone(view.cluster, job).into_keys().collect();
+    if !occupied.is_empty() {
+        // A single-zone job must not have tasks in several zones. If it has, nothing is started
+        // until all but one zone are free of them.
+        let mut zones: Vec<_> = occupied
+            .into_iter()
+            .map(|zone| Some(zone.to_owned()))
+            .collect();
+        zones.truncate(if zones.len() > 1 { 0 } else { 1 });
+        return zones;
     }
     capacity.zones().into_iter().map(Some).collect()
 }
 
-/// Machines for all missing members of a gang, or for as many as there is capacity.
-pub fn gang(
-    view: View,
+/// Allocates machines for all missing members of a gang, or for as many as there is capacity.
+pub fn allocate_gang(
+    view: SchedulingView,
     latency_sensitive: &[LatencySensitiveClass],
     job: &Job,
     missing: &[u32],
     capacity: &CapacityIndex,
 ) -> Allocation {
-    best_zone(view, latency_sensitive, job, missing, capacity, None)
+    allocate_in_best_zone(view, latency_sensitive, job, missing, capacity, None)
 }
 
-/// Machines for the missing members of a gang in the zone where capacity is being freed for it, or
-/// anywhere.
-pub fn reserved(
-    view: View,
+/// Allocates machines for the missing members of a gang in the zone where capacity is being freed
+/// for it, or in any zone if none is given.
+pub fn allocate_in_reserved_zone(
+    view: SchedulingView,
     latency_sensitive: &[LatencySensitiveClass],
     job: &Job,
     missing: &[u32],
@@ -353,52 +401,61 @@
     allocate(&request, job, missing, zone, capacity, None)
 }
 
-/// Machines for as many tasks of an array as there is capacity.
-pub fn array(
-    view: View,
+/// Allocates machines for as many tasks of an array as there is capacity. Tasks that start sooner
+/// on an expected release are deferred.
+pub fn allocate_array(
+    view: SchedulingView,
     latency_sensitive: &[LatencySensitiveClass],
     job: &Job,
-    missing: &[u32],
+    tasks: &[u32],
     capacity: &CapacityIndex,
     expected_releases: &mut ExpectedReleases,
 ) -> Allocation {
-    best_zone(
+    allocate_in_best_zone(
         view,
         latency_sensitive,
         job,
-        missing,
+        tasks,
         capacity,
         Some(expected_releases),
     )
 }
 
-fn best_zone(
-    view: View,
+fn allocate_in_best_zone(
+    view: SchedulingView,
     latency_sensitive: &[LatencySensitiveClass],
     job: &Job,
-    missing: &[u32],
+    tasks: &[u32],
     capacity: &CapacityIndex,
     mut expected_releases: Option<&mut ExpectedReleases>,
 ) -> Allocation {
     let request = PlacementRequest::of(view, latency_sensitive, job);
-    let zones = zones_to_try(view, job, capacity);
-    let settled = job.spec.single_zone && job.has_placements();
-    // Expected releases are taken into account where there is one zone only.
+    let zones = candidate_zones(view, job, capacity);
+    let bound_to_zone = job.spec.single_zone && job.has_placements();
+    // Expected releases are considered only if there is a single zone to try.
     let only_zone = zones.len() == 1;
     let mut best: Option<Allocation> = None;
     for zone in zones {
-        let awaited = expected_releases
-            .as_deref_mut()
-            .filter(|_| only_zone)
-            .map(|releases| AwaitedReleases {
-                releases,
-                searched: 0,
-            });
-        let mut allocation = allocate(&request, job, missing, zone.as_deref(), capacity, awaited);
-        allocation.zone = zone.filter(|_| settled);
+        let awaited_releases =
+            expected_releases
+                .as_deref_mut()
+                .filter(|_| only_zone)
+                .map(|releases| AwaitedReleases {
+                    releases,
+                    examined: 0,
+                });
+        let mut allocation = allocate(
+            &request,
+            job,
+            tasks,
+            zone.as_deref(),
+            capacity,
+            awaited_releases,
+        );
+        allocation.zone = zone.filter(|_| bound_to_zone);
         let better = best.as_ref().is_none_or(|best| {
-            let (more, most) = (allocation.members.len(), best.members.len());
-            more > most || (more == most && allocation.score < best.score)
+            let (count, best_count) = (allocation.members.len(), best.members.len());
+            count > best_count || (count == best_count && allocation.score < best.score)
         });
         if better {
             best = Some(allocation);
--- a/src/sched/cycle.rs
+++ b/src/sched/cycle.rs
@@ -1,11 +1,12 @@
-//! One scheduling cycle: schedules jobs one after the other on the capacity that is left.
+//! The state of one scheduling cycle, which schedules jobs one by one on the capacity that earlier
+//! jobs left.
 
 use std::collections::HashMap;
 
 use super::allocate::{self, Allocation, LatencySensitiveClass};
 use super::decisions::{AttemptChoice, Decisions, GangRestartReason, Start};
 use super::order::{self, QueueEntry};
-use super::View;
+use super::SchedulingView;
 use crate::capacity::releases::ExpectedReleases;
 use crate::capacity::CapacityIndex;
 use crate::cluster::Job;
@@ -13,15 +14,14 @@
 use crate::model::{Priority, Resources};
 use crate::pending_reason::PendingReason;
 
-/// Tasks of one job started in one cycle; a larger array goes on in the next one.
+/// The most tasks of one job that one cycle starts; a larger array continues in the next cycle.
 const STARTS_PER_JOB_MAX: usize = 256;
-/// A gang that has been pending for this many barrier timeouts reserves its tentative capacity
-/// against later jobs, so that smaller ones can't starve it.
+/// A gang that is still pending this many barrier timeouts after its submission reserves its
+/// tentative allocation against later jobs, so that smaller jobs can't starve it.
 const RESERVE_AFTER_BARRIER_TIMEOUTS: u32 = 2;
 
-/// The state of a scheduling cycle.
 pub(super) struct Cycle<'a> {
-    view: View<'a>,
+    view: SchedulingView<'a>,
     latency_sensitive: Vec<LatencySensitiveClass<'a>>,
     capacity: CapacityIndex<'a>,
     expected_releases: ExpectedReleases,
@@ -29,8 +29,8 @@
     decisions: Decisions,
 }
 
-/// Why a job is not considered at all, if it is not.
-fn excluded(view: View, job: &Job) -> Option<PendingReason> {
+/// Returns why this cycle must not schedule the job, if there is such a reason.
+fn exclusion_reason(view: SchedulingView, job: &Job) -> Option<PendingReason> {
     if view.cluster.blocked(job) {
         Some(PendingReason::UnreconciledMachines)
     } else if job.backoff_until.is_some_and(|until| view.now < until) {
@@ -46,7 +46,7 @@
 }
 
 impl<'a> Cycle<'a> {
-    pub(super) fn new(view: View<'a>) -> Self {
+    pub(super) fn new(view: SchedulingView<'a>) -> Self {
         let capacity = CapacityIndex::of(view.cluster, view.now);
         Self {
             view,
@@ -62,11 +62,11 @@
         self.decisions
     }
 
-    /// Schedules a job; the number of its tasks for which there is no capacity, if other work
-    /// may be preempted for them.
+    /// Schedules a job. Returns the number of its tasks without capacity, if other tasks may be
+    /// preempted for them.
     pub(super) fn schedule(&mut self, entry: &QueueEntry<'a>) -> Option<u32> {
         let job = entry.job;
-        if let Some(reason) = excluded(self.view, job) {
+        if let Some(reason) = exclusion_reason(self.view, job) {
             if job.pending_count() > 0 {
                 self.decisions.keep_pending(&job.spec.id, reason);
             }
@@ -79,7 +79,8 @@
         }
     }
 
-    /// Schedules a gang: as a whole, by replacing members of its present attempt, or not at all.
+    /// Schedules a gang: starts all members, replaces the missing members of the current attempt,
+    /// or starts none.
     fn schedule_gang(&mut self, entry: &QueueEntry<'a>) -> Option<u32> {
         let job = entry.job;
         let id = &job.spec.id;
@@ -87,7 +88,7 @@
         if missing.is_empty() {
             return None;
         }
-        let Some(attempt) = attempt_of(job) else {
+        let Some(attempt) = attempt_for_missing_members(job) else {
             let reason = GangRestartReason::MemberLost;
             self.decisions.restart_gang(id, reason);
             return None;
@@ -98,14 +99,15 @@
             self.decisions.keep_pending(id, PendingReason::TeamLimit);
             return None;
         }
-        let allocation = allocate::gang(
+        let allocation = allocate::allocate_gang(
             self.view,
             &self.latency_sensitive,
             job,
             &missing,
             &self.capacity,
         );
-        // Ready when the allocated members reach the minimum, or with those that succeeded.
+        // The gang can start when allocated, placed and succeeded members together reach the
+        // minimum.
         let allocated = allocation.members.len() as u32;
         let placed = job.placements.len() as u32;
         if allocated + placed + job.done.len() >= job.spec.minimum() {
@@ -114,12 +116,12 @@
             self.decisions.starts.push(Start {
                 job: id.clone(),
                 attempt,
-                members: allocation.machines(&self.capacity),
+                members: allocation.assignments(&self.capacity),
             });
             return None;
         }
         if job.suspected() {
-            // Nothing is reserved, preempted or rented for it.
+            // The scheduler reserves, preempts and rents nothing for a suspected job.
             self.decisions
                 .keep_pending(id, PendingReason::TrialCapacity);
             return None;
@@ -129,40 +131,48 @@
         Some(self.add_unmet_demand(entry, missing.len() as u32, allocation.zone))
     }
 
-    /// Reserves capacity for a gang that stays pending, if it was freed for this gang or if the
-    /// gang has been pending for long.
+    /// Reserves capacity for a gang that stays pending, if preemption freed the capacity for this
+    /// gang, or if [`RESERVE_AFTER_BARRIER_TIMEOUTS`] have passed since its submission.
     fn reserve_for_pending_gang(&mut self, job: &Job, missing: &[u32], allocation: &Allocation) {
-        let View { cluster, now, .. } = self.view;
-        let age = now.saturating_duration_since(job.submitted);
+        let SchedulingView { cluster, now, .. } = self.view;
+        let time_since_submission = now.saturating_duration_since(job.submitted);
         if let Some(reservation) = job.capacity_reserved(now) {
-            // Else the preempted work would start again on the capacity that it has freed.
+            // Otherwise the preempted tasks would restart on the capacity that they have freed.
             let classes = &self.latency_sensitive;
-            let within = (&self.capacity, reservation.zone.as_deref());
-            let allocation = allocate::reserved(self.view, classes, job, missing, within);
+            let capacity_and_zone = (&self.capacity, reservation.zone.as_deref());
+            let allocation = allocate::allocate_in_reserved_zone(
+                self.view,
+                classes,
+                job,
+                missing,
+                capacity_and_zone,
+            );
             self.reserve(job, &allocation);
-        } else if age >= cluster.timing.gang_barrier_timeout * RESERVE_AFTER_BARRIER_TIMEOUTS {
+        } else if time_since_submission
+            >= cluster.timing.gang_barrier_timeout * RESERVE_AFTER_BARRIER_TIMEOUTS
+        {
             self.reserve(job, allocation);
         }
     }
 
-    /// Schedules an array: every task is a gang of one.
+    /// Schedules an array, whose tasks start independently of each other.
     fn schedule_array(&mut self, entry: &QueueEntry<'a>) -> Option<u32> {
         let job = entry.job;
         let id = &job.spec.id;
-        let missing: Vec<u32> = job.pending().take(self.starts_max(job)).collect();
-        if missing.is_empty() {
+        let pending: Vec<u32> = job.pending().take(self.start_limit(job)).collect();
+        if pending.is_empty() {
             return None;
         }
-        let allowed = self.within_team_limit(job, missing.len());
+        let allowed = self.tasks_within_team_limit(job, pending.len());
         if allowed == 0 {
             self.decisions.keep_pending(id, PendingReason::TeamLimit);
             return None;
         }
-        let allocation = allocate::array(
+        let allocation = allocate::allocate_array(
             self.view,
             &self.latency_sensitive,
             job,
-            &missing[..allowed],
+            &pending[..allowed],
             &self.capacity,
             &mut self.expected_releases,
         );
@@ -171,7 +181,7 @@
         team_use.add(&job.spec.task_resources.times(placed as u32));
         self.team_use.insert(&job.spec.team, team_use);
         self.reserve(job, &allocation);
-        for member in allocation.machines(&self.capacity) {
+        for member in allocation.assignments(&self.capacity) {
             self.decisions.starts.push(Start {
                 job: id.clone(),
                 attempt: AttemptChoice::New,
@@ -187,32 +197,34 @@
                 .keep_pending(id, PendingReason::TrialCapacity);
             return None;
         }
-        if allocation.deferred >= unplaced {
+        if allocation.deferred_tasks >= unplaced {
             self.decisions
                 .keep_pending(id, PendingReason::ImageLocality);
             return None;
         }
         self.decisions.keep_pending(id, PendingReason::Capacity);
-        let tasks = unplaced - allocation.deferred;
+        let tasks = unplaced - allocation.deferred_tasks;
         Some(self.add_unmet_demand(entry, tasks, allocation.zone))
     }
 
-    /// How many tasks of an array may start in this cycle.
-    fn starts_max(&self, job: &Job) -> usize {
-        let age = self.view.now.saturating_duration_since(job.submitted);
+    /// Returns how many tasks of an array may start in this cycle.
+    fn start_limit(&self, job: &Job) -> usize {
+        let time_since_submission = self.view.now.saturating_duration_since(job.submitted);
         let best_effort = job.spec.priority == Priority::BestEffort;
         match (job.suspected(), job.has_placements()) {
-            // The first one may use machines that exceed the price cap of the others.
-            (false, _) if best_effort && order::past_start_deadline(job, age) => 1,
+            // Only the first task may use machines above the price cap.
+            (false, _) if best_effort && order::near_start_deadline(job, time_since_submission) => {
+                1
+            }
             (false, _) => STARTS_PER_JOB_MAX,
-            // One task is enough to see whether the job still fails.
+            // One task is enough to find out whether the job still fails.
             (true, false) => 1,
             (true, true) => 0,
         }
     }
 
-    /// How many of so many tasks the limit of the team admits.
-    fn within_team_limit(&self, job: &Job, tasks: usize) -> usize {
+    /// Returns how many of `tasks` tasks fit within the limit of the job's team.
+    fn tasks_within_team_limit(&self, job: &Job, tasks: usize) -> usize {
         let mut team_use = self.team_use_of(job);
         for admitted in 0..tasks {
             team_use.add(&job.spec.task_resources);
@@ -238,22 +250,23 @@
             spec: job.spec.clone(),
             tasks,
             submitted: job.submitted,
-            complete_by: entry.objective,
+            complete_by: entry.complete_by,
             zone,
         });
         tasks
     }
 }
 
-/// The attempt under which missing members of a gang start. None if the gang has to restart.
-fn attempt_of(job: &Job) -> Option<AttemptChoice> {
+/// Returns the attempt under which the missing members of a gang start, or `None` if the whole gang
+/// has to restart.
+fn attempt_for_missing_members(job: &Job) -> Option<AttemptChoice> {
     let Some(attempt) = job.attempt else {
         return Some(AttemptChoice::New);
     };
     let mut placements = job.placements.values().flatten();
-    let mixed = placements.any(|placement| placement.attempt != attempt);
-    // Running and succeeded members together are fewer than the minimum.
-    let alive = job.placements.len() as u32 + job.done.len();
-    let broken = job.seen_running && alive < job.spec.minimum();
-    (!mixed && !broken).then_some(AttemptChoice::Current(attempt))
+    let has_other_attempts = placements.any(|placement| placement.attempt != attempt);
+    // A gang that has run can't continue with fewer running and succeeded members than the minimum.
+    let remaining = job.placements.len() as u32 + job.done.len();
+    let below_minimum = job.seen_running && remaining < job.spec.minimum();
+    (!has_other_attempts && !below_minimum).then_some(AttemptChoice::Current(attempt))
 }
--- a/src/sched/decisions.rs
+++ b/src/sched/decisions.rs
@@ -1,4 +1,4 @@
-//! What a scheduling cycle decides, and how it is applied to the cluster state.
+//! The decisions of a scheduling cycle, and their application to the cluster state.
 
 use std::fmt;
 use std::time::{Duration, Instant};
@@ -8,52 +8,53 @@
 use crate::model::{Attempt, JobId, MachineId, TaskId};
 use crate::pending_reason::PendingReason;
 
-/// How long capacity freed by preemption is reserved for the gang it was freed for: saving,
-/// stopping and the heartbeats that show it, for the slowest of its machines.
+/// How long capacity freed by preemption stays reserved for the gang it was freed for. It covers
+/// saving checkpoints, termination, and the heartbeats that report it, on the slowest machine.
 const RESERVATION_LIFETIME: Duration = Duration::from_secs(20);
 
-/// Which attempt a start belongs to.
+/// The attempt under which tasks start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptChoice {
-    /// A new one: for a task of an array, or for a gang as a whole.
+    /// A new attempt: for a task of an array, or for a whole gang.
     New,
-    /// The gang's present one: a member is replaced before the gang has started.
+    /// The current attempt of a gang, whose missing members are replaced.
     Current(Attempt),
 }
 
-/// Tasks that start together.
+/// Tasks of one job that start together, under one attempt.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Start {
-    /// The job.
+    /// The job of all the tasks.
     pub job: JobId,
-    /// The attempt.
+    /// [`apply`] allocates the number of a new attempt.
     pub attempt: AttemptChoice,
-    /// Tasks with their machines.
+    /// Indices of the tasks within the job, each with its machine. An array has one entry per
+    /// start.
     pub members: Vec<(u32, MachineId)>,
 }
 
-/// A single task to be terminated.
+/// A single task to be terminated: of an array, or a gang member to be replaced.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TaskTermination {
-    /// The task.
+    /// The task; it becomes pending again when its termination is confirmed.
     pub task: TaskId,
-    /// Its attempt.
+    /// The attempt that is terminated; another attempt of the task is not affected.
     pub attempt: Attempt,
-    /// Its machine.
+    /// The machine that the attempt is placed on.
     pub machine: MachineId,
-    /// Time to save a checkpoint.
+    /// Seconds the task has to save a checkpoint; 0 if it saves none.
     pub grace_s: f64,
 }
 
-/// Why a gang is terminated as a whole and starts again.
+/// Why a whole gang is terminated and restarted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum GangRestartReason {
-    /// A member was lost, and the rest is below the minimum or of another attempt.
+    /// Members were lost, and the others are below the minimum or belong to another attempt.
     MemberLost,
-    /// Capacity is needed for a job that goes first.
+    /// Its capacity is needed for a job of higher priority or within its team's guarantee.
     Preempted,
-    /// The machine of a member is drained or about to be taken back by the cloud.
-    MachineLeaving,
+    /// The machine of a member is drained or about to be reclaimed by the cloud.
+    MachineDraining,
 }
 
 impl fmt::Display for GangRestartReason {
@@ -61,52 +62,52 @@
         f.write_str(match self {
             Self::MemberLost => "a member is gone",
             Self::Preempted => "preempted",
-            Self::MachineLeaving => "its machine is leaving",
+            Self::MachineDraining => "its machine is drained or being reclaimed",
         })
     }
 }
 
-/// A gang to be terminated as a whole.
+/// A gang all of whose members are to be terminated, so that it starts again.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct GangRestart {
-    /// The gang.
+    /// The job of the gang.
     pub job: JobId,
-    /// Why.
+    /// The cause; it is logged only.
     pub reason: GangRestartReason,
 }
 
 /// A job with tasks that stay pending in this cycle.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PendingJob {
-    /// The job.
+    /// The job, at most once per cycle.
     pub job: JobId,
-    /// Why its tasks are pending.
+    /// Operators see it in the status of the job.
     pub reason: PendingReason,
 }
 
-/// Capacity that is being freed for a gang and reserved for it.
+/// Capacity that preemption is freeing for a gang, and that is reserved for it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Reservation {
-    /// The gang.
+    /// The job of the gang.
     pub job: JobId,
-    /// The only zone in which it is freed, if the gang is bound to one.
+    /// The zone in which the capacity is freed, if the gang is bound to a single zone.
     pub zone: Option<String>,
 }
 
-/// What a scheduling cycle decides.
+/// The decisions of one scheduling cycle. They take effect when [`apply`] is called.
 #[derive(Debug, Default)]
 pub struct Decisions {
-    /// Starts.
+    /// Tasks to be bound to machines.
     pub starts: Vec<Start>,
-    /// Gangs to be terminated as a whole.
+    /// Gangs to be terminated and restarted, each at most once.
     pub gang_restarts: Vec<GangRestart>,
-    /// Tasks to be terminated.
+    /// Single tasks to be terminated.
     pub terminations: Vec<TaskTermination>,
-    /// Gangs for which other work is preempted.
+    /// Gangs for which other tasks are preempted.
     pub reservations: Vec<Reservation>,
-    /// Tasks without capacity, for the fleet.
+    /// Tasks without capacity. The fleet rents machines for them; [`apply`] ignores them.
     pub unmet_demand: Vec<UnmetDemand>,
-    /// Why tasks of jobs stay pending.
+    /// Jobs with tasks that stay pending, with the reason.
     pub pending_jobs: Vec<PendingJob>,
 }
 
@@ -121,7 +122,7 @@
         self.gang_restarts.push(GangRestart { job, reason });
     }
 
-    /// Terminates one task, or the gang it belongs to.
+    /// Terminates one task, or the whole gang it belongs to.
     pub(super) fn terminate(
         &mut self,
         job: &Job,
@@ -154,7 +155,7 @@
     }
 }
 
-/// Applies the decisions to the cluster state.
+/// Applies the decisions to the cluster state. `now` is the time of the cycle that decided them.
 pub fn apply(cluster: &mut Cluster, decisions: &Decisions, now: Instant) {
     for start in &decisions.starts {
         bind(cluster, start, now);
--- a/src/sched/drain.rs
+++ b/src/sched/drain.rs
@@ -1,5 +1,5 @@
-//! Draining of machines: work moves off machines that the cloud is about to take back, and off
-//! those that are not fit for it.
+//! Draining of machines: evicts tasks from machines that the cloud is about to reclaim, and from
+//! machines that are drained because they are faulty, slow, or on an operator's request.
 
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
@@ -8,76 +8,81 @@
 use crate::cluster::{Cluster, DrainReason, InstanceId, InstancePhase, Job, Machine, TaskInstance};
 use crate::model::JobId;
 
-/// Time for a termination to reach a machine with the answer to its heartbeat, when the direct
+/// Time for a termination to reach a machine in the response to its heartbeat, when the direct
 /// command is lost.
 const TERMINATION_LATENCY: Duration = Duration::from_secs(3);
 
-/// Terminates tasks on machines that are drained or under a preemption notice: progress is saved
-/// while there is time, and what can't save runs on, as it may yet complete.
-pub(super) fn drain_leaving_machines(cluster: &Cluster, decisions: &mut Decisions, now: Instant) {
-    let mut gangs_seen: HashSet<JobId> = HashSet::new();
+/// Terminates tasks on machines that are drained or have received a spot reclaim notice. Tasks that
+/// have not started are terminated at once, tasks that can save a checkpoint while there is time
+/// to. Running tasks that can't are left alone, since they may still complete.
+pub(super) fn evict_from_draining_machines(
+    cluster: &Cluster,
+    decisions: &mut Decisions,
+    now: Instant,
+) {
+    let mut visited_gangs: HashSet<JobId> = HashSet::new();
     for machine in cluster.machines.values() {
-        if machine.spot_deadline.is_none() && !drained(machine) {
+        if machine.spot_deadline.is_none() && !is_drained(machine) {
             continue;
         }
         for (id, instance) in &machine.instances {
-            let idle = instance.termination.is_some() || !instance.occupies();
-            let Some(job) = cluster.jobs.get(&id.task.job).filter(|_| !idle) else {
+            let ending = instance.termination.is_some() || !instance.occupies();
+            let Some(job) = cluster.jobs.get(&id.task.job).filter(|_| !ending) else {
                 continue;
             };
-            if job.stopping || (job.gang() && !gangs_seen.insert(job.spec.id.clone())) {
+            if job.stopping || (job.gang() && !visited_gangs.insert(job.spec.id.clone())) {
                 continue;
             }
-            if has_to_move(machine, instance, job, now) {
-                move_task(machine, id, instance, job, decisions);
+            if must_evict(machine, instance, job, now) {
+                evict_task(machine, id, instance, job, decisions);
             }
         }
     }
 }
 
-fn drained(machine: &Machine) -> bool {
+fn is_drained(machine: &Machine) -> bool {
     matches!(
         machine.drain,
         Some(DrainReason::Faulty | DrainReason::Slow | DrainReason::Operator)
     )
 }
 
-fn has_begun(instance: &TaskInstance) -> bool {
+fn has_started(instance: &TaskInstance) -> bool {
     matches!(
         instance.phase,
         InstancePhase::Running | InstancePhase::Checkpointing
     )
 }
 
-/// Whether a task has to be terminated now, so that it goes on elsewhere.
-fn has_to_move(machine: &Machine, instance: &TaskInstance, job: &Job, now: Instant) -> bool {
-    let begun = has_begun(instance);
+/// Whether a task has to be terminated now, so that it continues on another machine.
+fn must_evict(machine: &Machine, instance: &TaskInstance, job: &Job, now: Instant) -> bool {
+    let started = has_started(instance);
     let Some(deadline) = machine.spot_deadline else {
-        return !begun || job.spec.can_checkpoint();
+        return !started || job.spec.can_checkpoint();
     };
-    if !begun {
-        // Elsewhere it need not start twice.
+    if !started {
+        // A task that starts on another machine now need not start a second time.
         return true;
     }
-    // Saving takes its time; until then the task may still complete. What can't save may run
-    // until the end.
-    let left = deadline.saturating_duration_since(now);
+    // The task may still complete before it has to start saving a checkpoint. A task that can't
+    // save one may run until the deadline.
+    let time_left = deadline.saturating_duration_since(now);
     let grace = crate::time::secs(job.spec.grace()) + TERMINATION_LATENCY;
-    job.spec.can_checkpoint() && left <= grace + TERMINATION_LATENCY
+    job.spec.can_checkpoint() && time_left <= grace + TERMINATION_LATENCY
 }
 
-fn move_task(
+fn evict_task(
     machine: &Machine,
     id: &InstanceId,
     instance: &TaskInstance,
     job: &Job,
     decisions: &mut Decisions,
 ) {
-    if has_begun(instance) || !job.gang() || job.seen_running {
-        decisions.terminate(job, &machine.id, id, GangRestartReason::MachineLeaving);
+    if has_started(instance) || !job.gang() || job.seen_running {
+        decisions.terminate(job, &machine.id, id, GangRestartReason::MachineDraining);
         return;
     }
-    // Only this member is replaced, under the same attempt.
+    // The gang has not started: only this member is replaced, under the same attempt.
     decisions.terminations.push(TaskTermination {
         task: id.task.clone(),
         attempt: id.attempt,
--- a/src/sched/mod.rs
+++ b/src/sched/mod.rs
@@ -1,7 +1,8 @@
-//! The scheduling cycle: jobs are put in order, machines are filtered and scored for their pending
-//! tasks, tasks are bound to the best ones, and work that may be preempted makes way for the
-//! rest. Pure functions of the cluster state and an `Instant`; nothing here does I/O, and only
-//! [`apply`] changes the cluster state.
+//! The scheduling cycle: orders the jobs, filters and scores machines for their pending tasks,
+//! binds tasks to the best machines, and preempts other tasks where no machine has free capacity.
+//!
+//! All functions here are pure functions of the cluster state and an `Instant`. None does I/O, and
+//! only [`apply`] changes the cluster state.
 
 pub mod allocate;
 mod cycle;
@@ -22,39 +23,39 @@
 };
 use preempt::Preemptor;
 
-/// What a scheduling cycle works on: the cluster state, the policy and the time.
+/// The input of a scheduling cycle.
 #[derive(Debug, Clone, Copy)]
-pub struct View<'a> {
-    /// The cluster state.
+pub struct SchedulingView<'a> {
+    /// The cluster state before the decisions of this cycle.
     pub cluster: &'a Cluster,
-    /// The scheduling policy.
+    /// Team quotas and the objectives of job classes.
     pub policy: &'a SchedulingPolicy,
-    /// The time.
+    /// The time at which the cycle runs; the same for all its decisions.
     pub now: Instant,
 }
 
-/// Runs one scheduling cycle.
+/// Runs one scheduling cycle. The caller passes the returned decisions to [`apply`].
 pub fn run_cycle(cluster: &Cluster, policy: &SchedulingPolicy, now: Instant) -> Decisions {
-    let view = View {
+    let view = SchedulingView {
         cluster,
         policy,
         now,
     };
     let mut cycle = Cycle::new(view);
-    let queue = order::order(cluster, policy, now);
+    let queue = order::build_queue(cluster, policy, now);
     let mut preemptors = Vec::new();
     for entry in &queue.entries {
-        let unplaced = cycle.schedule(entry);
-        preemptors.extend(unplaced.map(|tasks| Preemptor { entry, tasks }));
+        let unplaced_tasks = cycle.schedule(entry);
+        preemptors.extend(unplaced_tasks.map(|tasks| Preemptor { entry, tasks }));
     }
     let mut decisions = cycle.into_decisions();
     preempt::preempt(view, &queue, &preemptors, &mut decisions);
-    drain::drain_leaving_machines(cluster, &mut decisions, now);
+    drain::evict_from_draining_machines(cluster, &mut decisions, now);
     decisions
 }
 
-/// Zones in which tasks of a job may be now, with their number.
-pub(crate) fn zones_of<'a>(cluster: &'a Cluster, job: &'a Job) -> HashMap<&'a str, u32> {
+/// Counts the placements of a job by zone. A task that may be on several machines counts on each.
+pub(crate) fn placements_by_zone<'a>(cluster: &'a Cluster, job: &'a Job) -> HashMap<&'a str, u32> {
     let mut zones = HashMap::new();
     for placement in job.placements.values().flatten() {
         if let Some(machine) = cluster.machines.get(&placement.machine) {
--- a/src/sched/preempt/mod.rs
+++ b/src/sched/preempt/mod.rs
@@ -1,4 +1,5 @@
-//! Preemption: terminates work that may be preempted for tasks without capacity.
+//! Preemption: terminates running tasks to free capacity for pending tasks of jobs that have
+//! precedence over them.
 
 mod cost;
 mod guarantee;
@@ -10,28 +11,34 @@
 use super::allocate;
 use super::decisions::{Decisions, GangRestartReason, Reservation};
 use super::order::{JobQueue, QueueEntry};
-use super::View;
+use super::SchedulingView;
 use crate::capacity::releases::ExpectedReleases;
 use crate::capacity::CapacityIndex;
 use crate::cluster::{Cluster, InstanceId};
 use crate::model::{JobId, MachineId, Resources};
 use victims::{PreemptionPlan, VictimSearch};
 
-/// Jobs for which a cycle looks for victims; the first ones in order go first, and the next cycle
-/// goes on from what was terminated for them.
+/// The most jobs for which one cycle looks for victims, in the order of the queue. The next cycle
+/// takes into account what is being terminated for them.
 const PREEMPTORS_PER_CYCLE: usize = 12;
 
 /// A job for which other work may be preempted.
 #[derive(Debug)]
 pub struct Preemptor<'a, 'q> {
-    /// The job.
+    /// The queue entry of the job.
     pub entry: &'q QueueEntry<'a>,
-    /// Its tasks without capacity.
+    /// The number of its tasks without capacity; at least 1.
     pub tasks: u32,
 }
 
-/// Finds victims for jobs without capacity, in the order of the queue.
-pub fn preempt(view: View, queue: &JobQueue, preemptors: &[Preemptor], decisions: &mut Decisions) {
+/// Selects victims for jobs without capacity, in the order of the queue, and adds their termination
+/// to the decisions.
+pub fn preempt(
+    view: SchedulingView,
+    queue: &JobQueue,
+    preemptors: &[Preemptor],
+    decisions: &mut Decisions,
+) {
     if preemptors.is_empty() {
         return;
     }
@@ -40,10 +47,10 @@
         .jobs
         .values()
         .filter(|job| job.has_placements());
-    let lowest = placed.map(|job| job.spec.priority).min();
+    let lowest_priority = placed.map(|job| job.spec.priority).min();
     let eligible = preemptors.iter().filter(|preemptor| {
         let entry = preemptor.entry;
-        lowest.is_some_and(|priority| priority < entry.job.spec.priority)
+        lowest_priority.is_some_and(|priority| priority < entry.job.spec.priority)
             || guarantee::may_reclaim(view, entry)
     });
     let mut preemption = Preemption::new(view, &queue.guaranteed, decisions);
@@ -52,21 +59,24 @@
     }
 }
 
-/// The state of preemption in one cycle.
 struct Preemption<'a, 'q> {
-    view: View<'a>,
+    view: SchedulingView<'a>,
     guaranteed: &'q HashSet<&'a JobId>,
     capacity: CapacityIndex<'a>,
     expected_releases: ExpectedReleases,
-    /// What teams use without what is being terminated.
+    /// Resources that each team uses, without tasks that are being terminated.
     team_use: HashMap<&'a str, Resources>,
-    /// What the starts of this cycle and earlier preemptors take of each machine.
+    /// Resources of each machine taken by the starts of this cycle and by earlier preemptors.
     reserved: BTreeMap<MachineId, Resources>,
     victims: HashSet<(MachineId, InstanceId)>,
 }
 
 impl<'a, 'q> Preemption<'a, 'q> {
-    fn new(view: View<'a>, guaranteed: &'q HashSet<&'a JobId>, decisions: &Decisions) -> Self {
+    fn new(
+        view: SchedulingView<'a>,
+        guaranteed: &'q HashSet<&'a JobId>,
+        decisions: &Decisions,
+    ) -> Self {
         let capacity = CapacityIndex::of(view.cluster, view.now);
         Self {
             view,
@@ -81,34 +91,35 @@
 
     fn preempt_for(&mut self, preemptor: &Preemptor<'a, '_>, decisions: &mut Decisions) {
         let job = preemptor.entry.job;
-        // Capacity in two zones is of no use to a job bound to one.
+        // A single-zone job can't use capacity in two zones: each zone is considered on its own.
         let zones = if job.spec.single_zone {
-            allocate::zones_to_try(self.view, job, &self.capacity)
+            allocate::candidate_zones(self.view, job, &self.capacity)
         } else {
             vec![None]
         };
-        let tasks = self.tasks_without_release(preemptor, &zones);
+        let tasks = self.tasks_not_served_by_releases(preemptor, &zones);
         if tasks == 0 {
             return;
         }
-        // Where capacity is being freed for the job already, it goes on being freed.
+        // If capacity is already being freed for the job, more is freed in the same zone only.
         let reservation = job.capacity_reserved(self.view.now);
         let zones = reservation.map_or(zones, |reservation| vec![reservation.zone.clone()]);
         let Some((plan, zone)) = self.cheapest_plan(preemptor.entry, zones, tasks) else {
             return;
         };
-        // Part of its members are of no use to a gang.
-        if job.gang() && plan.ready != tasks {
+        // A gang can't start with capacity for only some of its members.
+        if job.gang() && plan.served_tasks != tasks {
             return;
         }
         if job.gang() {
             let job = job.spec.id.clone();
             decisions.reservations.push(Reservation { job, zone });
         }
-        self.carry_out(plan, decisions);
+        self.apply_plan(plan, decisions);
     }
 
-    /// The plan that makes way for most tasks, then at the least cost, with its zone.
+    /// Returns the plan that frees capacity for the most tasks, among these the one of least cost,
+    /// with its zone.
     fn cheapest_plan(
         &self,
         preemptor: &QueueEntry<'a>,
@@ -125,25 +136,31 @@
                 reserved: &self.reserved,
                 victims: &self.victims,
             };
-            search.plan(zone.as_deref(), tasks).map(|plan| (plan, zone))
+            search
+                .find_plan(zone.as_deref(), tasks)
+                .map(|plan| (plan, zone))
         });
-        plans.min_by(|(a, _), (b, _)| b.ready.cmp(&a.ready).then(a.cost.total_cmp(&b.cost)))
+        plans.min_by(|(a, _), (b, _)| {
+            b.served_tasks
+                .cmp(&a.served_tasks)
+                .then(a.cost_s.total_cmp(&b.cost_s))
+        })
     }
 
-    fn carry_out(&mut self, plan: PreemptionPlan<'a>, decisions: &mut Decisions) {
+    fn apply_plan(&mut self, plan: PreemptionPlan<'a>, decisions: &mut Decisions) {
         self.reserved.extend(plan.reserved);
         self.team_use = plan.team_use;
         for (machine, instance) in plan.victims {
             if let Some(job) = self.view.cluster.jobs.get(&instance.task.job) {
                 decisions.terminate(job, &machine, &instance, GangRestartReason::Preempted);
             }
-            // Its capacity is the preemptor's now: it must not be counted for another.
+            // The victim's capacity belongs to this preemptor and must not count for another.
             self.victims.insert((machine, instance));
         }
     }
 }
 
-/// What the starts of the cycle will take of each machine.
+/// Returns the resources of each machine that the starts of the cycle will take.
 fn reserved_for_starts(cluster: &Cluster, decisions: &Decisions) -> BTreeMap<MachineId, Resources> {
     let mut reserved: BTreeMap<MachineId, Resources> = BTreeMap::new();
     for start in &decisions.starts {
@@ -151,25 +168,29 @@
             continue;
         };
         for (_, machine) in &start.members {
-            let sum = reserved.entry(machine.clone()).or_default();
-            sum.add(&job.spec.task_resources);
+            let resources = reserved.entry(machine.clone()).or_default();
+            resources.add(&job.spec.task_resources);
         }
     }
     reserved
 }
 
-/// What teams use without what is being terminated: only as much is taken from a team as it has
-/// beyond its guarantee.
+/// Returns the resources that each team uses, without tasks that are being terminated, so that
+/// preemption takes from a team only what it uses above its guarantee.
 fn remaining_team_use(cluster: &Cluster) -> HashMap<&str, Resources> {
     let mut team_use = cluster.team_use();
-    for machine in cluster.machines.values().filter(|m| m.commands_pending()) {
+    for machine in cluster
+        .machines
+        .values()
+        .filter(|machine| machine.commands_pending())
+    {
         for instance in machine.instances.values() {
             let terminating = instance.occupies() && instance.termination.is_some();
             let Some(spec) = instance.spec.as_ref().filter(|_| terminating) else {
                 continue;
             };
-            if let Some(sum) = team_use.get_mut(spec.team.as_str()) {
-                sum.sub(&spec.task_resources);
+            if let Some(resources) = team_use.get_mut(spec.team.as_str()) {
+                resources.sub(&spec.task_resources);
             }
         }
     }
--- a/src/sched/preempt/victims.rs
+++ b/src/sched/preempt/victims.rs
@@ -1,38 +1,39 @@
-//! Selection of victims: on each machine the cheapest tasks that make way for one task of the
-//! preemptor, then the cheapest machines.
+//! Selection of victims: finds on each machine the cheapest tasks whose termination frees capacity
+//! for one task of the preemptor, then selects the cheapest machines.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::{BTreeMap, BinaryHeap, HashMap, HashSet};
 
-use super::{cost, guarantee, View};
+use super::{cost, guarantee, SchedulingView};
 use crate::capacity::CapacityIndex;
 use crate::cluster::{find_machine_type, InstanceId, Job, Machine};
 use crate::model::{JobId, MachineId, MachineType, Resources};
 use crate::sched::order::QueueEntry;
 
-/// Terminations that make way for tasks of a job.
+/// Terminations that free capacity for tasks of a preemptor.
 pub(super) struct PreemptionPlan<'a> {
-    /// What teams use after them.
+    /// Resources that each team uses after these terminations.
     pub(super) team_use: HashMap<&'a str, Resources>,
-    /// Tasks that get capacity.
-    pub(super) ready: u32,
-    /// Lost time, in seconds.
-    pub(super) cost: f64,
-    /// What is terminated.
+    /// The number of the preemptor's tasks that get capacity.
+    pub(super) served_tasks: u32,
+    /// Lost run time and image pulls, summed over all terminations.
+    pub(super) cost_s: f64,
+    /// The tasks to terminate, in the order in which they were selected.
     pub(super) victims: Vec<(MachineId, InstanceId)>,
-    /// What is reserved of each machine after them.
+    /// Resources reserved on each machine of the plan, including those of
+    /// [`VictimSearch::reserved`].
     pub(super) reserved: BTreeMap<MachineId, Resources>,
 }
 
-/// The search for victims for one preemptor.
+/// The search for victims for one preemptor. It changes nothing but the plan that it returns.
 pub(super) struct VictimSearch<'a, 'b> {
-    pub(super) view: View<'a>,
+    pub(super) view: SchedulingView<'a>,
     pub(super) team_use: &'b HashMap<&'a str, Resources>,
     pub(super) guaranteed: &'b HashSet<&'a JobId>,
     pub(super) preemptor: &'b QueueEntry<'a>,
     pub(super) capacity: &'b CapacityIndex<'a>,
     pub(super) reserved: &'b BTreeMap<MachineId, Resources>,
-    /// Victims of earlier preemptors.
+    /// Victims of earlier preemptors in this cycle, which are not yet marked in the cluster state.
     pub(super) victims: &'b HashSet<(MachineId, InstanceId)>,
 }
 
@@ -43,10 +44,10 @@
     resources: Resources,
 }
 
-/// A machine on which terminations would make way for a task.
+/// Terminations on one machine that would free capacity for one task of the preemptor.
 struct PreemptionOption {
-    cost: f64,
-    machine: usize,
+    cost_s: f64,
+    machine_index: usize,
     victims: Vec<InstanceId>,
 }
 
@@ -66,36 +67,38 @@
 
 impl Ord for PreemptionOption {
     fn cmp(&self, other: &Self) -> Ordering {
-        self.cost
-            .total_cmp(&other.cost)
-            .then(self.machine.cmp(&other.machine))
+        self.cost_s
+            .total_cmp(&other.cost_s)
+            .then(self.machine_index.cmp(&other.machine_index))
     }
 }
 
 impl<'a> VictimSearch<'a, '_> {
-    /// The cheapest terminations that make way for up to `tasks` tasks in a zone, or anywhere.
-    pub(super) fn plan(&self, zone: Option<&str>, tasks: u32) -> Option<PreemptionPlan<'a>> {
+    /// Finds the cheapest terminations that free capacity for up to `tasks` tasks, in `zone` or in
+    /// any zone. Returns `None` if there are none.
+    pub(super) fn find_plan(&self, zone: Option<&str>, tasks: u32) -> Option<PreemptionPlan<'a>> {
         let pools = self.capacity.pools_for(&self.preemptor.job.spec, zone);
         let mut plan = PreemptionPlan {
             team_use: self.team_use.clone(),
-            ready: 0,
-            cost: 0.0,
+            served_tasks: 0,
+            cost_s: 0.0,
             victims: Vec::new(),
             reserved: BTreeMap::new(),
         };
         let mut victims: HashSet<(MachineId, InstanceId)> = HashSet::new();
         let mut options: BinaryHeap<Reverse<PreemptionOption>> = BinaryHeap::new();
         let machines = self.capacity.machines.iter().enumerate();
-        for (at, _) in machines.filter(|(_, machine)| pools.contains(&machine.pool)) {
-            options.extend(self.option(at, &plan, &victims).map(Reverse));
+        for (index, _) in machines.filter(|(_, machine)| pools.contains(&machine.pool)) {
+            options.extend(self.cheapest_option(index, &plan, &victims).map(Reverse));
         }
-        while plan.ready < tasks {
+        while plan.served_tasks < tasks {
             let Some(Reverse(best)) = options.pop() else {
                 break;
             };
-            let at = best.machine;
-            // What was taken meanwhile may leave a team without anything beyond its guarantee.
-            match self.option(at, &plan, &victims) {
+            let index = best.machine_index;
+            // Victims selected since this option was computed may have brought a team down to its
+            // guarantee.
+            match self.cheapest_option(index, &plan, &victims) {
                 Some(current) if current.victims == best.victims => {}
                 changed => {
                     options.extend(changed.map(Reverse));
@@ -103,9 +106,9 @@
                 }
             }
             self.add_to_plan(best, &mut plan, &mut victims);
-            options.extend(self.option(at, &plan, &victims).map(Reverse));
+            options.extend(self.cheapest_option(index, &plan, &victims).map(Reverse));
         }
-        (plan.ready > 0).then_some(plan)
+        (plan.served_tasks > 0).then_some(plan)
     }
 
     fn add_to_plan(
@@ -114,17 +117,18 @@
         plan: &mut PreemptionPlan,
         victims: &mut HashSet<(MachineId, InstanceId)>,
     ) {
-        let machine = &self.capacity.machines[option.machine].machine.id;
-        plan.ready += 1;
-        plan.cost += option.cost;
-        let before = self.reserved.get(machine).copied();
-        let sum = plan.reserved.entry(machine.clone());
-        sum.or_insert(before.unwrap_or_default())
+        let machine = &self.capacity.machines[option.machine_index].machine.id;
+        plan.served_tasks += 1;
+        plan.cost_s += option.cost_s;
+        let reserved_before = self.reserved.get(machine).copied();
+        let reserved = plan.reserved.entry(machine.clone());
+        reserved
+            .or_insert(reserved_before.unwrap_or_default())
             .add(&self.preemptor.job.spec.task_resources);
         for instance in option.victims {
             if let Some(job) = self.view.cluster.jobs.get(&instance.task.job) {
-                if let Some(sum) = plan.team_use.get_mut(job.spec.team.as_str()) {
-                    sum.sub(&job.spec.task_resources);
+                if let Some(team_use) = plan.team_use.get_mut(job.spec.team.as_str()) {
+                    team_use.sub(&job.spec.task_resources);
                 }
             }
             victims.insert((machine.clone(), instance.clone()));
@@ -132,55 +136,56 @@
         }
     }
 
-    /// The cheapest victims on one machine that make way for one task; none where there is
-    /// capacity already or terminations under way free it.
-    fn option(
+    /// Returns the cheapest victims on one machine that free capacity for one task. There are no
+    /// victims if the machine already has the capacity or terminations in progress free it.
+    fn cheapest_option(
         &self,
-        at: usize,
+        index: usize,
         plan: &PreemptionPlan,
         victims: &HashSet<(MachineId, InstanceId)>,
     ) -> Option<PreemptionOption> {
-        let machine = self.capacity.machines[at].machine;
+        let machine = self.capacity.machines[index].machine;
         let catalog = self.view.cluster.catalog();
         let machine_type = find_machine_type(catalog, &machine.machine_type)?;
         let job = self.preemptor.job;
         let needed = &job.spec.task_resources;
-        let (mut free, mut candidates) = self.candidates(machine, machine_type, plan, victims)?;
-        candidates.sort_by(|a, b| a.lost_work_s.total_cmp(&b.lost_work_s));
-        let mut cost = 0.0;
+        let (mut free, mut victim_candidates) =
+            self.victim_candidates(machine, machine_type, plan, victims)?;
+        victim_candidates.sort_by(|a, b| a.lost_work_s.total_cmp(&b.lost_work_s));
+        let mut lost_work_s = 0.0;
         let mut victims = Vec::new();
-        for candidate in candidates {
+        for candidate in victim_candidates {
             if needed.fits(&free) {
                 break;
             }
             free.add(&candidate.resources);
-            cost += candidate.lost_work_s;
+            lost_work_s += candidate.lost_work_s;
             victims.push(candidate.instance.clone());
         }
-        // Capacity is of use to the preemptor once its image is there.
-        let cost = cost + cost::pull_s(job, machine, machine_type);
+        // The preemptor can use the capacity only when the machine has pulled its image.
+        let cost_s = lost_work_s + cost::pull_s(job, machine, machine_type);
         needed.fits(&free).then_some(PreemptionOption {
-            cost,
-            machine: at,
+            cost_s,
+            machine_index: index,
             victims,
         })
     }
 
-    /// What is free of a machine after all terminations decided so far, and the tasks on it that
-    /// may be preempted.
-    fn candidates<'m>(
+    /// Returns the free capacity of a machine after all terminations decided so far, and the tasks
+    /// on it that may be preempted; `None` if the spec or job of a task on it is not known.
+    fn victim_candidates<'m>(
         &self,
         machine: &'m Machine,
         machine_type: &MachineType,
         plan: &PreemptionPlan,
         victims: &HashSet<(MachineId, InstanceId)>,
     ) -> Option<(Resources, Vec<VictimCandidate<'m>>)> {
-        let View { cluster, now, .. } = self.view;
+        let SchedulingView { cluster, now, .. } = self.view;
         let reserved = plan.reserved.get(&machine.id);
         let reserved = reserved.or(self.reserved.get(&machine.id));
         let mut free = machine_type.capacity;
         free.sub(&reserved.copied().unwrap_or_default());
-        let mut candidates = Vec::new();
+        let mut victim_candidates = Vec::new();
         let instances = machine.instances.iter();
         for (id, instance) in instances.filter(|(_, instance)| instance.occupies()) {
             let spec = instance.spec.as_ref()?;
@@ -194,17 +199,17 @@
             free.sub(&spec.task_resources);
             let job = cluster.jobs.get(&id.task.job)?;
             if self.may_preempt(&plan.team_use, job) {
-                candidates.push(VictimCandidate {
+                victim_candidates.push(VictimCandidate {
                     lost_work_s: cost::lost_work_s(job, instance, now),
                     instance: id,
                     resources: spec.task_resources,
                 });
             }
         }
-        Some((free, candidates))
+        Some((free, victim_candidates))
     }
 
-    /// Whether the preemptor may preempt tasks of a job.
+    /// Whether the preemptor may preempt tasks of the victim, given the resources that teams use.
     fn may_preempt(&self, team_use: &HashMap<&str, Resources>, victim: &Job) -> bool {
         let preemptor = self.preemptor;
         if self.view.cluster.blocked(victim) || victim.stopping {
@@ -213,10 +218,10 @@
         if victim.spec.priority < preemptor.job.spec.priority {
             return true;
         }
-        let other_team = victim.spec.team != preemptor.job.spec.team;
-        // What is itself within the guarantee is not what its team has beyond it.
-        other_team
-            && guarantee::exceeded_without(self.view, team_use, victim)
+        let is_other_team = victim.spec.team != preemptor.job.spec.team;
+        // A job within its team's guarantee is not part of what the team uses above it.
+        is_other_team
+            && guarantee::exceeds_guarantee_without(self.view, team_use, victim)
             && !self.guaranteed.contains(&victim.spec.id)
             && guarantee::may_reclaim(self.view, preemptor)
     }
