--- a/src/demand.rs
+++ b/src/demand.rs
@@ -13,7 +13,7 @@
     /// The number of the tasks, without tasks that wait for an expected release; at least 1.
     pub tasks: u32,
     /// When the job was submitted, possibly to an earlier leader.
-    pub submitted: Instant,
+    pub submitted_at: Instant,
     /// The earliest objective that the job can still meet, or the latest one if it can meet none.
     /// The fleet derives from it how long the tasks may wait for capacity.
     pub complete_by: Instant,
--- a/src/fleet/capacity_backoff.rs
+++ b/src/fleet/capacity_backoff.rs
@@ -31,7 +31,7 @@
         at.is_none_or(|at| now.saturating_duration_since(*at) > EXHAUSTION_RELEVANCE)
     }
 
-    /// Whether the pool may get a rental request now.
+    /// Whether [`NO_CAPACITY_RETRY_DELAY`] has passed since the pool last had no capacity.
     pub(super) fn may_request(&self, pool: &MachinePool, now: Instant) -> bool {
         self.retry_at.get(pool).is_none_or(|at| now >= *at)
     }
--- a/src/fleet/demand.rs
+++ b/src/fleet/demand.rs
@@ -56,25 +56,25 @@
 
     /// Returns the likelihood for the class of a job; 1 if the class has no recorded arrivals,
     /// which gives no evidence either way.
-    pub(super) fn class_likelihood(&self, spec: &JobSpec) -> f64 {
+    pub(super) fn for_class(&self, spec: &JobSpec) -> f64 {
         let trend = self.0.get(spec.class.as_str());
         trend.map_or(1.0, |trend| trend.likelihood)
     }
 
     /// Returns the highest likelihood among the classes that can use a pool. If none of them has
-    /// recorded arrivals, it is 1 while the leader is recently elected, and 0 later.
-    pub(super) fn pool_likelihood(
+    /// recorded arrivals, it is 1 while the leader is new, and 0 later.
+    pub(super) fn for_pool(
         &self,
         pool: &MachinePool,
         machine_type: &MachineType,
-        recently_elected: bool,
+        new_leader: bool,
     ) -> f64 {
         let users = self.0.values().filter(|ClassTrend { spec, .. }| {
             spec.allows(&pool.machine_type, &pool.zone, pool.spot)
                 && spec.task_resources.fits(&machine_type.capacity)
         });
         let highest = users.map(|trend| trend.likelihood).reduce(f64::max);
-        highest.unwrap_or(if recently_elected { 1.0 } else { 0.0 })
+        highest.unwrap_or(if new_leader { 1.0 } else { 0.0 })
     }
 }
 
--- a/src/fleet/scale_in/failed.rs
+++ b/src/fleet/scale_in/failed.rs
@@ -1,5 +1,5 @@
-//! Machines that are released whatever the demand: failed or unfit ones, and those whose boot takes
-//! too long.
+//! Machines that are released regardless of demand: failed or unfit ones, and those whose boot
+//! takes too long.
 
 use std::time::{Duration, Instant};
 
@@ -18,7 +18,7 @@
 /// A machine is released when the cloud has listed it as running for this long without a heartbeat.
 const FIRST_HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Returns the machines to release whatever the demand, without those already being released.
+/// Returns the machines to release regardless of demand, without those already being released.
 pub(in crate::fleet) fn releases(cluster: &Cluster, now: Instant) -> Vec<Release> {
     let isolated = is_isolated(cluster, now);
     let machines = cluster
--- a/src/fleet/scale_in/idle.rs
+++ b/src/fleet/scale_in/idle.rs
@@ -82,7 +82,7 @@
         ..
     } = *fleet_view;
     // A recently elected leader has recorded too few arrivals to rule out classes without any.
-    let recently_elected = now.saturating_duration_since(cluster.since) < ARRIVALS_KEPT;
+    let new_leader = now.saturating_duration_since(cluster.since) < ARRIVALS_KEPT;
     let replacement_price = likely_replacement_price(machine_type, machine, capacity_backoff, now);
     let price_ratio = (replacement_price / machine_type.price_of(machine.spot)).clamp(0.0, 1.0);
     let is_urgent = machine
@@ -94,9 +94,7 @@
         NON_URGENT_KEEP_FACTOR
     };
     let pool = machine.pool.and_then(|pool| cluster.pools.get(pool));
-    let likelihood = pool.map_or(0.0, |pool| {
-        trend.pool_likelihood(pool, machine_type, recently_elected)
-    });
+    let likelihood = pool.map_or(0.0, |pool| trend.for_pool(pool, machine_type, new_leader));
     replacement_time(machine, machine_type)
         .mul_f64(price_ratio)
         .mul_f64(urgency_factor)
--- a/src/fleet/scale_out/mod.rs
+++ b/src/fleet/scale_out/mod.rs
@@ -117,10 +117,8 @@
                 return;
             }
         }
-        let latest_start = demand.complete_by.checked_sub(spec.estimate());
-        let slack = latest_start.map_or(Duration::ZERO, |start| {
-            start.saturating_duration_since(self.now)
-        });
+        let start_by = demand.complete_by.checked_sub(spec.estimate());
+        let slack = start_by.map_or(Duration::ZERO, |at| at.saturating_duration_since(self.now));
         let mut limits = PackingLimits {
             zone: zone.as_deref(),
             wait_s: slack.as_secs_f64() * RELEASE_WAIT_SLACK_PART,
@@ -151,7 +149,7 @@
                 .sum();
             let missing = demand.tasks.saturating_sub(fitting);
             let price = match self.cheapest_first(&usable).first() {
-                Some(first) => first.price,
+                Some(first) => first.hourly_price,
                 None if missing == 0 => 0.0,
                 None => continue,
             };
@@ -205,7 +203,8 @@
                 if remaining == 0 || fitting == 0 || !in_time {
                     continue;
                 }
-                // A release serves only one task, whatever its size, since estimates may be wrong.
+                // A release serves only one task, regardless of its size, since estimates may be
+                // wrong.
                 let packed = if bin.released_after_s.is_some() {
                     1
                 } else {
--- a/src/fleet/scale_out/options.rs
+++ b/src/fleet/scale_out/options.rs
@@ -26,8 +26,8 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PricedOption {
     pub(super) usable: UsableOption,
-    /// The price per hour of the part of a machine that one task takes.
-    pub(super) price: f64,
+    /// The hourly price of a machine divided by the tasks that fit it.
+    pub(super) hourly_price: f64,
 }
 
 /// Returns all pools that the catalog offers: every combination of machine type, zone, and spot or
@@ -106,10 +106,11 @@
             } = &options[usable.option];
             PricedOption {
                 usable: *usable,
-                price: machine_type.price_of(pool.spot) / f64::from(usable.tasks_per_machine),
+                hourly_price: machine_type.price_of(pool.spot)
+                    / f64::from(usable.tasks_per_machine),
             }
         })
         .collect();
-    priced.sort_by(|a, b| a.price.total_cmp(&b.price));
+    priced.sort_by(|a, b| a.hourly_price.total_cmp(&b.hourly_price));
     priced
 }
--- a/src/fleet/scale_out/spare.rs
+++ b/src/fleet/scale_out/spare.rs
@@ -13,7 +13,7 @@
 const SPARE_DEVIATIONS: f64 = 3.0;
 /// The shortest time over which arrivals are averaged, so that the first arrivals under a new
 /// leader don't appear as a high rate. The longest is twice that.
-const ARRIVAL_WINDOW_MIN: Duration = Duration::from_secs(90);
+const RATE_WINDOW_MIN: Duration = Duration::from_secs(90);
 
 /// Recent arrivals of an urgent class.
 struct RecentArrivals<'a> {
@@ -33,7 +33,7 @@
         let window = self
             .now
             .saturating_duration_since(self.cluster.since)
-            .clamp(ARRIVAL_WINDOW_MIN, ARRIVAL_WINDOW_MIN * 2);
+            .clamp(RATE_WINDOW_MIN, RATE_WINDOW_MIN * 2);
         for (_, RecentArrivals { tasks, spec }) in self.urgent_arrivals(window) {
             let usable = self.usable_options(spec, None);
             let cheapest = self.cheapest_first(&usable);
@@ -46,7 +46,7 @@
             let expected_tasks = tasks / window.as_secs_f64() * boot.as_secs_f64();
             let spare_tasks = (expected_tasks + SPARE_DEVIATIONS * expected_tasks.sqrt())
                 * idle_policy.spare_factor;
-            let spare_tasks = spare_tasks * trend.class_likelihood(spec);
+            let spare_tasks = spare_tasks * trend.for_class(spec);
             let mut unconstrained = spec.clone();
             unconstrained.single_zone = false;
             unconstrained.zone_spread = false;
--- a/src/sched/allocate.rs
+++ b/src/sched/allocate.rs
@@ -50,12 +50,7 @@
     pub fn assignments(&self, capacity: &CapacityIndex) -> Vec<(u32, MachineId)> {
         let members = self.members.iter();
         members
-            .map(|(task_index, machine_index)| {
-                (
-                    *task_index,
-                    capacity.machines[*machine_index].machine.id.clone(),
-                )
-            })
+            .map(|(task, index)| (*task, capacity.machines[*index].machine.id.clone()))
             .collect()
     }
 }
@@ -250,12 +245,8 @@
     // Machines on which this job failed are excluded, unless it failed on as many as take tasks
     // now.
     let all_failed = capacity.machines.len() <= job.failed_on.len();
-    let eligible = |index: &usize| {
-        all_failed
-            || !job
-                .failed_on
-                .contains(&capacity.machines[*index].machine.id)
-    };
+    let eligible =
+        |i: &usize| all_failed || !job.failed_on.contains(&capacity.machines[*i].machine.id);
     capacity
         .fitting(pools, &request.spec.task_resources)
         .filter(eligible)
@@ -277,8 +268,8 @@
     zone: Option<&str>,
     capacity: &CapacityIndex,
 ) -> Vec<PoolId> {
-    let time_since_submission = view.now.saturating_duration_since(job.submitted);
-    if near_start_deadline(job, time_since_submission) {
+    let age = view.now.saturating_duration_since(job.submitted);
+    if near_start_deadline(job, age) {
         // The job has to start now, at any price.
         capacity.all_pools_for(&job.spec, zone)
     } else {
--- a/src/sched/cycle.rs
+++ b/src/sched/cycle.rs
@@ -135,7 +135,7 @@
     /// gang, or if [`RESERVE_AFTER_BARRIER_TIMEOUTS`] have passed since its submission.
     fn reserve_for_pending_gang(&mut self, job: &Job, missing: &[u32], allocation: &Allocation) {
         let SchedulingView { cluster, now, .. } = self.view;
-        let time_since_submission = now.saturating_duration_since(job.submitted);
+        let age = now.saturating_duration_since(job.submitted);
         if let Some(reservation) = job.capacity_reserved(now) {
             // Otherwise the preempted tasks would restart on the capacity that they have freed.
             let classes = &self.latency_sensitive;
@@ -148,9 +148,7 @@
                 capacity_and_zone,
             );
             self.reserve(job, &allocation);
-        } else if time_since_submission
-            >= cluster.timing.gang_barrier_timeout * RESERVE_AFTER_BARRIER_TIMEOUTS
-        {
+        } else if age >= cluster.timing.gang_barrier_timeout * RESERVE_AFTER_BARRIER_TIMEOUTS {
             self.reserve(job, allocation);
         }
     }
@@ -209,13 +207,11 @@
 
     /// Returns how many tasks of an array may start in this cycle.
     fn start_limit(&self, job: &Job) -> usize {
-        let time_since_submission = self.view.now.saturating_duration_since(job.submitted);
+        let age = self.view.now.saturating_duration_since(job.submitted);
         let best_effort = job.spec.priority == Priority::BestEffort;
         match (job.suspected(), job.has_placements()) {
             // Only the first task may use machines above the price cap.
-            (false, _) if best_effort && order::near_start_deadline(job, time_since_submission) => {
-                1
-            }
+            (false, _) if best_effort && order::near_start_deadline(job, age) => 1,
             (false, _) => STARTS_PER_JOB_MAX,
             // One task is enough to find out whether the job still fails.
             (true, false) => 1,
@@ -249,7 +245,7 @@
         self.decisions.unmet_demand.push(UnmetDemand {
             spec: job.spec.clone(),
             tasks,
-            submitted: job.submitted,
+            submitted_at: job.submitted,
             complete_by: entry.complete_by,
             zone,
         });
--- a/src/sched/order.rs
+++ b/src/sched/order.rs
@@ -153,9 +153,9 @@
 impl QueueKey {
     fn new(entry: &QueueEntry, contested: bool, now: Instant) -> Self {
         let job = entry.job;
-        let time_since_submission = now.saturating_duration_since(job.submitted);
+        let age = now.saturating_duration_since(job.submitted);
         let priority = Reverse(job.spec.priority);
-        if near_start_deadline(job, time_since_submission) && !job.suspected() {
+        if near_start_deadline(job, age) && !job.suspected() {
             return Self {
                 suspected: false,
                 priority,
@@ -180,8 +180,8 @@
 
 /// Whether no task of a job has ever started although the job has been pending for so long that it
 /// has to be considered first to start by [`START_DEADLINE`].
-pub(super) fn near_start_deadline(job: &Job, time_since_submission: Duration) -> bool {
-    time_since_submission >= START_DEADLINE / START_DEADLINE_DIVISOR
+pub(super) fn near_start_deadline(job: &Job, age: Duration) -> bool {
+    age >= START_DEADLINE / START_DEADLINE_DIVISOR
         && !job.has_placements()
         && job.done.is_empty()
         && job.first_running_at.is_none()
--- a/src/sched/preempt/mod.rs
+++ b/src/sched/preempt/mod.rs
@@ -108,7 +108,7 @@
             return;
         };
         // A gang can't start with capacity for only some of its members.
-        if job.gang() && plan.served_tasks != tasks {
+        if job.gang() && plan.served != tasks {
             return;
         }
         if job.gang() {
@@ -140,11 +140,7 @@
                 .find_plan(zone.as_deref(), tasks)
                 .map(|plan| (plan, zone))
         });
-        plans.min_by(|(a, _), (b, _)| {
-            b.served_tasks
-                .cmp(&a.served_tasks)
-                .then(a.cost_s.total_cmp(&b.cost_s))
-        })
+        plans.min_by(|(a, _), (b, _)| b.served.cmp(&a.served).then(a.cost_s.total_cmp(&b.cost_s)))
     }
 
     fn apply_plan(&mut self, plan: PreemptionPlan<'a>, decisions: &mut Decisions) {
--- a/src/sched/preempt/releases.rs
+++ b/src/sched/preempt/releases.rs
@@ -7,7 +7,7 @@
 use crate::sched::order::QueueEntry;
 
 /// The approximate time to terminate a task, save its checkpoint and start another. A job waits for
-/// capacity that is released sooner than that, whatever its objectives.
+/// capacity that is released sooner than that, regardless of its objectives.
 pub(super) const RELEASE_WAIT_MIN_S: f64 = 12.0;
 
 /// Returns how many seconds a job may wait for releases and still meet its start objective, given
@@ -20,11 +20,9 @@
         now,
     } = view;
     let spec = &entry.job.spec;
-    let time_since_submission = now.saturating_duration_since(entry.job.submitted);
+    let age = now.saturating_duration_since(entry.job.submitted);
     let within = policy.start_objectives.get(&spec.class);
-    let time_left = within.map_or(Duration::ZERO, |within| {
-        within.saturating_sub(time_since_submission)
-    });
+    let time_left = within.map_or(Duration::ZERO, |within| within.saturating_sub(age));
     let usable = cluster.catalog().iter().filter(|machine_type| {
         let allowed = |zone: &String| spec.allows(&machine_type.name, zone, false);
         spec.task_resources.fits(&machine_type.capacity) && machine_type.zones.iter().any(allowed)
--- a/src/sched/preempt/victims.rs
+++ b/src/sched/preempt/victims.rs
@@ -15,7 +15,7 @@
     /// Resources that each team uses after these terminations.
     pub(super) team_use: HashMap<&'a str, Resources>,
     /// The number of the preemptor's tasks that get capacity.
-    pub(super) served_tasks: u32,
+    pub(super) served: u32,
     /// Lost run time and image pulls, summed over all terminations.
     pub(super) cost_s: f64,
     /// The tasks to terminate, in the order in which they were selected.
@@ -80,7 +80,7 @@
         let pools = self.capacity.pools_for(&self.preemptor.job.spec, zone);
         let mut plan = PreemptionPlan {
             team_use: self.team_use.clone(),
-            served_tasks: 0,
+            served: 0,
             cost_s: 0.0,
             victims: Vec::new(),
             reserved: BTreeMap::new(),
@@ -91,7 +91,7 @@
         for (index, _) in machines.filter(|(_, machine)| pools.contains(&machine.pool)) {
             options.extend(self.cheapest_option(index, &plan, &victims).map(Reverse));
         }
-        while plan.served_tasks < tasks {
+        while plan.served < tasks {
             let Some(Reverse(best)) = options.pop() else {
                 break;
             };
@@ -108,7 +108,7 @@
             self.add_to_plan(best, &mut plan, &mut victims);
             options.extend(self.cheapest_option(index, &plan, &victims).map(Reverse));
         }
-        (plan.served_tasks > 0).then_some(plan)
+        (plan.served > 0).then_some(plan)
     }
 
     fn add_to_plan(
@@ -118,7 +118,7 @@
         victims: &mut HashSet<(MachineId, InstanceId)>,
     ) {
         let machine = &self.capacity.machines[option.machine_index].machine.id;
-        plan.served_tasks += 1;
+        plan.served += 1;
         plan.cost_s += option.cost_s;
         let reserved_before = self.reserved.get(machine).copied();
         let reserved = plan.reserved.entry(machine.clone());
