--- a/examples/row_cost.rs
+++ b/examples/row_cost.rs
@@ -59,8 +59,8 @@
         let at = start + Duration::from_secs(3 * sequence);
         for number in 0..workers {
             let links = &controllers[number % count].links;
-            links.worker_reported(&heartbeat(number, sequence), at);
-            links.worker_answered(&format!("m-{number:06}"));
+            links.record_worker_heartbeat(&heartbeat(number, sequence), at);
+            links.record_worker_response(&format!("m-{number:06}"));
         }
     }
     let per_report = began.elapsed() / (2 * workers as u32);
--- a/src/actors/forward.rs
+++ b/src/actors/forward.rs
@@ -12,8 +12,10 @@
 use awc::Client;
 use tracing::{debug, info};
 
-use crate::forwarding::messages::{BatchAnswer, HeartbeatBatch, BATCH_BODY_LIMIT, BATCH_VERSION};
-use crate::forwarding::{batch_delay, QueuedHeartbeat, UpstreamFailure, BATCH_LIMIT};
+use crate::forwarding::messages::{
+    BatchAnswer, HeartbeatBatch, BATCH_BODY_BYTES_MAX, BATCH_VERSION,
+};
+use crate::forwarding::{batch_delay, QueuedHeartbeat, UpstreamFailure, BATCH_TIMEOUT};
 use crate::leader::{LeaderHint, Role};
 use crate::peer::heartbeats::HEARTBEATS;
 use crate::peer::{self, BINCODE};
@@ -91,7 +93,7 @@
         let outcome = self.send(&leader, address, &batch).await;
         match outcome {
             Ok(answer) => {
-                self.shared.forwarding.lock().succeeded(&leader);
+                self.shared.forwarding.lock().record_batch_success(&leader);
                 for (queued, answer) in batch.into_iter().zip(answer.answers) {
                     queued.answer(answer);
                 }
@@ -111,7 +113,7 @@
                 );
                 let now = Instant::now();
                 let mut forwarding = self.shared.forwarding.lock();
-                forwarding.failed(&leader, failure, now);
+                forwarding.record_batch_failure(&leader, failure, now);
                 // Only now: the waiting handlers read the state of the path to answer their agents.
                 drop(batch);
             }
@@ -146,11 +148,11 @@
         let sent = self
             .http
             .post(format!("http://{address}{HEARTBEATS}"))
-            .timeout(BATCH_LIMIT)
+            .timeout(BATCH_TIMEOUT)
             .content_type(BINCODE)
             .send_body(body);
         let mut answer = sent.await.map_err(|error| failure_of(&error))?;
-        let bytes = answer.body().limit(BATCH_BODY_LIMIT).await;
+        let bytes = answer.body().limit(BATCH_BODY_BYTES_MAX).await;
         let bytes = bytes.map_err(|_| UpstreamFailure::Unresponsive)?;
         match answer.status() {
             StatusCode::OK => decode_answer(&bytes, batch.len()),
--- a/src/actors/links.rs
+++ b/src/actors/links.rs
@@ -76,7 +76,7 @@
         let paused = now.saturating_duration_since(self.last_tick) > PAUSED_AFTER;
         self.last_tick = now;
         if paused {
-            active.stood_still(now);
+            active.resume_after_pause(now);
         }
         active.evaluate(now);
         let leads = self.shared.election.lock().leadership(now);
@@ -125,7 +125,7 @@
                 return;
             };
             let answered = answer.is_ok();
-            active.peer_asked(&member, sent, answered, Instant::now());
+            active.record_peer_request(&member, sent, answered, Instant::now());
             let mut answer = match answer {
                 Ok(answer) => answer,
                 Err(error) => return debug!(%error, member, "row not answered"),
@@ -135,7 +135,7 @@
             if answer.status() == StatusCode::NOT_FOUND {
                 own.do_send(Unsupported(member));
             } else if let Some(reply) = peer::decode::<RowReply>(&body) {
-                active.row_answered(reply);
+                active.handle_row_reply(reply);
             }
         });
     }
--- a/src/api/links.rs
+++ b/src/api/links.rs
@@ -135,8 +135,8 @@
         suppressed,
         matrix,
         decisions: decisions.collect(),
-        rows_taken: active.rows_taken.load(Ordering::Relaxed),
-        rows_refused: active.rows_refused.load(Ordering::Relaxed),
+        rows_taken: active.rows_accepted.load(Ordering::Relaxed),
+        rows_refused: active.rows_rejected.load(Ordering::Relaxed),
     }
 }
 
--- a/src/api/users/mod.rs
+++ b/src/api/users/mod.rs
@@ -27,7 +27,7 @@
 /// `GET /up`
 pub async fn health(shared: web::Data<Shared>) -> HttpResponse {
     shared.metrics.lock().requests.health_checks += 1;
-    if shared.fit_for_requests(Instant::now()) {
+    if shared.can_serve_requests(Instant::now()) {
         HttpResponse::Ok().finish()
     } else {
         HttpResponse::ServiceUnavailable().finish()
--- a/src/api/workers.rs
+++ b/src/api/workers.rs
@@ -7,7 +7,7 @@
 
 use super::{cbor, problem};
 use crate::forwarding::messages::ForwardedAnswer;
-use crate::forwarding::{ForwardingRoute, PendingHeartbeat, QueueFull, ANSWER_LIMIT};
+use crate::forwarding::{ForwardingRoute, PendingHeartbeat, QueueFull, RELAY_TIMEOUT};
 use crate::leader::{LeaderHint, Role};
 use crate::model::FencingToken;
 use crate::service::heartbeats::{decide, HeartbeatDecision};
@@ -76,10 +76,10 @@
         Ok(heartbeat) => heartbeat,
         Err(error) => return HeartbeatOutcome::Answered(malformed(&error)),
     };
-    shared.links.worker_reported(&heartbeat, clock());
+    shared.links.record_worker_heartbeat(&heartbeat, clock());
     HeartbeatOutcome::Answered(match decide(shared, &heartbeat, term, clock) {
         HeartbeatDecision::Accepted(answer) => {
-            shared.links.worker_answered(&heartbeat.machine);
+            shared.links.record_worker_response(&heartbeat.machine);
             cbor(StatusCode::OK, &answer)
         }
         HeartbeatDecision::NotLeading => unavailable(Unavailable::LeadershipChanging),
@@ -147,7 +147,7 @@
         let answer = unavailable(Unavailable::NewerLeaderKnown);
         return HeartbeatOutcome::Answered(answer);
     }
-    shared.links.worker_reported(&heartbeat, now);
+    shared.links.record_worker_heartbeat(&heartbeat, now);
     let queued = shared.forwarding.lock().enqueue(heartbeat, body.len(), now);
     match queued {
         Ok(pending) => {
@@ -168,14 +168,14 @@
 }
 
 async fn await_leader(shared: &Shared, mut pending: PendingHeartbeat) -> HttpResponse {
-    let answer = actix::clock::timeout(ANSWER_LIMIT, &mut pending.answer).await;
+    let answer = actix::clock::timeout(RELAY_TIMEOUT, &mut pending.answer).await;
     let answer = answer.ok().and_then(Result::ok);
     let now = Instant::now();
     match answer {
         Some(answer) => {
             let relayed = relay_response(&pending, answer, now);
             if relayed.status() == StatusCode::OK {
-                shared.links.worker_answered(&pending.machine);
+                shared.links.record_worker_response(&pending.machine);
             }
             relayed
         }
--- a/src/forwarding/messages.rs
+++ b/src/forwarding/messages.rs
@@ -9,7 +9,7 @@
 pub const BATCH_VERSION: u16 = 1;
 /// Largest body of a batch that is accepted. Senders stay well below it, see
 /// [`crate::forwarding::BATCH_BYTES_MAX`].
-pub const BATCH_BODY_LIMIT: usize = 1024 * 1024;
+pub const BATCH_BODY_BYTES_MAX: usize = 1024 * 1024;
 
 /// Heartbeats that arrived at a follower at about the same time.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
--- a/src/forwarding/mod.rs
+++ b/src/forwarding/mod.rs
@@ -20,9 +20,9 @@
 
 /// An agent drops a response 4 s after it sent the heartbeat. No response is relayed later than this
 /// after the heartbeat arrived: the rest is for its way here and back.
-pub const ANSWER_LIMIT: Duration = Duration::from_millis(3500);
+pub const RELAY_TIMEOUT: Duration = Duration::from_millis(3500);
 /// Time for the leader's response to a batch.
-pub const BATCH_LIMIT: Duration = Duration::from_millis(2500);
+pub const BATCH_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Batches in flight at once: one that is answered late delays only the next but one.
 pub const BATCHES_IN_FLIGHT: usize = 2;
 /// Heartbeats in a batch.
@@ -143,7 +143,7 @@
     /// Whether the agent is still waiting, and accepts commands of this term.
     fn is_deliverable(&self, leader: &LeaderHint, now: Instant) -> bool {
         let waited = now.saturating_duration_since(self.received);
-        !self.answer.is_closed() && waited < ANSWER_LIMIT && self.token.term() <= leader.term
+        !self.answer.is_closed() && waited < RELAY_TIMEOUT && self.token.term() <= leader.term
     }
 }
 
@@ -153,7 +153,7 @@
     /// The machine.
     pub machine: String,
     /// When the heartbeat arrived.
-    pub received: Instant,
+    pub received_at: Instant,
     /// The highest fencing token that the agent had seen.
     token: u64,
     /// Resolves to the leader's response, or fails if there will be none.
@@ -168,7 +168,7 @@
         answer: ForwardedAnswer,
         now: Instant,
     ) -> Option<HeartbeatResponse> {
-        let in_time = now.saturating_duration_since(self.received) < ANSWER_LIMIT;
+        let in_time = now.saturating_duration_since(self.received_at) < RELAY_TIMEOUT;
         let answer = answer.accepted().filter(|_| in_time)?;
         (answer.token >= self.token).then_some(answer)
     }
@@ -250,7 +250,7 @@
         });
         Ok(PendingHeartbeat {
             machine,
-            received: now,
+            received_at: now,
             token,
             answer: receiver,
         })
@@ -307,7 +307,7 @@
     }
 
     /// A batch to this leader was answered.
-    pub fn succeeded(&mut self, leader: &LeaderHint) {
+    pub fn record_batch_success(&mut self, leader: &LeaderHint) {
         self.in_flight = self.in_flight.saturating_sub(1);
         if self
             .failure
@@ -320,7 +320,12 @@
 
     /// A batch to this leader was not answered. It is not repeated, since it may have been accepted; what
     /// waits behind it is dropped as well.
-    pub fn failed(&mut self, leader: &LeaderHint, failure: UpstreamFailure, now: Instant) {
+    pub fn record_batch_failure(
+        &mut self,
+        leader: &LeaderHint,
+        failure: UpstreamFailure,
+        now: Instant,
+    ) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.failure = Some(FailedPath {
             leader: leader.clone(),
--- a/src/forwarding/tests.rs
+++ b/src/forwarding/tests.rs
@@ -67,7 +67,8 @@
 
     fn fail(&mut self, failure: UpstreamFailure, ms: u64) {
         let now = self.at(ms);
-        self.forwarding.failed(&leader(3), failure, now);
+        self.forwarding
+            .record_batch_failure(&leader(3), failure, now);
     }
 
     fn route(&self, term: u64, ms: u64) -> ForwardingRoute {
@@ -86,7 +87,7 @@
         assert_eq!(batch.is_some(), expected, "report {sequence}");
         std::mem::forget(batch);
     }
-    follower.forwarding.succeeded(&leader(3));
+    follower.forwarding.record_batch_success(&leader(3));
     assert_eq!(follower.batch(3, 1).unwrap().len(), 2);
 }
 
@@ -165,7 +166,7 @@
         let probe = follower.queue(2, over);
         std::mem::forget(follower.batch(3, over));
         assert_eq!(follower.route(3, over), told, "one tries the path");
-        follower.forwarding.succeeded(&leader(3));
+        follower.forwarding.record_batch_success(&leader(3));
         assert_eq!(follower.route(3, over), ForwardingRoute::Forward);
         drop((pending, probe));
     }
@@ -187,7 +188,7 @@
 
     let mut late = Follower::new();
     let waits = late.queue(1, 0);
-    let limit = ANSWER_LIMIT.as_millis() as u64;
+    let limit = RELAY_TIMEOUT.as_millis() as u64;
     assert!(late.batch(3, limit).is_none(), "the worker has given up");
     drop(waits);
 }
@@ -200,7 +201,7 @@
     let now = follower.at(0);
     let heartbeat = heartbeat(1, FencingToken(seen));
     let pending = follower.forwarding.enqueue(heartbeat, 200, now).unwrap();
-    let limit = ANSWER_LIMIT.as_millis() as u64;
+    let limit = RELAY_TIMEOUT.as_millis() as u64;
     let relayed = |token, ms| pending.relayed_response(accepted(token), follower.at(ms));
     assert!(relayed(seen, limit - 1).is_some());
     assert!(relayed(seen + 1, 10).is_some());
--- a/src/peer/links.rs
+++ b/src/peer/links.rs
@@ -32,9 +32,9 @@
     wall: SystemTime,
 ) -> Result<RowReply, RowRejection> {
     match decode_row(bytes) {
-        Ok(message) => active.take_row(message, now, unix_ms(wall)),
+        Ok(message) => active.accept_row(message, now, unix_ms(wall)),
         Err(why) => {
-            active.refuse_row("", why);
+            active.record_row_rejection("", why);
             Err(why)
         }
     }
@@ -63,7 +63,7 @@
     let taken = match body {
         Ok(bytes) => take_bytes(active, &bytes, Instant::now(), SystemTime::now()),
         Err(_) => {
-            active.refuse_row("", RowRejection::Body);
+            active.record_row_rejection("", RowRejection::Body);
             Err(RowRejection::Body)
         }
     };
--- a/src/peer/links/tests.rs
+++ b/src/peer/links/tests.rs
@@ -93,7 +93,7 @@
     let kept = matrix.row("knot-1", Instant::now()).unwrap();
     assert_eq!(kept.message.sequence, 2);
     drop(matrix);
-    assert_eq!(active.rows_taken.load(Ordering::Relaxed), 1);
+    assert_eq!(active.rows_accepted.load(Ordering::Relaxed), 1);
     assert!(next.len() < ROW_BYTES_MAX);
 }
 
@@ -110,7 +110,7 @@
     assert_eq!(reply.newest_incarnation, 5, "refused, and told why");
     let now = Instant::now();
     let incarnation = active.next_row(None, now, wall()).message.incarnation;
-    active.row_answered(RowReply {
+    active.handle_row_reply(RowReply {
         newest_incarnation: incarnation,
     });
     assert_eq!(
@@ -118,7 +118,7 @@
         incarnation,
         "its own"
     );
-    active.row_answered(RowReply {
+    active.handle_row_reply(RowReply {
         newest_incarnation: incarnation + 7,
     });
     assert_eq!(
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -62,7 +62,7 @@
         .service(
             web::resource(heartbeats::HEARTBEATS)
                 .app_data(web::PayloadConfig::new(
-                    crate::forwarding::messages::BATCH_BODY_LIMIT,
+                    crate::forwarding::messages::BATCH_BODY_BYTES_MAX,
                 ))
                 .route(web::post().to(heartbeats::receive_batch)),
         )
--- a/src/peer/summary.rs
+++ b/src/peer/summary.rs
@@ -23,7 +23,7 @@
         .election
         .lock()
         .observe_leader(summary.term, &summary.member);
-    shared.links.summary_received(Instant::now());
+    shared.links.record_summary(Instant::now());
     let misdirected = shared.forwarding.misdirected();
     let reply = encode(&SummaryReply { misdirected }).unwrap_or_default();
     let mut response = if shared.summary_cache.lock().apply(summary) {
--- a/src/service/links/active.rs
+++ b/src/service/links/active.rs
@@ -33,9 +33,9 @@
     incarnation: AtomicU64,
     sequence: AtomicU64,
     /// Rows accepted.
-    pub rows_taken: AtomicU64,
+    pub rows_accepted: AtomicU64,
     /// Rows rejected.
-    pub rows_refused: AtomicU64,
+    pub rows_rejected: AtomicU64,
     handovers: AtomicU64,
 }
 
@@ -57,8 +57,8 @@
             snapshot,
             incarnation: AtomicU64::new(unix_ms(SystemTime::now())),
             sequence: AtomicU64::new(0),
-            rows_taken: AtomicU64::new(0),
-            rows_refused: AtomicU64::new(0),
+            rows_accepted: AtomicU64::new(0),
+            rows_rejected: AtomicU64::new(0),
             handovers: AtomicU64::new(0),
         }
     }
@@ -101,13 +101,13 @@
     }
 
     /// This process was paused; the links are judged anew.
-    pub fn stood_still(&self, now: Instant) {
+    pub fn resume_after_pause(&self, now: Instant) {
         self.table.lock().resume(now);
         self.leadership.lock().reset();
     }
 
     /// A request to a peer was answered or not.
-    pub fn peer_asked(&self, member: &str, sent: Instant, answered: bool, now: Instant) {
+    pub fn record_peer_request(&self, member: &str, sent: Instant, answered: bool, now: Instant) {
         let change = self.table.lock().peer_request(member, sent, answered, now);
         log_changes(change.as_slice());
     }
@@ -145,7 +145,7 @@
     }
 
     /// Takes another controller's row.
-    pub fn take_row(
+    pub fn accept_row(
         &self,
         message: RowMessage,
         now: Instant,
@@ -155,12 +155,12 @@
         let taken = Row::check(message).and_then(|row| self.matrix.lock().take(row, now, wall_ms));
         match taken {
             Ok(()) => {
-                self.rows_taken.fetch_add(1, Ordering::Relaxed);
+                self.rows_accepted.fetch_add(1, Ordering::Relaxed);
                 let change = self.table.lock().peer_row(&member, now);
                 log_changes(change.as_slice());
             }
             Err(why) => {
-                self.refuse_row(&member, why);
+                self.record_row_rejection(&member, why);
                 // The reply names the newer incarnation: a process whose clock is behind takes a higher one.
                 if why != RowRejection::FormerIncarnation {
                     return Err(why);
@@ -179,8 +179,8 @@
     }
 
     /// Counts a rejected row, and logs it once.
-    pub fn refuse_row(&self, member: &str, why: RowRejection) {
-        self.rows_refused.fetch_add(1, Ordering::Relaxed);
+    pub fn record_row_rejection(&self, member: &str, why: RowRejection) {
+        self.rows_rejected.fetch_add(1, Ordering::Relaxed);
         if self.matrix.lock().should_log_rejection(member, why) {
             warn!(member, reason = %why, "row rejected");
         }
@@ -188,7 +188,7 @@
 
     /// A peer answered a row. It may know a higher incarnation under this name, if the time of day was
     /// ahead then; rows of a lower incarnation would be rejected for ever.
-    pub fn row_answered(&self, reply: RowReply) {
+    pub fn handle_row_reply(&self, reply: RowReply) {
         let incarnation = self.incarnation.load(Ordering::Relaxed);
         if reply.newest_incarnation > incarnation {
             info!(
@@ -239,8 +239,8 @@
             (table.gate_refused_for(now), table.suppressed().len())
         };
         LinkMetrics {
-            rows_taken: self.rows_taken.load(Ordering::Relaxed),
-            rows_refused: self.rows_refused.load(Ordering::Relaxed),
+            rows_taken: self.rows_accepted.load(Ordering::Relaxed),
+            rows_refused: self.rows_rejected.load(Ordering::Relaxed),
             gate_refused_s: refused_for.as_secs_f64(),
             suppressed,
             handovers: self.handovers.load(Ordering::Relaxed),
--- a/src/service/links/mod.rs
+++ b/src/service/links/mod.rs
@@ -100,7 +100,7 @@
     }
 
     /// A state summary of a leader arrived.
-    pub fn summary_received(&self, now: Instant) {
+    pub fn record_summary(&self, now: Instant) {
         self.evidence.lock().last_summary = Some(now);
     }
 
@@ -124,7 +124,7 @@
 
     /// Whether this node can take requests, judged by its links; `has_peers` if it is not the only one.
     /// In an outage that all nodes share, no node is better than another, and all go on.
-    pub fn fit_for_requests(&self, loaded: bool, has_peers: bool, now: Instant) -> bool {
+    pub fn can_serve_requests(&self, loaded: bool, has_peers: bool, now: Instant) -> bool {
         let evidence = self.evidence.lock();
         evidence.fit_for_requests(loaded, has_peers, now)
     }
@@ -135,7 +135,7 @@
     }
 
     /// A heartbeat arrived at this node, whichever node decides it.
-    pub fn worker_reported(&self, heartbeat: &Heartbeat, now: Instant) {
+    pub fn record_worker_heartbeat(&self, heartbeat: &Heartbeat, now: Instant) {
         if let Some(active) = &self.active {
             let number = worker_number(&heartbeat.machine);
             let newest = (heartbeat.epoch, heartbeat.sequence);
@@ -144,7 +144,7 @@
     }
 
     /// An agent's newest heartbeat was answered with 200 by this node.
-    pub fn worker_answered(&self, machine: &str) {
+    pub fn record_worker_response(&self, machine: &str) {
         if let Some(active) = &self.active {
             active.table.lock().worker_answered(worker_number(machine));
         }
--- a/src/service/mod.rs
+++ b/src/service/mod.rs
@@ -114,10 +114,10 @@
 
     /// Whether this node can take requests. In an outage that all nodes share, no node is better
     /// than another, and all go on.
-    pub fn fit_for_requests(&self, now: Instant) -> bool {
+    pub fn can_serve_requests(&self, now: Instant) -> bool {
         let loaded = self.replica.lock().loaded;
         let has_peers = !self.settings.known.is_empty();
-        self.links.fit_for_requests(loaded, has_peers, now)
+        self.links.can_serve_requests(loaded, has_peers, now)
     }
 
     /// A cancellation is on record: the job's tasks are stopped at once where this node answers for
--- a/tests/common/world/forwarding.rs
+++ b/tests/common/world/forwarding.rs
@@ -7,7 +7,7 @@
 use knotlanding::api::workers::{relay_response, upstream_unavailable};
 use knotlanding::forwarding::messages::{BatchAnswer, HeartbeatBatch, BATCH_VERSION};
 use knotlanding::forwarding::{
-    batch_delay, PendingHeartbeat, QueuedHeartbeat, UpstreamFailure, ANSWER_LIMIT, BATCH_LIMIT,
+    batch_delay, PendingHeartbeat, QueuedHeartbeat, UpstreamFailure, BATCH_TIMEOUT, RELAY_TIMEOUT,
 };
 use knotlanding::leader::Role;
 use knotlanding::peer::heartbeats::{answer_batch, BatchError};
@@ -99,7 +99,10 @@
             };
             if self.peers_refuse {
                 let failure = UpstreamFailure::ConnectionRefused;
-                shared.forwarding.lock().failed(&leader, failure, now);
+                shared
+                    .forwarding
+                    .lock()
+                    .record_batch_failure(&leader, failure, now);
                 continue;
             }
             let message = HeartbeatBatch {
@@ -116,7 +119,7 @@
             let forwarded = &mut self.nodes[n].forwarded;
             forwarded.batches += 1;
             let id = forwarded.batches;
-            let until = self.t + BATCH_LIMIT.as_secs_f64();
+            let until = self.t + BATCH_TIMEOUT.as_secs_f64();
             let underway = Underway {
                 batch,
                 leader: leader.clone(),
@@ -197,7 +200,10 @@
         match answer {
             Ok(bytes) => {
                 let answer: BatchAnswer = decode(&bytes).unwrap();
-                shared.forwarding.lock().succeeded(&underway.leader);
+                shared
+                    .forwarding
+                    .lock()
+                    .record_batch_success(&underway.leader);
                 for (queued, answer) in underway.batch.into_iter().zip(answer.answers) {
                     queued.answer(answer);
                 }
@@ -208,7 +214,7 @@
                 shared
                     .forwarding
                     .lock()
-                    .failed(&underway.leader, failure, now);
+                    .record_batch_failure(&underway.leader, failure, now);
             }
         }
     }
@@ -224,7 +230,7 @@
                 continue;
             };
             let mut forwarding = node.shared.forwarding.lock();
-            forwarding.failed(&underway.leader, UpstreamFailure::Unresponsive, now);
+            forwarding.record_batch_failure(&underway.leader, UpstreamFailure::Unresponsive, now);
         }
     }
 
@@ -233,11 +239,11 @@
         let shared = self.nodes[n].shared.clone();
         let waiting = std::mem::take(&mut self.nodes[n].forwarded.waiting);
         for mut each in waiting {
-            let waited = now.saturating_duration_since(each.pending.received);
+            let waited = now.saturating_duration_since(each.pending.received_at);
             let answer = match (&mut each.pending.answer).now_or_never() {
                 Some(Ok(answer)) => relay_response(&each.pending, answer, now),
                 Some(Err(_)) => upstream_unavailable(&shared, now),
-                None if waited >= ANSWER_LIMIT + Duration::from_millis(1) => {
+                None if waited >= RELAY_TIMEOUT + Duration::from_millis(1) => {
                     upstream_unavailable(&shared, now)
                 }
                 None => {
@@ -247,7 +253,7 @@
             };
             if answer.status() == 200 {
                 self.passed_on += 1;
-                shared.links.worker_answered(&each.pending.machine);
+                shared.links.record_worker_response(&each.pending.machine);
             }
             self.answer_worker(&each.name, (each.epoch, each.number), answer);
         }
--- a/tests/common/world/links.rs
+++ b/tests/common/world/links.rs
@@ -130,7 +130,7 @@
         self.nodes[n].links.looked_at = self.t;
         let now = self.instant();
         if last > 0.0 && self.t - last > STOOD_STILL {
-            active.stood_still(now);
+            active.resume_after_pause(now);
         }
         active.evaluate(now);
         let leads = shared.election.lock().leadership(now);
@@ -233,13 +233,13 @@
                 drop(links);
                 drop(table);
                 if !answered {
-                    active.peer_asked(&member, sent, false, now);
+                    active.record_peer_request(&member, sent, false, now);
                 }
             }
             Some(reply) if self.t - answer.sent <= ROW_LIMIT => {
-                active.peer_asked(&member, sent, true, now);
+                active.record_peer_request(&member, sent, true, now);
                 if let Some(reply) = reply {
-                    active.row_answered(reply);
+                    active.handle_row_reply(reply);
                 }
             }
             Some(_) => {}
@@ -300,7 +300,7 @@
     pub(super) fn number_incarnation(&self, n: usize, incarnation: u64) {
         let base = unix_ms(std::time::SystemTime::now());
         if let Some(active) = self.nodes[n].shared.links.active() {
-            active.row_answered(RowReply {
+            active.handle_row_reply(RowReply {
                 newest_incarnation: base + incarnation * 1_000,
             });
         }
