--- a/src/actors/election.rs
+++ b/src/actors/election.rs
@@ -1,5 +1,6 @@
-//! The actor that owns the election: it renews the lease of a leader, campaigns when there is no leader,
-//! recovers the cluster state of a new term, hands over, and steps down.
+//! The actor that runs the election of one process: it renews the lease while the process leads, campaigns
+//! when there is no leader, recovers the cluster state at the start of a term, hands over leadership, and
+//! steps down.
 
 mod campaign;
 mod handover;
@@ -23,12 +24,12 @@
 use renewal::LeaseRenewals;
 
 /// A timer that fires this late shows that the process lacks processor time.
-const LATE_TIMER: Duration = Duration::from_millis(250);
-/// Pause after a failed attempt. Where several controllers may attempt the same, up to as much again is
-/// added at random.
+const LATE_TIMER_THRESHOLD: Duration = Duration::from_millis(250);
+/// Delay before the next attempt after a failed one. Where several controllers may retry at the same time,
+/// a random delay of up to the same length is added.
 const RETRY_DELAY: Duration = Duration::from_millis(150);
 
-/// The actor.
+/// Runs the election loop of this process until the process ends.
 pub struct ElectionActor {
     shared: Arc<Shared>,
     client: StoreClient,
@@ -36,7 +37,7 @@
 }
 
 impl ElectionActor {
-    /// An election with leases through `client` and writes through `store`.
+    /// Leases are granted, renewed and revoked through `client`; records are written through `store`.
     pub fn new(shared: Arc<Shared>, client: StoreClient, store: Addr<StoreActor>) -> Self {
         Self {
             shared,
@@ -65,7 +66,7 @@
     }
 }
 
-/// The election of one process.
+/// The state of the election loop.
 struct Election {
     shared: Arc<Shared>,
     client: StoreClient,
@@ -73,9 +74,9 @@
     leader_lease: Duration,
     renewal_interval: Duration,
     renewals: LeaseRenewals,
-    /// When a timer last fired late: nothing of this process runs in time then.
+    /// When a timer last fired late, because this process lacked processor time.
     timer_late_at: Cell<Option<Instant>>,
-    /// Since when the replica shows no leader, as far as it was looked at.
+    /// When a campaign was first considered since the replica last showed a leader.
     no_leader_since: Cell<Option<Instant>>,
 }
 
@@ -83,18 +84,19 @@
     async fn run(self) {
         loop {
             let wait = self.step().await;
-            let woken = self.shared.wake_ups.election.notified();
-            let due = Instant::now() + wait;
-            // Whether woken or not, the next step looks at everything again.
-            let _ = actix::clock::timeout(wait, woken).await;
+            let notification = self.shared.wake_ups.election.notified();
+            let due_at = Instant::now() + wait;
+            // Whether the loop was notified or the wait timed out, the next step reads the whole state
+            // again.
+            let _ = actix::clock::timeout(wait, notification).await;
             let now = Instant::now();
-            if now.saturating_duration_since(due) > LATE_TIMER {
+            if now.saturating_duration_since(due_at) > LATE_TIMER_THRESHOLD {
                 self.timer_late_at.set(Some(now));
             }
         }
     }
 
-    /// Acts on the leader's record once. Returns when the next step is due at the latest.
+    /// Acts once on the leader's record. Returns the longest time until the next step.
     async fn step(&self) -> Duration {
         let (loaded, revision, leader) = {
             let replica = self.shared.replica.lock();
@@ -109,14 +111,15 @@
         };
         self.no_leader_since.set(None);
         if self.shared.election.lock().is_own_record(&leader.record) {
-            self.lead(&leader, revision).await
+            self.act_as_leader(&leader, revision).await
         } else {
-            self.follow(&leader.record).await
+            self.act_as_follower(&leader.record).await
         }
     }
 
-    /// Recovers, hands over or renews, when the own record is the leader's.
-    async fn lead(&self, leader: &Versioned<LeaderRecord>, revision: u64) -> Duration {
+    /// Recovers the cluster state, hands over leadership or renews the lease, when this process wrote the
+    /// leader's record.
+    async fn act_as_leader(&self, leader: &Versioned<LeaderRecord>, revision: u64) -> Duration {
         let recovered = self.shared.election.lock().own_term().is_some();
         if !recovered && revision >= leader.version {
             self.recover(&leader.record, leader.version);
@@ -128,13 +131,15 @@
         self.renew_lease()
     }
 
-    /// Gives up any lease, when another record is the leader's.
-    async fn follow(&self, leader: &LeaderRecord) -> Duration {
+    /// Relinquishes the lease, if one is held, when another process wrote the leader's record, and
+    /// revokes the lease of that process if it was an earlier one of this controller.
+    async fn act_as_follower(&self, leader: &LeaderRecord) -> Duration {
         self.relinquish_lease().await;
         if leader.member != self.shared.settings.member {
             return self.renewal_interval;
         }
-        // The own name under a lease that is not held: an earlier process under this name has ended.
+        // The record has this controller's name, but a lease that this process does not hold: an earlier
+        // process of this controller wrote it and has ended.
         info!(
             term = leader.term.0,
             "revoking the lease of an earlier incarnation"
@@ -157,12 +162,14 @@
             return;
         };
         self.store.do_send(SetLeading(false));
-        // Without an answer the lease expires by itself; revoking it only lets others lead sooner.
+        // Without a response the lease expires by itself; revoking it only lets another controller lead
+        // sooner.
         let _ = self.client.revoke(lease.id()).await;
     }
 }
 
-/// Ends leadership and cluster state together, so that no state outlives its term.
+/// Ends the leadership and drops the cluster state together, so that no state outlives its term.
+/// Returns the lease, which the caller may revoke.
 fn end_leadership(shared: &Shared) -> Option<HeldLease> {
     let mut election = shared.election.lock();
     let lease = election.step_down();
--- a/src/actors/election/campaign.rs
+++ b/src/actors/election/campaign.rs
@@ -13,12 +13,12 @@
 use crate::store::keys::{self, LeaderRecord, TermRecord};
 use crate::store::{to_value, Change, Condition, Transaction, TransactionOutcome, WritePriority};
 
-/// How long the replica may take to show the record of a won election.
+/// Longest wait for the replica to show the record of a won election.
 const REPLICA_DELAY_MAX: Duration = Duration::from_millis(1500);
 
 impl Election {
-    /// Campaigns once: a lease, then a transaction that succeeds only if there is no leader. Returns
-    /// when the next step is due.
+    /// Campaigns once: acquires a lease, then commits a transaction that succeeds only if there is no
+    /// leader. Returns the time until the next step.
     pub(super) async fn campaign(&self) -> Duration {
         self.relinquish_lease().await;
         if let Some(delay) = self.campaign_delay() {
@@ -30,20 +30,20 @@
         };
         let outcome = self.commit_election(lease).await;
         let Ok(TransactionOutcome::Committed(revision)) = outcome else {
-            // After a conflict the replica will show who was elected.
+            // After a conflict, the replica will show which controller was elected.
             return retry_delay;
         };
-        // Once the replica shows the record it also shows all that was written before.
+        // A replica that shows the record also shows everything that was written before it.
         let mut replica_revision = self.shared.replica.subscribe();
-        let shown = replica_revision.wait_for(|reached| *reached >= revision);
+        let shown = replica_revision.wait_for(|current| *current >= revision);
         let _ = actix::clock::timeout(REPLICA_DELAY_MAX, shown).await;
         Duration::ZERO
     }
 
-    /// How long to wait before a campaign, if this process should not campaign now.
+    /// The time until the next step, if this process should not campaign now.
     fn campaign_delay(&self) -> Option<Duration> {
         if self.shared.catalog.lock().is_none() {
-            // A leader that does not know the machine types can not schedule; others go first.
+            // A leader without the machine types cannot schedule; the other controllers campaign first.
             return Some(self.renewal_interval);
         }
         if self.shared.election.lock().in_backoff(Instant::now()) {
@@ -52,13 +52,13 @@
         self.yields_to_better_connected().then_some(RETRY_DELAY)
     }
 
-    /// Whether the election is left to a better connected controller. That lasts for one renewal
-    /// interval at most, in case the other one does not campaign.
+    /// Whether this process leaves the election to a better connected controller. It does so for one
+    /// renewal interval at most, in case the other controller does not campaign.
     fn yields_to_better_connected(&self) -> bool {
         let now = Instant::now();
-        let since = self.no_leader_since.get().unwrap_or(now);
-        self.no_leader_since.set(Some(since));
-        if now.saturating_duration_since(since) >= self.renewal_interval {
+        let first_considered_at = self.no_leader_since.get().unwrap_or(now);
+        self.no_leader_since.set(Some(first_considered_at));
+        if now.saturating_duration_since(first_considered_at) >= self.renewal_interval {
             return false;
         }
         let links = self.shared.links.active();
@@ -66,24 +66,24 @@
     }
 
     async fn acquire_lease(&self) -> Option<u64> {
-        let sent = Instant::now();
+        let sent_at = Instant::now();
         match self.client.grant(self.leader_lease).await {
             Ok(id) => {
-                self.shared.election.lock().hold_lease(id, sent);
+                self.shared.election.lock().hold_lease(id, sent_at);
                 Some(id)
             }
             Err(error) => {
                 debug!(%error, "lease not granted");
                 if error.contact_lost() {
-                    self.shared.store_failed(StoreOperation::Lease, sent);
+                    self.shared.store_failed(StoreOperation::Lease, sent_at);
                 }
                 None
             }
         }
     }
 
-    /// Writes the leader's record and the next term, on the conditions that there is no leader and that
-    /// nobody else has used that term.
+    /// Writes the leader's record and the next term, on the conditions that there is no leader and that no
+    /// other controller has used that term.
     async fn commit_election(&self, lease: u64) -> Result<TransactionOutcome, MailboxError> {
         let (term, term_version) = {
             let replica = self.shared.replica.lock();
@@ -119,7 +119,8 @@
     }
 }
 
-/// Randomized, so that controllers that campaigned at the same time do not do so again.
+/// A random delay, so that controllers that campaigned at the same time do not campaign at the same time
+/// again.
 fn randomized_retry_delay() -> Duration {
     let jitter = rand::rng().random_range(0.0..1.0);
     RETRY_DELAY + RETRY_DELAY.mul_f64(jitter)
--- a/src/actors/election/handover.rs
+++ b/src/actors/election/handover.rs
@@ -1,4 +1,4 @@
-//! The handover of leadership by a leader that can not serve, while its lease would last.
+//! The handover of leadership by a leader that cannot serve although its lease is still valid.
 
 use std::time::{Duration, Instant};
 
@@ -7,50 +7,53 @@
 
 use super::Election;
 
-/// How long a late timer explains missing heartbeats and stale reads.
+/// How long after a late timer missing heartbeats and stale reads are attributed to a lack of processor
+/// time in this process.
 const LATE_TIMER_GRACE: Duration = Duration::from_secs(10);
 
 impl Election {
-    /// Whether this process leads and another controller should: the workers reach others instead, or
-    /// the replica is stale. The workers' leases would expire while the leader's is renewed.
+    /// Whether another controller should lead instead of this one: the replica is stale here only, the
+    /// agents reach other controllers, or another controller is better connected. Otherwise the agents'
+    /// leases would expire while the leader's lease is renewed.
     pub(super) fn should_hand_over(&self) -> bool {
         let now = Instant::now();
-        // A reconnect burst would cost the next leader as much processor time, and the workers that
-        // have reconnected would have to do so again.
-        let recently = |at: Instant| now.saturating_duration_since(at) < LATE_TIMER_GRACE;
-        if self.timer_late_at.get().is_some_and(recently) {
+        // A handover does not help when processor time is short: the burst of reconnecting agents would
+        // cost the next leader as much, and the agents that have reconnected here would have to do so
+        // again.
+        let is_recent = |at: Instant| now.saturating_duration_since(at) < LATE_TIMER_GRACE;
+        if self.timer_late_at.get().is_some_and(is_recent) {
             return false;
         }
         let links = self.shared.links.active();
         if links.is_some_and(|links| links.handovers_exhausted(now)) {
             return false;
         }
-        let replica_stale = self.replica_stale_here_only(now);
-        let workers_elsewhere = self.workers_elsewhere(now);
+        let replica_stale = self.is_replica_stale_here_only(now);
+        let workers_elsewhere = self.agents_reach_others(now);
         let better_connected = self.other_better_connected(now);
-        let hands_over = replica_stale || workers_elsewhere || better_connected;
-        if hands_over {
+        let handover_needed = replica_stale || workers_elsewhere || better_connected;
+        if handover_needed {
             warn!(
                 replica_stale,
                 workers_elsewhere, better_connected, "handing over leadership"
             );
         }
-        hands_over
+        handover_needed
     }
 
-    /// Whether renewals succeed and reads fail. If the link states show that no other controller reaches
-    /// the store either, none would lead better.
-    fn replica_stale_here_only(&self, now: Instant) -> bool {
+    /// Whether renewals succeed while reads fail. If the rows of the peers show that no other controller
+    /// reaches the key-value store either, no other controller would lead better.
+    fn is_replica_stale_here_only(&self, now: Instant) -> bool {
         if !self.shared.election.lock().replica_too_stale_to_lead(now) {
             return false;
         }
         let links = self.shared.links.active();
-        let others = links.and_then(|links| links.others_have_store(now));
-        others != Some(false)
+        let others_have_store = links.and_then(|links| links.others_have_store(now));
+        others_have_store != Some(false)
     }
 
-    /// Whether few workers send heartbeats here, and many send misdirected ones to other controllers.
-    fn workers_elsewhere(&self, now: Instant) -> bool {
+    /// Whether this leader receives few heartbeats while the other controllers count many misdirected ones.
+    fn agents_reach_others(&self, now: Instant) -> bool {
         let few_heartbeats = {
             let cluster = self.shared.cluster.lock();
             cluster
@@ -71,7 +74,8 @@
         matches!(links.decide_handover(now), Decision::HandOver { .. })
     }
 
-    /// Steps down and revokes the lease, so that another controller is elected at once.
+    /// Steps down and revokes the lease, so that another controller is elected at once. The election
+    /// backoff keeps this process from campaigning first.
     pub(super) async fn hand_over(&self, lease: u64) {
         let now = Instant::now();
         self.shared.election.lock().start_backoff(now);
--- a/src/actors/election/recovery.rs
+++ b/src/actors/election/recovery.rs
@@ -1,4 +1,4 @@
-//! The recovery of the cluster state by a new leader.
+//! Recovery of the cluster state at the start of a term.
 
 use std::time::{Instant, SystemTime};
 
@@ -11,7 +11,8 @@
 use crate::store::keys::LeaderRecord;
 
 impl Election {
-    /// Recovers the cluster state from the replica and becomes leader.
+    /// Recovers the cluster state from the replica and begins to lead under `record`, whose version in the
+    /// key-value store is `version`.
     pub(super) fn recover(&self, record: &LeaderRecord, version: u64) {
         let Some(catalog) = self.shared.catalog.lock().clone() else {
             debug!("recovery waits for the machine types");
@@ -19,9 +20,9 @@
         };
         let now = Instant::now();
         let replica = self.shared.replica.lock();
-        // The watch, on another thread, may have replaced the record since it was read.
-        let recorded = replica.leader.as_ref();
-        if recorded.is_none_or(|leader| leader.version != version) {
+        // The watch runs on another thread and may have replaced the record since the caller read it.
+        let current = replica.leader.as_ref();
+        if current.is_none_or(|leader| leader.version != version) {
             return;
         }
         let mut cluster = Cluster::recover(
@@ -50,7 +51,7 @@
         drop(replica);
         self.shared.metrics.lock().counts.terms += 1;
         self.store.do_send(SetLeading(true));
-        // Starts need a read that is newer than the election.
+        // Starts are allowed only after a read that was sent after the election.
         self.shared.replica.request_read();
         self.shared.wake_ups.scheduler.notify_one();
     }
--- a/src/actors/election/renewal.rs
+++ b/src/actors/election/renewal.rs
@@ -1,4 +1,4 @@
-//! Renewals of the lease.
+//! Renewals of the leader's lease.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -14,18 +14,18 @@
 use crate::store::actor::{SetLeading, StoreActor};
 use crate::store::StoreError;
 
-/// Renewals in flight. One without a response delays no other, and a response that is handled late
-/// still counts from the sending of its renewal.
+/// Most renewals in flight. A renewal without a response does not delay the next one, and a renewal
+/// counts from the time at which it was sent, even if its response is handled late.
 const RENEWALS_IN_FLIGHT_MAX: usize = 3;
 
-/// When which lease is due for its next renewal.
+/// When the next renewal of a lease is due.
 #[derive(Debug, Clone, Copy)]
 struct NextRenewal {
     lease: u64,
-    due: Instant,
+    due_at: Instant,
 }
 
-/// The renewals of a process.
+/// The renewals of this process, shared with the tasks that await their responses.
 #[derive(Debug, Clone, Default)]
 pub(super) struct LeaseRenewals {
     in_flight: Rc<Cell<usize>>,
@@ -33,29 +33,29 @@
 }
 
 impl LeaseRenewals {
-    /// When the next renewal of a lease is due, if one was sent already.
-    fn due(&self, lease: u64) -> Option<Instant> {
+    /// When the next renewal of a lease is due; `None` before its first renewal.
+    fn next_due_at(&self, lease: u64) -> Option<Instant> {
         let next = self.next.get().filter(|next| next.lease == lease);
-        next.map(|next| next.due)
+        next.map(|next| next.due_at)
     }
 
-    fn schedule(&self, lease: u64, due: Instant) {
-        self.next.set(Some(NextRenewal { lease, due }));
+    fn schedule(&self, lease: u64, due_at: Instant) {
+        self.next.set(Some(NextRenewal { lease, due_at }));
     }
 }
 
 impl Election {
-    /// Sends a renewal if one is due. Returns when the next step is due.
+    /// Sends a renewal if one is due. Returns the time until the next step.
     pub(super) fn renew_lease(&self) -> Duration {
         let Some(lease) = self.shared.election.lock().lease() else {
             return RETRY_DELAY;
         };
         let now = Instant::now();
-        let due = self.renewals.due(lease.id());
-        let due = due.unwrap_or(lease.renewed_at() + self.renewal_interval);
-        let early = due.saturating_duration_since(now);
-        if !early.is_zero() {
-            return early;
+        let due_at = self.renewals.next_due_at(lease.id());
+        let due_at = due_at.unwrap_or(lease.renewed_at() + self.renewal_interval);
+        let remaining = due_at.saturating_duration_since(now);
+        if !remaining.is_zero() {
+            return remaining;
         }
         if self.renewals.in_flight.get() >= RENEWALS_IN_FLIGHT_MAX {
             return RETRY_DELAY;
@@ -70,32 +70,32 @@
         let renewals = self.renewals.clone();
         renewals.in_flight.set(renewals.in_flight.get() + 1);
         let (shared, store) = (self.shared.clone(), self.store.clone());
-        let (client, timeout) = (self.client.clone(), self.leader_lease);
+        let (client, leader_lease) = (self.client.clone(), self.leader_lease);
         actix::spawn(async move {
-            let sent = Instant::now();
-            let outcome = client.renew(lease, timeout).await;
+            let sent_at = Instant::now();
+            let outcome = client.renew(lease, leader_lease).await;
             renewals.in_flight.set(renewals.in_flight.get() - 1);
             if outcome.is_err() {
                 renewals.schedule(lease, Instant::now() + RETRY_DELAY);
             }
-            handle_renewal(&shared, &store, lease, sent, outcome);
+            handle_renewal(&shared, &store, lease, sent_at, outcome);
         });
     }
 }
 
-/// Handles the outcome of a renewal.
+/// Applies the outcome of a renewal that was sent at `sent_at`.
 fn handle_renewal(
     shared: &Arc<Shared>,
     store: &Addr<StoreActor>,
     lease: u64,
-    sent: Instant,
+    sent_at: Instant,
     outcome: Result<(), StoreError>,
 ) {
     match outcome {
         Ok(()) => {
-            shared.store_answered(StoreOperation::Lease, sent);
-            shared.election.lock().lease_renewed(lease, sent);
-            // After a gap in the renewals the lease may last again, while the replica is stale.
+            shared.store_answered(StoreOperation::Lease, sent_at);
+            shared.election.lock().lease_renewed(lease, sent_at);
+            // After a gap in the renewals the lease may be valid again while the replica is stale.
             if shared.election.lock().needs_confirming_read(Instant::now()) {
                 shared.replica.request_read();
             }
@@ -111,7 +111,7 @@
         Err(error) => {
             debug!(%error, "lease renewal failed");
             if error.contact_lost() {
-                shared.store_failed(StoreOperation::Lease, sent);
+                shared.store_failed(StoreOperation::Lease, sent_at);
             }
             shared.wake_ups.election.notify_one();
         }
--- a/src/actors/fleet.rs
+++ b/src/actors/fleet.rs
@@ -1,5 +1,5 @@
-//! The scaling actor, which has all exchanges with the cloud: the catalog of machine types, the list of
-//! machines, rentals and releases.
+//! The scaling actor, which sends all requests to the cloud: it reads the catalog of machine types and the
+//! list of machines, rents machines and releases them.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -20,42 +20,43 @@
 
 /// Time between two scaling cycles.
 const SCALING_INTERVAL: Duration = Duration::from_secs(1);
-/// Time between two readings of the catalog, whose spot prices move.
+/// Time between two readings of the catalog, whose spot prices change.
 const CATALOG_INTERVAL: Duration = Duration::from_secs(60);
-/// Part of the cloud's request limit that the leader uses.
-const RATE_PART: f64 = 0.7;
-/// After a failover, nothing is rented or released before all machines that are up have sent a
-/// heartbeat, or for this long.
+/// Fraction of the cloud's request rate limit that the leader uses.
+const CLOUD_RATE_FRACTION: f64 = 0.7;
+/// After a failover, nothing is rented or released until all machines that are up have sent a
+/// heartbeat, for at most this long.
 const RECONCILIATION_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Time until the next scaling cycle after a rental for which there was too little capacity.
-const RETRY_INTERVAL: Duration = Duration::from_millis(100);
+const CAPACITY_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The outcome of a rental request.
 enum RentalOutcome {
     /// All machines of the request were rented.
     Complete,
-    /// Fewer machines, or none.
+    /// Fewer machines than requested were rented, or none.
     NoCapacity,
-    /// It is not known whether machines were rented, or the request was not sent.
+    /// The request was not sent, it failed for a reason other than capacity, or it is unknown whether
+    /// machines were rented.
     Unknown,
 }
 
-/// A rental request with an unknown outcome: repeated under the same idempotency key until the cloud
-/// answers.
+/// A rental request with an unknown outcome. It is repeated under the same idempotency key until the cloud
+/// responds.
 struct PendingRental {
     request: RentalRequest,
     pool: MachinePool,
 }
 
-/// A release with an unknown outcome: it may yet be carried out, so the machines take no tasks, and
-/// it is repeated until the cloud answers.
+/// A release with an unknown outcome. The cloud may still execute it, so the machines get no tasks, and
+/// it is repeated until the cloud responds.
 struct PendingRelease {
     machines: Vec<MachineId>,
     reason: ReleaseReason,
 }
 
-/// The actor.
+/// Runs the scaling loop of this process; only the leader rents and releases machines.
 pub struct FleetActor {
     shared: Arc<Shared>,
     cloud: CloudClient,
@@ -63,7 +64,7 @@
 }
 
 impl FleetActor {
-    /// An actor that rents machines through `cloud`.
+    /// `unmet_demand` is written by the scheduling cycle and read by each scaling cycle.
     pub fn new(shared: Arc<Shared>, cloud: CloudClient, unmet_demand: SharedDemand) -> Self {
         Self {
             shared,
@@ -87,9 +88,9 @@
             pending_rentals: Vec::new(),
             pending_releases: Vec::new(),
             term: Term(0),
-            catalog_at: None,
+            catalog_read_at: None,
             listing: MachineListing::default(),
-            calls: TokenBucket::new(rps * RATE_PART, Instant::now()),
+            request_budget: TokenBucket::new(rps * CLOUD_RATE_FRACTION, Instant::now()),
         };
         actix::spawn(scaling.run());
     }
@@ -104,17 +105,17 @@
     pending_rentals: Vec<PendingRental>,
     pending_releases: Vec<PendingRelease>,
     term: Term,
-    catalog_at: Option<Instant>,
+    catalog_read_at: Option<Instant>,
     listing: MachineListing,
-    calls: TokenBucket,
+    request_budget: TokenBucket,
 }
 
 impl ScalingLoop {
     async fn run(mut self) {
         loop {
-            let retry = self.scale().await;
-            let pause = if retry {
-                RETRY_INTERVAL
+            let retry_soon = self.run_cycle().await;
+            let pause = if retry_soon {
+                CAPACITY_RETRY_INTERVAL
             } else {
                 SCALING_INTERVAL
             };
@@ -122,33 +123,35 @@
         }
     }
 
-    fn due(last: Option<Instant>, every: Duration) -> bool {
-        last.is_none_or(|at| at.elapsed() >= every)
+    fn is_due(last_at: Option<Instant>, interval: Duration) -> bool {
+        last_at.is_none_or(|at| at.elapsed() >= interval)
     }
 
-    /// Keeps below the cloud's rate limit; a burst of a second's worth is allowed.
+    /// Waits until the rate limit allows a request, and counts the request. A burst of one second's
+    /// requests is allowed.
     async fn wait_for_rate_limit(&mut self) {
         loop {
-            let wait = self.calls.wait(1.0, Instant::now());
+            let wait = self.request_budget.wait(1.0, Instant::now());
             if wait.is_zero() {
                 break;
             }
             actix::clock::sleep(wait).await;
         }
-        self.calls.take(1.0, Instant::now());
+        self.request_budget.take(1.0, Instant::now());
     }
 
-    /// Runs one scaling cycle; whether the next one should follow at once, since demand has to be met
-    /// from other pools.
-    async fn scale(&mut self) -> bool {
-        let leading = self.shared.election.lock().leadership(Instant::now());
-        let known = self.shared.catalog.lock().is_some();
-        // Followers need the machine types, too, to reject jobs that can never run, but not the prices.
-        let needed = !known || leading.is_some();
-        if needed && Self::due(self.catalog_at, CATALOG_INTERVAL) {
+    /// Runs one scaling cycle. Returns whether the next one should follow soon, since a pool had too little
+    /// capacity and the demand has to be met from other pools.
+    async fn run_cycle(&mut self) -> bool {
+        let current = self.shared.election.lock().leadership(Instant::now());
+        let catalog_known = self.shared.catalog.lock().is_some();
+        // Followers also need the machine types, to reject jobs that can never run, but they do not
+        // need the current prices.
+        let catalog_needed = !catalog_known || current.is_some();
+        if catalog_needed && Self::is_due(self.catalog_read_at, CATALOG_INTERVAL) {
             self.read_catalog().await;
         }
-        let Some(leadership) = leading else {
+        let Some(leadership) = current else {
             self.pending_rentals.clear();
             self.pending_releases.clear();
             return false;
@@ -159,49 +162,49 @@
             self.pending_releases.clear();
             self.listing.reset();
         }
-        self.read_list().await;
+        self.read_machine_list().await;
         for rental in std::mem::take(&mut self.pending_rentals) {
             self.request_rental(rental).await;
         }
         for release in std::mem::take(&mut self.pending_releases) {
             self.release(release).await;
         }
-        let mut retry = false;
-        for action in self.plan() {
-            if !self.is_leader() {
+        let mut retry_soon = false;
+        for action in self.plan_actions() {
+            if !self.leads_any_term() {
                 return false;
             }
             match action {
-                Action::Rent(pool, count) => retry |= self.rent(pool, count).await,
+                Action::Rent(pool, count) => retry_soon |= self.rent(pool, count).await,
                 Action::Release(machines, reason) => {
                     self.release(PendingRelease { machines, reason }).await;
                 }
             }
         }
-        retry
+        retry_soon
     }
 
-    /// Whether this controller leads, in any term.
-    fn is_leader(&self) -> bool {
+    /// Whether this controller leads in any term.
+    fn leads_any_term(&self) -> bool {
         let leadership = self.shared.election.lock().leadership(Instant::now());
         leadership.is_some()
     }
 
-    /// Rents machines, in as many requests as it takes while they are fulfilled; whether the pool had
-    /// too little capacity.
+    /// Rents machines in as many requests as needed, until one is not fulfilled. Returns whether the
+    /// pool had too little capacity.
     async fn rent(&mut self, pool: MachinePool, count: u32) -> bool {
-        let mut left = count;
-        while left > 0 && self.is_leader() {
+        let mut remaining = count;
+        while remaining > 0 && self.leads_any_term() {
             self.rental_requests += 1;
             let request = RentalRequest {
-                // A term has one leader, and a leader counts its rentals.
+                // The key is unique, since a term has one leader and the leader numbers its requests.
                 request: format!("kl-{}-{}", self.term.0, self.rental_requests),
                 machine_type: pool.machine_type.clone(),
                 zone: pool.zone.clone(),
                 spot: pool.spot,
-                count: left.min(RENTAL_SIZE_MAX),
+                count: remaining.min(RENTAL_SIZE_MAX),
             };
-            left -= request.count;
+            remaining -= request.count;
             let pool = pool.clone();
             match self.request_rental(PendingRental { request, pool }).await {
                 RentalOutcome::Complete => {}
@@ -216,7 +219,7 @@
         self.wait_for_rate_limit().await;
         match self.cloud.catalog().await {
             Ok(machine_types) => {
-                self.catalog_at = Some(Instant::now());
+                self.catalog_read_at = Some(Instant::now());
                 let catalog: Catalog = Arc::new(machine_types);
                 *self.shared.catalog.lock() = Some(catalog.clone());
                 if let Some(cluster) = self.shared.cluster.lock().as_mut() {
@@ -228,17 +231,17 @@
         }
     }
 
-    /// Reads as much of the machine list as the limit allows without waiting, one page at least.
-    async fn read_list(&mut self) {
+    /// Reads as many pages of the machine list as the rate limit allows without a wait, and at least one.
+    async fn read_machine_list(&mut self) {
         let cloud = &self.shared.settings.params.cloud;
-        let (interval, rate) = (secs(cloud.list_lag_s), cloud.rps * RATE_PART);
-        let mut first = true;
+        let (interval, rate) = (secs(cloud.list_lag_s), cloud.rps * CLOUD_RATE_FRACTION);
+        let mut is_first_page = true;
         while self.listing.due(interval, rate, Instant::now()) {
-            let free = self.calls.wait(1.0, Instant::now()).is_zero();
-            if !first && !free {
+            let within_rate = self.request_budget.wait(1.0, Instant::now()).is_zero();
+            if !is_first_page && !within_rate {
                 return;
             }
-            first = false;
+            is_first_page = false;
             self.wait_for_rate_limit().await;
             let page = match self.cloud.list_page(self.listing.after()).await {
                 Ok(page) => page,
@@ -258,16 +261,18 @@
         }
     }
 
-    fn plan(&mut self) -> Vec<Action> {
+    fn plan_actions(&mut self) -> Vec<Action> {
         let now = Instant::now();
         let unmet_demand = self.unmet_demand.lock().clone();
         let idle_policy = self.shared.operator.lock().idle_policy();
         let mut guard = self.shared.cluster.lock();
-        let Some(cluster) = guard.as_mut().filter(|c| c.term == self.term) else {
+        let Some(cluster) = guard.as_mut().filter(|cluster| cluster.term == self.term) else {
             return Vec::new();
         };
-        let unheard = cluster.machines.values().any(Machine::expected);
-        if unheard && now.saturating_duration_since(cluster.since) < RECONCILIATION_TIMEOUT {
+        let heartbeats_missing = cluster.machines.values().any(Machine::expected);
+        if heartbeats_missing
+            && now.saturating_duration_since(cluster.since) < RECONCILIATION_TIMEOUT
+        {
             return Vec::new();
         }
         fleet::detect_partitions(cluster, now);
@@ -288,16 +293,17 @@
         actions
     }
 
-    /// Whether the term for which this was decided still lasts. Checked right before each request: the
-    /// rate limit, the request before, or a pause of the process may have outlasted the leadership.
-    fn leads(&self) -> bool {
+    /// Whether this process still leads in the term for which the request was decided. This is checked
+    /// right before each request, since the leadership may have ended during the wait for the rate
+    /// limit, the request before, or a pause of the process.
+    fn still_leads_term(&self) -> bool {
         let leadership = self.shared.election.lock().leadership(Instant::now());
         leadership.is_some_and(|leadership| leadership.term == self.term)
     }
 
     async fn request_rental(&mut self, rental: PendingRental) -> RentalOutcome {
         self.wait_for_rate_limit().await;
-        if !self.leads() {
+        if !self.still_leads_term() {
             return RentalOutcome::Unknown;
         }
         let PendingRental { request, pool } = &rental;
@@ -355,8 +361,9 @@
 
     async fn release(&mut self, release: PendingRelease) {
         self.wait_for_rate_limit().await;
-        if !self.leads() {
-            // Should this controller lead again in this term, the release is still due.
+        if !self.still_leads_term() {
+            // The release is still due if this controller leads in this term again at the next scaling
+            // cycle.
             self.pending_releases.push(release);
             return;
         }
@@ -378,7 +385,7 @@
     }
 }
 
-/// Marks machines as being released, or ends that.
+/// Sets or clears the mark by which machines take no tasks while a release is under way.
 fn set_releasing(cluster: &mut Cluster, machines: &[MachineId], releasing: bool) {
     for id in machines {
         if let Some(machine) = cluster.machines.get_mut(id) {
--- a/src/actors/forward.rs
+++ b/src/actors/forward.rs
@@ -1,5 +1,5 @@
-//! Owner of forwarded heartbeats: collects those that arrived at this follower and sends them to the
-//! leader in batches.
+//! The actor that forwards heartbeats: it collects those that arrived at this follower and sends them
+//! to the leader in batches.
 
 use std::net::SocketAddrV4;
 use std::rc::Rc;
@@ -22,14 +22,14 @@
 use crate::service::Shared;
 use crate::time::unix_ms;
 
-/// The actor.
+/// Runs the forwarding loop of this process until the process ends.
 pub struct ForwardActor {
     shared: Arc<Shared>,
     http: Client,
 }
 
 impl ForwardActor {
-    /// Forwards through `http`.
+    /// Batches are sent to the leader through `http`.
     pub fn new(shared: Arc<Shared>, http: Client) -> Self {
         Self { shared, http }
     }
@@ -63,7 +63,8 @@
         }
     }
 
-    /// Sends queued heartbeats, as far as batches may be in flight. The end of a batch wakes the loop.
+    /// Sends queued heartbeats until the limit of batches in flight is reached. The loop is woken again
+    /// when a batch ends while heartbeats are queued.
     fn send_queued(self: &Rc<Self>) {
         let now = Instant::now();
         let role = self.shared.election.lock().role(now);
@@ -79,22 +80,22 @@
             let Some(batch) = batch else {
                 return;
             };
-            actix::spawn(self.clone().forward(leader.clone(), address, batch));
+            actix::spawn(self.clone().forward_batch(leader.clone(), address, batch));
         }
     }
 
-    async fn forward(
+    async fn forward_batch(
         self: Rc<Self>,
         leader: LeaderHint,
         address: SocketAddrV4,
         batch: Vec<QueuedHeartbeat>,
     ) {
         let count = batch.len();
-        let outcome = self.send(&leader, address, &batch).await;
+        let outcome = self.send_batch(&leader, address, &batch).await;
         match outcome {
-            Ok(answer) => {
+            Ok(response) => {
                 self.shared.forwarding.lock().record_batch_success(&leader);
-                for (queued, answer) in batch.into_iter().zip(answer.answers) {
+                for (queued, answer) in batch.into_iter().zip(response.answers) {
                     queued.answer(answer);
                 }
             }
@@ -114,7 +115,9 @@
                 let now = Instant::now();
                 let mut forwarding = self.shared.forwarding.lock();
                 forwarding.record_batch_failure(&leader, failure, now);
-                // Only now: the waiting handlers read the state of the path to answer their agents.
+                // The batch is dropped only after the failure is recorded: dropping it wakes the
+                // handlers that wait for it, and they read the state of the path to answer their
+                // agents.
                 drop(batch);
             }
         }
@@ -123,7 +126,7 @@
         }
     }
 
-    async fn send(
+    async fn send_batch(
         &self,
         leader: &LeaderHint,
         address: SocketAddrV4,
@@ -145,17 +148,17 @@
             metrics.heartbeats.batches_sent += 1;
             metrics.heartbeats.forwarded += batch.len() as u64;
         }
-        let sent = self
+        let request = self
             .http
             .post(format!("http://{address}{HEARTBEATS}"))
             .timeout(BATCH_TIMEOUT)
             .content_type(BINCODE)
             .send_body(body);
-        let mut answer = sent.await.map_err(|error| failure_of(&error))?;
-        let bytes = answer.body().limit(BATCH_BODY_BYTES_MAX).await;
+        let mut response = request.await.map_err(|error| upstream_failure(&error))?;
+        let bytes = response.body().limit(BATCH_BODY_BYTES_MAX).await;
         let bytes = bytes.map_err(|_| UpstreamFailure::Unresponsive)?;
-        match answer.status() {
-            StatusCode::OK => decode_answer(&bytes, batch.len()),
+        match response.status() {
+            StatusCode::OK => decode_response(&bytes, batch.len()),
             StatusCode::CONFLICT => Err(UpstreamFailure::NotLeading),
             status if status.is_server_error() => Err(UpstreamFailure::Unresponsive),
             _ => Err(UpstreamFailure::Unsupported),
@@ -163,18 +166,20 @@
     }
 }
 
-fn failure_of(error: &SendRequestError) -> UpstreamFailure {
+fn upstream_failure(error: &SendRequestError) -> UpstreamFailure {
     match error {
-        // Refused by a filter between the nodes, or by a node that is just starting.
+        // A filter between the controllers refused the connection, or the leader's process is just
+        // starting.
         SendRequestError::Connect(ConnectError::Io(_)) => UpstreamFailure::ConnectionRefused,
         _ => UpstreamFailure::Unresponsive,
     }
 }
 
-/// A response of another version, or to another number of heartbeats, answers none of them.
-fn decode_answer(bytes: &[u8], heartbeats: usize) -> Result<BatchAnswer, UpstreamFailure> {
-    let answer: Option<BatchAnswer> = peer::decode(bytes);
-    answer
+/// Decodes the response to a batch. One of another version, or with another number of decisions than
+/// the batch has heartbeats, is rejected as a whole.
+fn decode_response(bytes: &[u8], heartbeats: usize) -> Result<BatchAnswer, UpstreamFailure> {
+    let response: Option<BatchAnswer> = peer::decode(bytes);
+    response
         .filter(|answer| answer.version == BATCH_VERSION && answer.answers.len() == heartbeats)
         .ok_or(UpstreamFailure::Unsupported)
 }
--- a/src/actors/links.rs
+++ b/src/actors/links.rs
@@ -1,4 +1,5 @@
-//! Owner of the rows that the nodes send each other, and of the regular judgement of all links.
+//! The actor that sends this controller's row of the connectivity matrix to the peers and evaluates all
+//! links at regular intervals.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -19,11 +20,11 @@
 use crate::store::keys::{self, ProbeRecord};
 use crate::store::{to_value, Change, Transaction, WritePriority};
 
-/// Time for a peer's response to a row.
+/// Timeout for a peer's response to a row. It is shorter than the interval between rows.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(900);
-/// Ticks further apart than that: the process was paused.
-const PAUSED_AFTER: Duration = Duration::from_millis(2500);
-/// Backoff after a peer did not know rows.
+/// Two ticks that are further apart than this show that the process was paused.
+const PROCESS_PAUSE_MIN: Duration = Duration::from_millis(2500);
+/// Backoff after a peer responded that it does not support rows.
 const UNSUPPORTED_BACKOFF: Duration = Duration::from_secs(30);
 
 /// A peer that receives rows.
@@ -33,20 +34,20 @@
     unsupported_until: Option<Instant>,
 }
 
-/// The actor.
+/// Sends rows only where the features file enables links.
 pub struct LinksActor {
     shared: Arc<Shared>,
     store: Addr<StoreActor>,
     http: Client,
     peers: Vec<RowPeer>,
     last_tick: Instant,
-    probes: u64,
+    probe_count: u64,
 }
 
-/// A peer does not know rows.
+/// The named peer does not support rows. Sent to the actor by the task that awaited the peer's response.
 #[derive(Message)]
 #[rtype(result = "()")]
-struct Unsupported(String);
+struct RowsUnsupported(String);
 
 impl LinksActor {
     /// Sends rows through `http` and writes probes through `store`.
@@ -63,17 +64,17 @@
             store,
             http,
             last_tick: Instant::now(),
-            probes: 0,
+            probe_count: 0,
         }
     }
 
-    fn tick(&mut self, own: Addr<Self>) {
+    fn tick(&mut self, address: Addr<Self>) {
         let shared = self.shared.clone();
         let Some(active) = shared.links.active() else {
             return;
         };
         let now = Instant::now();
-        let paused = now.saturating_duration_since(self.last_tick) > PAUSED_AFTER;
+        let paused = now.saturating_duration_since(self.last_tick) > PROCESS_PAUSE_MIN;
         self.last_tick = now;
         if paused {
             active.resume_after_pause(now);
@@ -96,21 +97,23 @@
         };
         let due = |peer: &&RowPeer| peer.unsupported_until.is_none_or(|until| now >= until);
         for peer in self.peers.iter().filter(due) {
-            self.send_row(peer, body.clone(), own.clone());
+            self.send_row(peer, body.clone(), address.clone());
         }
     }
 
-    /// While transactions fail, no placement causes another one, and followers rarely write: a write
-    /// without effect shows whether they succeed.
+    /// Writes a probe record, whose only purpose is to show whether transactions succeed again. It is
+    /// needed because the leader places nothing while transactions fail, and followers rarely write.
     fn probe_writes(&mut self) {
-        self.probes += 1;
+        self.probe_count += 1;
         let key = keys::probe(&self.shared.settings.member);
-        let record = to_value(&ProbeRecord { count: self.probes });
+        let record = to_value(&ProbeRecord {
+            count: self.probe_count,
+        });
         let transaction = Transaction::new(Vec::new(), vec![Change::put(key, record)]);
         self.store.do_send(Commit(transaction, WritePriority::High));
     }
 
-    fn send_row(&self, peer: &RowPeer, body: Bytes, own: Addr<Self>) {
+    fn send_row(&self, peer: &RowPeer, body: Bytes, address: Addr<Self>) {
         let request = self
             .http
             .post(format!("http://{}{LINKS}", peer.address))
@@ -119,21 +122,21 @@
             .send_body(body);
         let (shared, member) = (self.shared.clone(), peer.member.clone());
         actix::spawn(async move {
-            let sent = Instant::now();
-            let answer = request.await;
+            let sent_at = Instant::now();
+            let response = request.await;
             let Some(active) = shared.links.active() else {
                 return;
             };
-            let answered = answer.is_ok();
-            active.record_peer_request(&member, sent, answered, Instant::now());
-            let mut answer = match answer {
-                Ok(answer) => answer,
+            let is_answered = response.is_ok();
+            active.record_peer_request(&member, sent_at, is_answered, Instant::now());
+            let mut response = match response {
+                Ok(response) => response,
                 Err(error) => return debug!(%error, member, "row not answered"),
             };
-            // Read to its end so that the connection can be used again.
-            let body = answer.body().await.unwrap_or_default();
-            if answer.status() == StatusCode::NOT_FOUND {
-                own.do_send(Unsupported(member));
+            // The body is read to its end so that the connection can be reused.
+            let body = response.body().await.unwrap_or_default();
+            if response.status() == StatusCode::NOT_FOUND {
+                address.do_send(RowsUnsupported(member));
             } else if let Some(reply) = peer::decode::<RowReply>(&body) {
                 active.handle_row_reply(reply);
             }
@@ -151,10 +154,10 @@
     }
 }
 
-impl Handler<Unsupported> for LinksActor {
+impl Handler<RowsUnsupported> for LinksActor {
     type Result = ();
 
-    fn handle(&mut self, Unsupported(member): Unsupported, _: &mut Self::Context) {
+    fn handle(&mut self, RowsUnsupported(member): RowsUnsupported, _: &mut Self::Context) {
         let until = Instant::now() + UNSUPPORTED_BACKOFF;
         let peers = self.peers.iter_mut().filter(|peer| peer.member == member);
         peers.for_each(|peer| peer.unsupported_until = Some(until));
--- a/src/actors/metrics.rs
+++ b/src/actors/metrics.rs
@@ -1,5 +1,5 @@
-//! Writes all counters and histograms to the log at regular intervals, at level debug: a process that
-//! has ended can't be queried any more.
+//! The actor that writes all counters and histograms to the log at level debug: they cannot be queried
+//! after the process has ended.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -9,16 +9,16 @@
 
 use crate::service::Shared;
 
-/// Time between two entries.
+/// Time between two log entries with metrics.
 const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// The actor.
+/// Logs nothing if level debug is disabled when the actor starts.
 pub struct MetricsActor {
     shared: Arc<Shared>,
 }
 
 impl MetricsActor {
-    /// Logs the counters and histograms of this process.
+    /// The counters and histograms are read from `shared` at each log entry.
     pub fn new(shared: Arc<Shared>) -> Self {
         Self { shared }
     }
--- a/src/actors/mod.rs
+++ b/src/actors/mod.rs
@@ -1,4 +1,5 @@
-//! The actors that own the loops. They carry decisions out; the modules without I/O decide.
+//! The actors that run the loops of a process. They carry out decisions, which are made in modules
+//! without I/O.
 
 pub mod election;
 pub mod fleet;
--- a/src/actors/peers/cancellations.rs
+++ b/src/actors/peers/cancellations.rs
@@ -8,11 +8,11 @@
 use crate::peer::{self, cancelled, BINCODE};
 use crate::service::Shared;
 
-/// Notifies the peers of cancellations as they are confirmed, for as long as the process lives. A peer
-/// that can't be notified in time learns of them from the records.
+/// Notifies the peers of cancellations as they are recorded, until the process ends. A peer that cannot be
+/// notified in time reads them from the records.
 pub(super) async fn publish(shared: Arc<Shared>, http: Client) {
-    let known = shared.settings.known.iter();
-    let urls: Vec<String> = known
+    let peers = shared.settings.known.iter();
+    let urls: Vec<String> = peers
         .map(|peer| format!("http://{}{}", peer.peer_addr, cancelled::CANCELLED))
         .collect();
     loop {
@@ -26,19 +26,19 @@
             continue;
         };
         let requests = urls.iter().map(|url| {
-            let sent = http
+            let request = http
                 .post(url)
                 .timeout(RESPONSE_TIMEOUT)
                 .content_type(BINCODE)
                 .send_body(body.clone());
             async move {
-                if let Ok(mut response) = sent.await {
-                    // Read to its end so that the connection can be used again.
+                if let Ok(mut response) = request.await {
+                    // The body is read to its end so that the connection can be reused.
                     let _ = response.body().await;
                 }
             }
         });
-        // One list at a time: what comes meanwhile is collected for the next.
+        // One list is sent at a time; cancellations recorded meanwhile go into the next one.
         futures_util::future::join_all(requests).await;
     }
 }
--- a/src/actors/peers/misdirected.rs
+++ b/src/actors/peers/misdirected.rs
@@ -1,4 +1,4 @@
-//! Records misdirected heartbeats in the key-value store where the leader's summaries are missing.
+//! Records misdirected heartbeats in the key-value store while no summaries of the leader arrive.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -11,20 +11,21 @@
 use crate::store::keys::{self, MisdirectedRecord};
 use crate::store::{to_value, Change, Condition, Transaction, WritePriority};
 
-/// How long summaries of a leader have to be missing before misdirected heartbeats are recorded in the
-/// key-value store, which a leader that is not cut off from it still reads.
-const SUMMARIES_MISSING_AFTER: Duration = Duration::from_secs(3);
-/// Time between two such records of one node, so that all of them together cost a write or two a
-/// second.
-const RECORD_INTERVAL: Duration = Duration::from_millis(2500);
+/// Misdirected heartbeats are recorded in the key-value store when no summary of a leader has arrived
+/// for this long. A leader that is not disconnected from the store reads the record there.
+const SUMMARY_TIMEOUT: Duration = Duration::from_secs(3);
+/// Shortest time between two such records of one controller, so that all controllers together cost one
+/// or two writes per second.
+const RECORD_INTERVAL_MIN: Duration = Duration::from_millis(2500);
 
-/// Records the count of misdirected heartbeats: the leader may have lost its agents while the nodes
-/// refuse each other's connections, and would keep a leadership that serves nobody.
+/// Records the count of misdirected heartbeats. If the agents do not reach the leader while the
+/// controllers refuse each other's connections, the leader would otherwise keep a leadership that
+/// serves no agent.
 pub(super) struct MisdirectedRecorder {
     shared: Arc<Shared>,
     store: Addr<StoreActor>,
-    /// The count from which on new misdirected heartbeats are counted.
-    recorded: u64,
+    /// The count that was recorded last, or the count when a summary of the leader last arrived.
+    recorded_count: u64,
     recorded_at: Instant,
 }
 
@@ -33,37 +34,39 @@
         Self {
             shared,
             store,
-            recorded: 0,
+            recorded_count: 0,
             recorded_at: now,
         }
     }
 
-    /// Records the count, if it is due.
+    /// Records the count if many heartbeats were misdirected since the last record and another record
+    /// is due.
     pub(super) fn record(&mut self, now: Instant) {
         let count = self.shared.forwarding.misdirected();
         if !self.summaries_missing(now) {
-            self.recorded = count;
+            self.recorded_count = count;
             return;
         }
         if !self.is_due(count, now) {
             return;
         }
-        self.recorded = count;
+        self.recorded_count = count;
         self.recorded_at = now;
         self.write(count);
     }
 
     fn summaries_missing(&self, now: Instant) -> bool {
-        let last = self.shared.links.last_summary();
-        last.is_none_or(|at| now.saturating_duration_since(at) > SUMMARIES_MISSING_AFTER)
+        let last_summary_at = self.shared.links.last_summary_at();
+        last_summary_at.is_none_or(|at| now.saturating_duration_since(at) > SUMMARY_TIMEOUT)
     }
 
     fn is_due(&self, count: u64, now: Instant) -> bool {
-        let leads = self.shared.election.lock().own_term().is_some();
+        let is_leader = self.shared.election.lock().own_term().is_some();
         let leader_known = self.shared.replica.lock().leader.is_some();
-        let many = count >= self.recorded + MANY_MISDIRECTED;
-        let elapsed = now.saturating_duration_since(self.recorded_at) >= RECORD_INTERVAL;
-        !leads && leader_known && many && elapsed
+        let is_significant = count >= self.recorded_count + MANY_MISDIRECTED;
+        let interval_elapsed =
+            now.saturating_duration_since(self.recorded_at) >= RECORD_INTERVAL_MIN;
+        !is_leader && leader_known && is_significant && interval_elapsed
     }
 
     fn write(&self, count: u64) {
@@ -72,12 +75,12 @@
         let key = keys::misdirected(member);
         let record = to_value(&MisdirectedRecord { count });
         let transaction = Transaction {
-            // One that is carried out late must not replace a newer count: the next one would look as
-            // if many heartbeats had come in between.
+            // A write that is executed late must not replace a newer count: the next count would look as if
+            // many heartbeats had been misdirected in between.
             conditions: vec![Condition::new(key.clone(), version)],
             changes: vec![Change::put(key, record)],
         };
-        // Should it be lost, the next record has the same count or a higher one.
+        // If the write is lost, the next record holds the same count or a higher one.
         self.store.do_send(Commit(transaction, WritePriority::High));
     }
 }
--- a/src/actors/peers/mod.rs
+++ b/src/actors/peers/mod.rs
@@ -1,5 +1,5 @@
-//! Owner of the regular messages to the peers: the leader's state summaries, cancellations, and
-//! queries about the key-value store.
+//! The actor that sends the regular messages to the peers: the leader's state summaries, cancellations, and
+//! queries about contact with the key-value store.
 
 mod cancellations;
 mod misdirected;
@@ -17,24 +17,25 @@
 use crate::service::Shared;
 use crate::store::actor::StoreActor;
 
-/// Time between two state summaries. The counts in them are for display.
+/// Time between two state summaries. Their counts of tasks only serve display.
 const PUBLISH_INTERVAL: Duration = Duration::from_secs(1);
-/// Time for a peer's response.
+/// Timeout for a peer's response to any of these messages.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(900);
-/// Ticks further apart than that: the process was paused.
-const PAUSED_AFTER: Duration = Duration::from_millis(2500);
+/// Two ticks that are further apart than this show that the process was paused.
+const PROCESS_PAUSE_MIN: Duration = Duration::from_millis(2500);
 
-/// The actor.
+/// Sends the messages of this process to all peers once per interval.
 pub struct PeersActor {
     shared: Arc<Shared>,
     http: Client,
     summaries: SummaryPublisher,
     misdirected: MisdirectedRecorder,
-    last_tick: Instant,
+    last_tick_at: Instant,
 }
 
 impl PeersActor {
-    /// Sends to the peers through `http`, and through `store` what must arrive without them.
+    /// Messages are sent through `http`; misdirected heartbeats are recorded through `store` when no
+    /// summaries of the leader arrive.
     pub fn new(shared: Arc<Shared>, store: Addr<StoreActor>, http: Client) -> Self {
         let now = Instant::now();
         Self {
@@ -42,16 +43,17 @@
             misdirected: MisdirectedRecorder::new(shared.clone(), store, now),
             shared,
             http,
-            last_tick: now,
+            last_tick_at: now,
         }
     }
 
     fn tick(&mut self, now: Instant) {
-        let since_last = now.saturating_duration_since(self.last_tick);
-        self.last_tick = now;
-        if since_last > PAUSED_AFTER {
-            // A peer that was silent while this process was paused is not unreachable for that.
-            self.shared.links.forget_peer_contacts();
+        let since_last = now.saturating_duration_since(self.last_tick_at);
+        self.last_tick_at = now;
+        if since_last > PROCESS_PAUSE_MIN {
+            // This process processed no responses while it was paused, so their absence is no evidence that
+            // the peers are unreachable.
+            self.shared.links.discard_peer_contacts();
         }
         self.summaries.publish();
         store_contact::query_peers(&self.shared, &self.http);
--- a/src/actors/peers/store_contact.rs
+++ b/src/actors/peers/store_contact.rs
@@ -1,4 +1,4 @@
-//! Asks the peers whether they reach the key-value store, while this process does not.
+//! Queries the peers whether they reach the key-value store, while this process does not.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -11,29 +11,29 @@
 use crate::peer::contact;
 use crate::service::Shared;
 
-/// Asks all peers, if requests to the key-value store fail; discards former answers if they succeed.
+/// Sends a query to all peers if requests to the key-value store fail; discards former responses otherwise.
 pub(super) fn query_peers(shared: &Arc<Shared>, http: &Client) {
     if shared.links.contact().failing_since.is_none() {
-        shared.links.forget_peer_contacts();
+        shared.links.discard_peer_contacts();
         return;
     }
-    shared.links.peers_asked(Instant::now());
+    shared.links.record_peer_queries(Instant::now());
     for peer in &shared.settings.known {
-        let sent = http
+        let request = http
             .get(format!("http://{}{}", peer.peer_addr, contact::CONTACT))
             .timeout(RESPONSE_TIMEOUT)
             .send();
         let shared = shared.clone();
         actix::spawn(async move {
-            let answer = match sent.await {
+            let answer = match request.await {
                 Ok(response) if response.status().is_success() => PeerContactAnswer::Connected,
                 Ok(_) => PeerContactAnswer::Disconnected,
-                // Refused by a filter or by a node that is just starting: no evidence that this
-                // node is the one cut off.
+                // A filter refused the connection, or the peer's process is just starting. Neither is
+                // evidence that this controller is the disconnected one.
                 Err(SendRequestError::Connect(ConnectError::Io(_))) => PeerContactAnswer::Refused,
                 Err(_) => return,
             };
-            shared.links.peer_contact_answered(answer, Instant::now());
+            shared.links.record_peer_contact(answer, Instant::now());
         });
     }
 }
--- a/src/actors/peers/summaries.rs
+++ b/src/actors/peers/summaries.rs
@@ -19,11 +19,11 @@
     StateSummary, SummaryContents, SummaryRecipient, SummaryReply, SUMMARY_BYTES_MAX,
 };
 
-/// A peer that receives summaries.
+/// A peer with the state of what it has received.
 struct SummaryPeer {
     member: String,
     address: SocketAddrV4,
-    /// Whether it needs a full summary; shared with the requests in flight.
+    /// Which summaries the peer has confirmed; shared with the tasks that await its responses.
     recipient: Rc<RefCell<SummaryRecipient>>,
 }
 
@@ -33,19 +33,19 @@
     }
 }
 
-/// Publishes the changes of the cluster state, and the full state to peers that miss it.
+/// Publishes the changes of the cluster state to the peers, and the full state to those that lack it.
 pub(super) struct SummaryPublisher {
     shared: Arc<Shared>,
     http: Client,
     peers: Vec<SummaryPeer>,
     term: Term,
-    number: u64,
+    last_number: u64,
 }
 
 impl SummaryPublisher {
     pub(super) fn new(shared: Arc<Shared>, http: Client) -> Self {
-        let known = shared.settings.known.iter();
-        let peers = known.map(|peer| SummaryPeer {
+        let known_peers = shared.settings.known.iter();
+        let peers = known_peers.map(|peer| SummaryPeer {
             member: peer.member.clone(),
             address: peer.peer_addr,
             recipient: Rc::default(),
@@ -55,18 +55,18 @@
             shared,
             http,
             term: Term(0),
-            number: 0,
+            last_number: 0,
         }
     }
 
-    /// Publishes a summary, if this process leads.
+    /// Publishes a summary if this process leads and has recovered the cluster state of its term.
     pub(super) fn publish(&mut self) {
         let now = Instant::now();
         let Some(leadership) = self.shared.election.lock().leadership(now) else {
             return;
         };
         self.begin_term(leadership.term);
-        let anyone_needs_full = self.peers.iter().any(|peer| peer.needs_full(now));
+        let any_peer_needs_full = self.peers.iter().any(|peer| peer.needs_full(now));
         let (changes, full_state) = {
             let mut guard = self.shared.cluster.lock();
             let Some(cluster) = guard.as_mut().filter(|cluster| cluster.term == self.term) else {
@@ -74,10 +74,10 @@
             };
             (
                 cluster.take_summary_changes(),
-                anyone_needs_full.then(|| cluster.full_summary()),
+                any_peer_needs_full.then(|| cluster.full_summary()),
             )
         };
-        self.number += 1;
+        self.last_number += 1;
         let changes = self.encode(changes, false);
         let full_state = full_state.and_then(|contents| self.encode(contents, true));
         for peer in &self.peers {
@@ -87,20 +87,21 @@
                 continue;
             };
             if full {
-                peer.recipient.borrow_mut().full_sent(self.number, now);
+                peer.recipient.borrow_mut().full_sent(self.last_number, now);
             }
-            self.count(full, body.len());
-            self.send(peer, body.clone());
+            self.count_summary(full, body.len());
+            self.send_summary(peer, body.clone());
         }
     }
 
-    /// Numbers start anew with a term, and no peer is known to need a full summary.
+    /// At the start of a term the numbers begin again, and nothing is known of what the peers have
+    /// received.
     fn begin_term(&mut self, term: Term) {
         if term == self.term {
             return;
         }
         self.term = term;
-        self.number = 0;
+        self.last_number = 0;
         for peer in &self.peers {
             *peer.recipient.borrow_mut() = SummaryRecipient::default();
         }
@@ -111,14 +112,14 @@
         let summary = StateSummary {
             term: self.term,
             member: self.shared.settings.member.clone(),
-            number: self.number,
+            number: self.last_number,
             full,
             contents,
         };
         peer::encode(&summary).map(Bytes::from)
     }
 
-    fn count(&self, full: bool, bytes: usize) {
+    fn count_summary(&self, full: bool, bytes: usize) {
         let mut metrics = self.shared.metrics.lock();
         let summaries = &mut metrics.summaries;
         if full {
@@ -129,27 +130,30 @@
         summaries.bytes += bytes as u64;
     }
 
-    fn send(&self, peer: &SummaryPeer, body: Bytes) {
-        let sent = self
+    fn send_summary(&self, peer: &SummaryPeer, body: Bytes) {
+        let request = self
             .http
             .post(format!("http://{}{}", peer.address, SUMMARY))
             .timeout(RESPONSE_TIMEOUT)
             .content_type(BINCODE)
             .send_body(body);
-        let (recipient, number) = (peer.recipient.clone(), self.number);
+        let (recipient, number) = (peer.recipient.clone(), self.last_number);
         let (shared, member) = (self.shared.clone(), peer.member.clone());
         actix::spawn(async move {
-            // Without a response nothing is known: that to the next changes will tell.
-            let Ok(mut response) = sent.await else {
+            // Without a response it is unknown whether the peer is in sync; its response to the next
+            // summary shows it.
+            let Ok(mut response) = request.await else {
                 return;
             };
             let out_of_sync = response.status() == StatusCode::CONFLICT;
             recipient.borrow_mut().answered(number, out_of_sync);
-            // Read to its end so that the connection can be used again.
+            // The body is read to its end so that the connection can be reused.
             let body = response.body().await.unwrap_or_default();
             if let Some(SummaryReply { misdirected }) = peer::decode(&body) {
                 let now = Instant::now();
-                shared.links.misdirected_counted(&member, misdirected, now);
+                shared
+                    .links
+                    .record_misdirected_count(&member, misdirected, now);
             }
         });
     }
--- a/src/actors/scheduler.rs
+++ b/src/actors/scheduler.rs
@@ -1,4 +1,4 @@
-//! The actor of the scheduling cycle: runs cycles on all that happened since the last one, writes the
+//! The scheduling actor: it runs scheduling cycles, each on all events since the last one, writes the
 //! records that their decisions need, and sends direct commands.
 
 use std::rc::Rc;
@@ -22,27 +22,30 @@
 use crate::store::{keys, Condition, StoreError, TransactionOutcome};
 use crate::wire::{self, Heartbeat, WorkerCommand};
 
-/// Shortest time between two cycles: events gather meanwhile.
+/// Shortest time between two cycles. Events that arrive in between are handled together.
 const CYCLE_INTERVAL_MIN: Duration = Duration::from_millis(150);
-/// Longest time between two cycles, so that timeouts are seen.
+/// Longest time between two cycles, so that timeouts are handled without any event.
 const CYCLE_INTERVAL_MAX: Duration = Duration::from_secs(1);
-/// After a cycle the loop pauses for this many times its duration, so that cycles leave the
-/// processor to others.
-const PAUSE_FACTOR: u32 = 8;
-/// A cycle that is late by this much is so because the process was paused.
-const PROCESS_PAUSE_MIN: Duration = Duration::from_millis(1500);
-/// Longest pause after a cycle that took long: when the process was paused in the middle of one,
-/// its duration says nothing of what cycles cost.
-const PAUSE_MAX: Duration = Duration::from_secs(2);
-/// Pause after a write that failed.
+/// After a cycle the loop pauses for this many times the duration of the cycle, so that cycles leave
+/// processor time to the rest of the process.
+const CYCLE_PAUSE_FACTOR: u32 = 8;
+/// A cycle that starts late by at least this much shows that no cycles ran for a while, as when the
+/// process was paused.
+const CYCLE_GAP_MIN: Duration = Duration::from_millis(1500);
+/// Longest pause after a cycle. If the process was paused during the cycle, the duration of the cycle
+/// is no measure of its cost.
+const CYCLE_PAUSE_MAX: Duration = Duration::from_secs(2);
+/// Backoff of all writes after one that failed.
 const WRITE_RETRY_DELAY: Duration = Duration::from_millis(400);
-/// A worker that has not taken a direct command by then gets it with the answer to its heartbeat.
+/// Timeout for the response to a direct command. Without one the agent gets the command with the
+/// response to its next heartbeat.
 const DIRECT_COMMAND_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The unmet demand of the latest cycle, for the fleet.
+/// The unmet demand of the latest cycle that could start tasks, written by the scheduler and read by
+/// the fleet.
 pub type SharedDemand = Arc<Mutex<Vec<UnmetDemand>>>;
 
-/// The actor.
+/// Runs the scheduling loop of this process; cycles run only while it leads.
 pub struct SchedulerActor {
     shared: Arc<Shared>,
     store: Addr<StoreActor>,
@@ -51,7 +54,7 @@
 }
 
 impl SchedulerActor {
-    /// A scheduler that writes through `store` and commands workers through `http`.
+    /// Records are written through `store`, and direct commands are sent through `http`.
     pub fn new(
         shared: Arc<Shared>,
         store: Addr<StoreActor>,
@@ -76,16 +79,16 @@
             store: self.store.clone(),
             http: self.http.clone(),
             unmet_demand: self.unmet_demand.clone(),
-            writes_backoff_until: Mutex::default(),
-            direct_commands: Semaphore::new(self.shared.sockets.direct),
+            write_backoff_until: Mutex::default(),
+            direct_command_permits: Semaphore::new(self.shared.sockets.direct),
         };
         actix::spawn(Rc::new(scheduler).run());
     }
 }
 
-/// How long to leave the processor to others after a cycle that took so long.
-fn pause_after(took: Duration) -> Duration {
-    (took * PAUSE_FACTOR).clamp(CYCLE_INTERVAL_MIN, PAUSE_MAX)
+/// The pause after a cycle, by the duration of the cycle.
+fn pause_after(cycle_duration: Duration) -> Duration {
+    (cycle_duration * CYCLE_PAUSE_FACTOR).clamp(CYCLE_INTERVAL_MIN, CYCLE_PAUSE_MAX)
 }
 
 struct SchedulerLoop {
@@ -93,53 +96,59 @@
     store: Addr<StoreActor>,
     http: Client,
     unmet_demand: SharedDemand,
-    writes_backoff_until: Mutex<Option<Instant>>,
+    write_backoff_until: Mutex<Option<Instant>>,
     /// Limits the direct commands in flight, each of which takes a socket.
-    direct_commands: Semaphore,
+    direct_command_permits: Semaphore,
 }
 
-/// What a scheduling cycle leaves to be done without the cluster state.
+/// Results of a scheduling cycle that are handled without the lock on the cluster state.
 struct CycleOutcome {
     direct_commands: Vec<AddressedCommand>,
-    /// How long jobs were pending whose first start was seen since the last cycle.
+    /// Times from submission to the first running task, for the jobs for which it was reported since
+    /// the last cycle.
     start_waits: Vec<Duration>,
-    /// How long it took to reconcile all machines after a failover, if that has just ended.
+    /// Time to reconcile all machines after a failover, in the cycle at which the reconciliation ended.
     reconciled_after: Option<Duration>,
 }
 
 impl SchedulerLoop {
     async fn run(self: Rc<Self>) {
-        // The term of the cycle before and when the next one was due.
-        let mut due: Option<(Term, Instant)> = None;
+        // The term of the last cycle, and when the next cycle of that term is due at the latest.
+        let mut next_cycle: Option<(Term, Instant)> = None;
         loop {
-            let began = Instant::now();
-            let leadership = self.shared.election.lock().leadership(began);
+            let began_at = Instant::now();
+            let leadership = self.shared.election.lock().leadership(began_at);
             if let Some(leadership) = &leadership {
-                if let Some((_, due)) = due.filter(|(term, _)| *term == leadership.term) {
-                    self.resume(leadership, due, began);
+                if let Some((_, due_at)) = next_cycle.filter(|(term, _)| *term == leadership.term) {
+                    self.resume_after_pause(leadership, due_at, began_at);
                 }
-                self.run_cycle(leadership, began);
+                self.run_cycle(leadership, began_at);
             }
-            let pause = pause_after(began.elapsed());
+            let pause = pause_after(began_at.elapsed());
             if let Some(leadership) = &leadership {
-                due = Some((leadership.term, began + pause.max(CYCLE_INTERVAL_MAX)));
+                next_cycle = Some((leadership.term, began_at + pause.max(CYCLE_INTERVAL_MAX)));
             }
             actix::clock::sleep(pause).await;
-            let woken = self.shared.wake_ups.scheduler.notified();
-            let _ = actix::clock::timeout(CYCLE_INTERVAL_MAX.saturating_sub(pause), woken).await;
+            let notification = self.shared.wake_ups.scheduler.notified();
+            let _ =
+                actix::clock::timeout(CYCLE_INTERVAL_MAX.saturating_sub(pause), notification).await;
         }
     }
 
-    /// After a time without cycles, as when the process was paused or the key-value store was out,
-    /// heartbeats missed meanwhile are no evidence against the machines.
-    fn resume(&self, leadership: &Leadership, due: Instant, now: Instant) {
-        let missed = now.saturating_duration_since(due);
-        if missed < PROCESS_PAUSE_MIN {
+    /// Shifts the times of the cluster state after a time without cycles, as when the process was
+    /// paused or the key-value store was unavailable: heartbeats missed meanwhile are no evidence that
+    /// machines have failed.
+    fn resume_after_pause(&self, leadership: &Leadership, due_at: Instant, now: Instant) {
+        let missed = now.saturating_duration_since(due_at);
+        if missed < CYCLE_GAP_MIN {
             return;
         }
         info!(?missed, "scheduling resumed after a pause");
         let mut guard = self.shared.cluster.lock();
-        if let Some(cluster) = guard.as_mut().filter(|c| c.term == leadership.term) {
+        if let Some(cluster) = guard
+            .as_mut()
+            .filter(|cluster| cluster.term == leadership.term)
+        {
             cluster.resume(missed, now);
         }
     }
@@ -151,17 +160,17 @@
         };
         let writes = self.due_writes(leadership, now);
         let commands = outcome.direct_commands;
-        let (commands_sent, records_written) = (commands.len() as u64, writes.len() as u64);
+        let (command_count, write_count) = (commands.len() as u64, writes.len() as u64);
         for write in writes {
-            actix::spawn(self.clone().write(leadership.clone(), write));
+            actix::spawn(self.clone().write_records(leadership.clone(), write));
         }
         for command in commands {
-            actix::spawn(self.clone().command(command));
+            actix::spawn(self.clone().send_command(command));
         }
         let mut metrics = self.shared.metrics.lock();
         metrics.add_round(now.elapsed());
-        metrics.counts.direct_commands += commands_sent;
-        metrics.counts.records_written += records_written;
+        metrics.counts.direct_commands += command_count;
+        metrics.counts.records_written += write_count;
         if let Some(reconciled_after) = outcome.reconciled_after {
             metrics.failovers.add(reconciled_after);
         }
@@ -170,10 +179,11 @@
         }
     }
 
-    /// Decides and applies the decisions to the cluster state, if that is of the present term.
+    /// Runs the scheduling policy and applies its decisions to the cluster state, if the state is of
+    /// the current term.
     fn decide(&self, leadership: &Leadership, now: Instant) -> Option<CycleOutcome> {
         let refusal = self.shared.links.placement_refusal();
-        let starting = refusal.is_none()
+        let starts_allowed = refusal.is_none()
             && self
                 .shared
                 .election
@@ -181,12 +191,14 @@
                 .leadership_for_starts(now)
                 .is_some();
         let mut guard = self.shared.cluster.lock();
-        let cluster = guard.as_mut().filter(|c| c.term == leadership.term)?;
-        self.shared.drain_by_operator(cluster);
+        let cluster = guard
+            .as_mut()
+            .filter(|cluster| cluster.term == leadership.term)?;
+        self.shared.apply_operator_drains(cluster);
         cluster.expire(now);
-        // Nothing is decided of jobs that may have been cancelled unseen; what was decided
-        // before goes on.
-        let decisions = if starting {
+        // Without starts no new decisions are made, since jobs may have been cancelled without this
+        // process having read it; earlier decisions are still carried out.
+        let decisions = if starts_allowed {
             sched::run_cycle(cluster, &self.shared.policy, now)
         } else {
             let reason = refusal.map_or(PendingReason::StaleReplica, PendingReason::Gate);
@@ -195,8 +207,8 @@
         };
         sched::apply(cluster, &decisions, now);
         cluster.scheduling_needed = false;
-        self.count(&decisions, cluster);
-        if starting {
+        self.log_and_count(&decisions, cluster);
+        if starts_allowed {
             *self.unmet_demand.lock() = decisions.unmet_demand;
         }
         Some(CycleOutcome {
@@ -206,8 +218,12 @@
         })
     }
 
-    fn count(&self, decisions: &Decisions, cluster: &Cluster) {
-        let starts: usize = decisions.starts.iter().map(|s| s.members.len()).sum();
+    fn log_and_count(&self, decisions: &Decisions, cluster: &Cluster) {
+        let starts: usize = decisions
+            .starts
+            .iter()
+            .map(|start| start.members.len())
+            .sum();
         let stops = decisions.terminations.len() + decisions.gang_restarts.len();
         if starts + stops == 0 {
             return;
@@ -225,26 +241,28 @@
     }
 
     fn due_writes(&self, leadership: &Leadership, now: Instant) -> Vec<RecordWrite> {
-        let backoff = *self.writes_backoff_until.lock();
+        let backoff = *self.write_backoff_until.lock();
         if backoff.is_some_and(|until| now < until) {
             return Vec::new();
         }
         let replica = self.shared.replica.lock();
         let mut guard = self.shared.cluster.lock();
-        let cluster = guard.as_mut().filter(|c| c.term == leadership.term);
+        let cluster = guard
+            .as_mut()
+            .filter(|cluster| cluster.term == leadership.term);
         cluster.map_or(Vec::new(), |cluster| cluster.due_writes(&replica, now))
     }
 
-    /// Writes records that the cluster state waits for, on condition that this controller still leads.
-    async fn write(self: Rc<Self>, leadership: Leadership, mut write: RecordWrite) {
+    /// Writes records on which the cluster state waits, on condition that this controller still leads.
+    async fn write_records(self: Rc<Self>, leadership: Leadership, mut write: RecordWrite) {
         let condition = Condition::new(keys::LEADER, leadership.version);
         write.group.conditions.push(condition);
-        let sent = self.store.send(Commit(write.group, write.urgency)).await;
-        let outcome = sent.unwrap_or(TransactionOutcome::Failed(StoreError::OutcomeUnknown));
+        let response = self.store.send(Commit(write.group, write.urgency)).await;
+        let outcome = response.unwrap_or(TransactionOutcome::Failed(StoreError::OutcomeUnknown));
         debug!(kind = ?write.kind, urgency = ?write.urgency, "record write completed");
         if !outcome.committed() {
             debug!(kind = ?write.kind, ?outcome, "record write failed");
-            *self.writes_backoff_until.lock() = Some(Instant::now() + WRITE_RETRY_DELAY);
+            *self.write_backoff_until.lock() = Some(Instant::now() + WRITE_RETRY_DELAY);
         }
         if let Some(cluster) = self.shared.cluster.lock().as_mut() {
             if cluster.term == leadership.term {
@@ -254,19 +272,21 @@
         self.shared.wake_ups.scheduler.notify_one();
     }
 
-    /// Sends a direct command to a worker: terminations, or a raised token that makes it send a
-    /// heartbeat. Late or repeated it does no harm, since no attempt is ever used twice.
-    async fn command(self: Rc<Self>, direct: AddressedCommand) {
+    /// Sends a direct command to an agent: terminations, or a higher token, to which the agent responds
+    /// with a heartbeat. A late or repeated command does no harm, since no attempt number is used
+    /// twice.
+    async fn send_command(self: Rc<Self>, command: AddressedCommand) {
         let AddressedCommand {
             machine,
             address,
             body,
-        } = direct;
-        // A command that waits here also leaves with the answer to the next heartbeat of its machine.
-        let Ok(_permit) = self.direct_commands.acquire().await else {
+        } = command;
+        // A command that waits for a permit is also sent with the response to the next heartbeat of its
+        // machine.
+        let Ok(_permit) = self.direct_command_permits.acquire().await else {
             return;
         };
-        // Waiting for a permit, or a pause of the process, may have outlasted the leadership.
+        // The leadership may have ended during the wait for a permit, or during a pause of the process.
         let term = FencingToken(body.token).term();
         let leading = self.shared.election.lock().leadership(Instant::now());
         if leading.is_none_or(|leadership| leadership.term != term) {
@@ -276,34 +296,34 @@
         debug_assert!(!body
             .commands
             .iter()
-            .any(|o| matches!(o, WorkerCommand::Run { .. })));
-        let sent = self
+            .any(|command| matches!(command, WorkerCommand::Run { .. })));
+        let response = self
             .http
             .post(format!("http://{address}/orders"))
             .timeout(DIRECT_COMMAND_TIMEOUT)
-            // Kept open, these would take a second socket for each machine.
+            // Connections that are kept open would take a second socket per machine.
             .force_close()
             .content_type(wire::CBOR)
             .send_body(wire::encode(&body))
             .await;
-        let Ok(mut answer) = sent else {
+        let Ok(mut response) = response else {
             debug!(%machine, "direct command unanswered");
             if let Some(cluster) = self.shared.cluster.lock().as_mut() {
                 cluster.command_unanswered(&machine, sent_at);
             }
             return;
         };
-        let Ok(bytes) = answer.body().limit(wire::BODY_LIMIT).await else {
+        let Ok(bytes) = response.body().limit(wire::BODY_LIMIT).await else {
             return;
         };
         let Ok(heartbeat) = wire::decode::<Heartbeat>(&bytes) else {
             return;
         };
-        self.command_answered(&machine, term, &heartbeat, sent_at);
+        self.handle_command_response(&machine, term, &heartbeat, sent_at);
     }
 
-    /// Takes the heartbeat with which a worker answers a direct command.
-    fn command_answered(
+    /// Applies the heartbeat with which an agent responds to a direct command that was sent at `sent_at`.
+    fn handle_command_response(
         &self,
         machine: &MachineId,
         term: Term,
--- a/src/actors/scheduler/tests.rs
+++ b/src/actors/scheduler/tests.rs
@@ -1,13 +1,14 @@
-//! Tests of [`super`].
-
 use super::*;
 
-/// A controller that was paused for 51 s in the middle of a cycle would otherwise run no cycle for
-/// seven minutes, should it lead.
+/// A process that was paused for 51 s during a cycle must not pause its cycles for seven minutes if it
+/// leads afterwards.
 #[test]
-fn the_pause_grows_with_the_cost_of_a_cycle_but_not_with_a_pause_of_the_process() {
+fn pause_is_proportional_to_cycle_duration_and_bounded_after_a_process_pause() {
     assert_eq!(pause_after(Duration::ZERO), CYCLE_INTERVAL_MIN);
-    let long = Duration::from_millis(100);
-    assert_eq!(pause_after(long), long * PAUSE_FACTOR);
-    assert_eq!(pause_after(Duration::from_secs(51)), PAUSE_MAX);
+    let cycle_duration = Duration::from_millis(100);
+    assert_eq!(
+        pause_after(cycle_duration),
+        cycle_duration * CYCLE_PAUSE_FACTOR
+    );
+    assert_eq!(pause_after(Duration::from_secs(51)), CYCLE_PAUSE_MAX);
 }
--- a/src/forwarding/messages.rs
+++ b/src/forwarding/messages.rs
@@ -1,33 +1,33 @@
-//! Messages by which a follower forwards heartbeats to the leader.
+//! The messages by which a follower forwards heartbeats to the leader, and the leader's responses.
 
 use serde::{Deserialize, Serialize};
 
 use crate::model::Term;
 use crate::wire::{Heartbeat, HeartbeatResponse, TaskStatus, WorkerCommand};
 
-/// Version of [`HeartbeatBatch`] and [`BatchAnswer`].
+/// The version of [`HeartbeatBatch`] and [`BatchAnswer`].
 pub const BATCH_VERSION: u16 = 1;
-/// Largest body of a batch that is accepted. Senders stay well below it, see
+/// Largest accepted body of a batch or of the response to one. Senders stay well below it, see
 /// [`crate::forwarding::BATCH_BYTES_MAX`].
 pub const BATCH_BODY_BYTES_MAX: usize = 1024 * 1024;
 
-/// Heartbeats that arrived at a follower at about the same time.
+/// Heartbeats that arrived at one follower and are forwarded in one request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HeartbeatBatch {
-    /// [`BATCH_VERSION`]; first, so that it can be read whatever follows.
+    /// [`BATCH_VERSION`]. It is the first field, so that it can be decoded whatever follows.
     pub version: u16,
-    /// The follower.
+    /// The name of the follower that sends the batch.
     pub member: String,
-    /// The term that the batch is meant for.
+    /// The term for which the batch is meant; a leader of another term rejects it.
     pub term: Term,
-    /// Time of day at the sending, in milliseconds since 1970.
+    /// When the follower sent the batch by its clock, in milliseconds since the Unix epoch.
     pub sent_at_ms: u64,
-    /// The heartbeats.
+    /// The heartbeats in the order of their arrival.
     pub heartbeats: Vec<ForwardedHeartbeat>,
 }
 
-/// A heartbeat between nodes. [`Heartbeat`] itself takes numbers of any kind, which `bincode`
-/// cannot express.
+/// A heartbeat as controllers send it to each other. [`Heartbeat`] itself accepts numbers of any kind,
+/// which `bincode` cannot express.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ForwardedHeartbeat {
     pub(crate) machine: String,
@@ -76,28 +76,29 @@
     }
 }
 
-/// A command between nodes. [`WorkerCommand`] itself is tagged by a field, which `bincode` cannot read.
+/// A command as controllers send it to each other. [`WorkerCommand`] itself is tagged by a field, which
+/// `bincode` cannot decode.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ForwardedCommand {
-    /// What to do.
+    /// What the agent should do with the task.
     pub verb: ForwardedAction,
-    /// The task.
+    /// The id of the task.
     pub task: String,
-    /// The attempt.
+    /// The attempt of the task to which the action applies.
     pub attempt: u64,
 }
 
 /// The action of a [`ForwardedCommand`].
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub enum ForwardedAction {
-    /// Start the task.
+    /// Start the attempt.
     Run,
-    /// Stop it.
+    /// Terminate the attempt.
     Kill {
-        /// The grace period for its last checkpoint.
+        /// Grace period for a last checkpoint, in seconds.
         grace_s: f64,
     },
-    /// Forget it.
+    /// Drop the state of the attempt, which has ended.
     Clear,
 }
 
@@ -135,22 +136,22 @@
     }
 }
 
-/// The leader's decision on one heartbeat.
+/// The leader's decision on one forwarded heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum ForwardedAnswer {
-    /// The agent gets 200 with this token and these commands.
+    /// The follower responds to the agent with 200.
     Accepted {
-        /// The fencing token.
+        /// The fencing token, which the agent compares with the highest that it has accepted.
         token: u64,
-        /// The commands.
+        /// The commands for the agent.
         commands: Vec<ForwardedCommand>,
     },
-    /// The agent gets 503.
+    /// The follower responds to the agent with 503.
     Unavailable,
 }
 
 impl ForwardedAnswer {
-    /// The body of the 200, if it is one.
+    /// The body of the 200, if the heartbeat was accepted.
     pub fn accepted(self) -> Option<HeartbeatResponse> {
         match self {
             Self::Accepted { token, commands } => Some(HeartbeatResponse {
@@ -162,11 +163,11 @@
     }
 }
 
-/// The leader's decisions, in the order of the heartbeats.
+/// The leader's response to a [`HeartbeatBatch`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct BatchAnswer {
-    /// [`BATCH_VERSION`].
+    /// [`BATCH_VERSION`], as the first field.
     pub version: u16,
-    /// The decisions.
+    /// One decision for each heartbeat of the batch, in the same order.
     pub answers: Vec<ForwardedAnswer>,
 }
--- a/src/forwarding/mod.rs
+++ b/src/forwarding/mod.rs
@@ -1,9 +1,10 @@
-//! The follower's side of forwarded heartbeats: a bounded queue, and the state of the path to the
+//! The follower's side of heartbeat forwarding: a bounded queue, and the state of the path to the
 //! leader.
 //!
-//! Pure state. The handler of heartbeats enqueues, [`crate::actors::forward`] takes batches and sends
-//! them. A follower decides nothing about a heartbeat: it relays a response, once, to the connection
-//! on which the heartbeat arrived, and only while the agent can still be waiting.
+//! This module does no I/O. The HTTP handler of heartbeats enqueues them, and
+//! [`crate::actors::forward`] sends them in batches. A follower makes no decision on a heartbeat: it
+//! relays the leader's response, once, to the connection on which the heartbeat arrived, and only while
+//! the agent may still wait for it.
 
 pub mod messages;
 
@@ -18,91 +19,94 @@
 use crate::model::FencingToken;
 use crate::wire::{Heartbeat, HeartbeatResponse, BODY_LIMIT};
 
-/// An agent drops a response 4 s after it sent the heartbeat. No response is relayed later than this
-/// after the heartbeat arrived: the rest is for its way here and back.
+/// Longest time after the arrival of a heartbeat at which a response is relayed. The agent drops a
+/// response 4 s after it sent the heartbeat; the remaining 0.5 s are for the network in both
+/// directions.
 pub const RELAY_TIMEOUT: Duration = Duration::from_millis(3500);
-/// Time for the leader's response to a batch.
+/// Timeout for the leader's response to a batch.
 pub const BATCH_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Batches in flight at once: one that is answered late delays only the next but one.
+/// Most batches in flight to the leader. With two of them, a late response does not delay the next
+/// batch, but the one after it.
 pub const BATCHES_IN_FLIGHT: usize = 2;
-/// Heartbeats in a batch.
+/// Most heartbeats in a batch.
 pub const BATCH_HEARTBEATS_MAX: usize = 128;
-/// Bytes of the agents' bodies in a batch. The largest single body always fits.
+/// Most bytes of the agents' request bodies in a batch. A single body of the largest size always fits.
 pub const BATCH_BYTES_MAX: usize = 4 * BODY_LIMIT;
-/// Part of the memory for the bodies of queued heartbeats.
-const QUEUE_MEMORY_PART: f64 = 1.0 / 64.0;
-/// The queue may always hold this many bytes.
+/// Fraction of the memory of the process for the bodies of queued heartbeats.
+const QUEUE_MEMORY_FRACTION: f64 = 1.0 / 64.0;
+/// Bytes that the queue may always hold, however small the memory of the process.
 const QUEUED_BYTES_MIN: usize = 16 * BODY_LIMIT;
 
-/// Limits of the queue. Beyond them an agent is rejected at once, and tries the next node.
+/// Limits of the queue. A heartbeat that exceeds them is rejected at once, and its agent tries the next
+/// controller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QueueLimits {
-    /// Heartbeats: each agent has one in flight, on a public connection of its own.
+    /// Most queued heartbeats. Each agent has one in flight, on a public connection of its own.
     pub heartbeats: usize,
-    /// Bytes of their bodies.
+    /// Most bytes of the bodies of queued heartbeats.
     pub bytes: usize,
 }
 
 impl QueueLimits {
-    /// For a process with so many public connections and so much memory.
+    /// The limits of a process with this many public connections and `mem_mb` MiB of memory.
     pub fn new(public_connections: usize, mem_mb: f64) -> Self {
-        let part = mem_mb * 1024.0 * 1024.0 * QUEUE_MEMORY_PART;
+        let memory_bytes = mem_mb * 1024.0 * 1024.0 * QUEUE_MEMORY_FRACTION;
         Self {
             heartbeats: public_connections,
-            bytes: (part as usize).max(QUEUED_BYTES_MIN),
+            bytes: (memory_bytes as usize).max(QUEUED_BYTES_MIN),
         }
     }
 }
 
-/// Processor time that a batch costs the leader besides its heartbeats.
+/// Processor time in seconds that a batch costs the leader in addition to its heartbeats.
 const BATCH_CPU_S: f64 = 0.0002;
-/// Part of the leader's processor for that.
-const BATCH_CPU_PART: f64 = 0.1;
-/// Bounds on the delay for which heartbeats are batched. It adds to the time until a start reaches its
-/// machine.
+/// Fraction of the leader's processor time for the batches of all followers.
+const BATCH_CPU_FRACTION: f64 = 0.1;
+/// Bounds on the time for which heartbeats are collected into a batch, which delays a start on its way
+/// to its machine.
 const BATCH_DELAY_MIN: Duration = Duration::from_millis(10);
 const BATCH_DELAY_MAX: Duration = Duration::from_millis(250);
 
-/// How long a path counts as unresponsive after a batch without response.
-const UNRESPONSIVE_FOR: Duration = Duration::from_secs(1);
-/// Backoff after a leader refused a connection or a batch.
-const REFUSED_FOR: Duration = Duration::from_secs(2);
-/// Backoff after a leader did not know forwarded heartbeats.
-const UNSUPPORTED_FOR: Duration = Duration::from_secs(30);
+/// Backoff after a batch without a response.
+const UNRESPONSIVE_BACKOFF: Duration = Duration::from_secs(1);
+/// Backoff after the leader refused a connection or a batch.
+const REFUSED_BACKOFF: Duration = Duration::from_secs(2);
+/// Backoff after the leader responded that it does not support forwarded heartbeats.
+const UNSUPPORTED_BACKOFF: Duration = Duration::from_secs(30);
 
-/// How long heartbeats are collected into a batch: the batches of all followers are to cost the leader
-/// a small part of its processor.
+/// How long heartbeats are collected into a batch, so that the batches of all followers cost the leader
+/// a small fraction of its processor time.
 pub fn batch_delay(settings: &Settings) -> Duration {
     let followers = settings.params.count.saturating_sub(1).max(1);
     let cores = settings.params.resources.cores;
-    let between_s = followers as f64 * BATCH_CPU_S / (cores * BATCH_CPU_PART);
-    let between = Duration::try_from_secs_f64(between_s).unwrap_or(BATCH_DELAY_MAX);
-    between.clamp(BATCH_DELAY_MIN, BATCH_DELAY_MAX)
+    let delay_s = followers as f64 * BATCH_CPU_S / (cores * BATCH_CPU_FRACTION);
+    let delay = Duration::try_from_secs_f64(delay_s).unwrap_or(BATCH_DELAY_MAX);
+    delay.clamp(BATCH_DELAY_MIN, BATCH_DELAY_MAX)
 }
 
-/// Why heartbeats can't be forwarded to a leader at present.
+/// Why heartbeats cannot be forwarded to the leader at present.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UpstreamFailure {
-    /// A batch got no response in time.
+    /// The leader did not respond to a batch in time, or responded with a server error.
     Unresponsive,
-    /// The leader's node refuses connections.
+    /// The leader's address refuses connections.
     ConnectionRefused,
-    /// It does not lead the term that this node knows.
+    /// The controller responded that it does not lead in the term of the batch.
     NotLeading,
-    /// It does not know forwarded heartbeats, or not this version of them.
+    /// The leader does not support forwarded heartbeats, or not in this version.
     Unsupported,
 }
 
 impl UpstreamFailure {
     fn backoff(self) -> Duration {
         match self {
-            Self::Unresponsive => UNRESPONSIVE_FOR,
-            Self::ConnectionRefused | Self::NotLeading => REFUSED_FOR,
-            Self::Unsupported => UNSUPPORTED_FOR,
+            Self::Unresponsive => UNRESPONSIVE_BACKOFF,
+            Self::ConnectionRefused | Self::NotLeading => REFUSED_BACKOFF,
+            Self::Unsupported => UNSUPPORTED_BACKOFF,
         }
     }
 
-    /// Whether agents may reach the leader although this node does not.
+    /// Whether agents may reach the leader although this controller does not.
     fn allows_redirect(self) -> bool {
         matches!(self, Self::ConnectionRefused | Self::Unsupported)
     }
@@ -115,86 +119,88 @@
     Forward,
     /// Redirect the agent to the leader.
     Redirect,
-    /// Answer with an error, so that the agent tries another node.
+    /// Respond with an error, so that the agent tries another controller.
     Reject,
 }
 
-/// The queue is full.
+/// The heartbeat exceeds one of the [`QueueLimits`] and was not queued.
 #[derive(Debug, PartialEq, Eq)]
 pub struct QueueFull;
 
-/// A heartbeat that waits for a batch or for its response.
+/// A heartbeat that waits to be sent in a batch, or for the response to its batch.
 #[derive(Debug)]
 pub struct QueuedHeartbeat {
-    /// The heartbeat.
+    /// The heartbeat, in the form in which it is forwarded.
     pub heartbeat: ForwardedHeartbeat,
     body_bytes: usize,
-    received: Instant,
+    received_at: Instant,
     token: FencingToken,
     answer: oneshot::Sender<ForwardedAnswer>,
 }
 
 impl QueuedHeartbeat {
-    /// Hands the leader's response to the agent's connection, if it is still open.
+    /// Passes the leader's decision to the handler of the agent's connection, if the connection is
+    /// still open.
     pub fn answer(self, answer: ForwardedAnswer) {
         let _ = self.answer.send(answer);
     }
 
-    /// Whether the agent is still waiting, and accepts commands of this term.
+    /// Whether the agent still waits, and accepts commands of this leader's term.
     fn is_deliverable(&self, leader: &LeaderHint, now: Instant) -> bool {
-        let waited = now.saturating_duration_since(self.received);
+        let waited = now.saturating_duration_since(self.received_at);
         !self.answer.is_closed() && waited < RELAY_TIMEOUT && self.token.term() <= leader.term
     }
 }
 
-/// The agent's connection, waiting for the leader's decision.
+/// A heartbeat whose connection waits for the leader's decision. Dropping it marks the agent as no
+/// longer waiting.
 #[derive(Debug)]
 pub struct PendingHeartbeat {
-    /// The machine.
+    /// The id of the agent's machine.
     pub machine: String,
-    /// When the heartbeat arrived.
+    /// When the heartbeat arrived at this controller.
     pub received_at: Instant,
-    /// The highest fencing token that the agent had seen.
+    /// The highest fencing token that the agent had accepted when it sent the heartbeat.
     token: u64,
-    /// Resolves to the leader's response, or fails if there will be none.
+    /// Resolves to the leader's decision, or fails if the heartbeat is dropped without one.
     pub answer: oneshot::Receiver<ForwardedAnswer>,
 }
 
 impl PendingHeartbeat {
-    /// The response to relay, if the agent accepts it: in time, and under a fencing token no lower than
-    /// the highest that it has seen.
+    /// The response to relay, if the agent accepts it: it is in time, and its fencing token is not
+    /// lower than the highest that the agent has accepted.
     pub fn relayed_response(
         &self,
         answer: ForwardedAnswer,
         now: Instant,
     ) -> Option<HeartbeatResponse> {
         let in_time = now.saturating_duration_since(self.received_at) < RELAY_TIMEOUT;
-        let answer = answer.accepted().filter(|_| in_time)?;
-        (answer.token >= self.token).then_some(answer)
+        let response = answer.accepted().filter(|_| in_time)?;
+        (response.token >= self.token).then_some(response)
     }
 }
 
-/// A path that failed: to which leader, how, and when.
+/// The last failure on the path to a leader.
 #[derive(Debug)]
 struct FailedPath {
     leader: LeaderHint,
     failure: UpstreamFailure,
-    at: Instant,
+    failed_at: Instant,
 }
 
-/// Heartbeats on their way to the leader.
+/// The queue of heartbeats to forward, with the state of the path to the leader.
 #[derive(Debug)]
-pub struct Forwarding {
+pub struct ForwardingQueue {
     limits: QueueLimits,
     queue: VecDeque<QueuedHeartbeat>,
     queued_bytes: usize,
     in_flight: usize,
-    /// The last failure on the path to a leader.
+    /// The failure since which no batch to the same leader has succeeded.
     failure: Option<FailedPath>,
 }
 
-impl Forwarding {
-    /// An empty queue.
+impl ForwardingQueue {
+    /// An empty queue, with no failure on the path to any leader.
     pub fn new(limits: QueueLimits) -> Self {
         Self {
             limits,
@@ -205,8 +211,8 @@
         }
     }
 
-    /// What to do with a heartbeat for this leader. After a failure one batch tries the path again; until
-    /// it is answered no further heartbeat is queued.
+    /// The route of a heartbeat for this leader. When the backoff after a failure has elapsed, one
+    /// batch probes the path; no further heartbeat is queued while that batch is in flight.
     pub fn route(&self, leader: &LeaderHint, now: Instant) -> ForwardingRoute {
         let Some(failed) = &self.failure else {
             return ForwardingRoute::Forward;
@@ -214,8 +220,9 @@
         if failed.leader != *leader {
             return ForwardingRoute::Forward;
         }
-        let over = now.saturating_duration_since(failed.at) >= failed.failure.backoff();
-        if over && self.in_flight == 0 {
+        let backoff_elapsed =
+            now.saturating_duration_since(failed.failed_at) >= failed.failure.backoff();
+        if backoff_elapsed && self.in_flight == 0 {
             return ForwardingRoute::Forward;
         }
         if failed.failure.allows_redirect() {
@@ -225,7 +232,7 @@
         }
     }
 
-    /// Queues a heartbeat whose body had so many bytes.
+    /// Queues a heartbeat whose request body had `body_bytes` bytes.
     pub fn enqueue(
         &mut self,
         heartbeat: Heartbeat,
@@ -244,7 +251,7 @@
         self.queue.push_back(QueuedHeartbeat {
             heartbeat: heartbeat.into(),
             body_bytes,
-            received: now,
+            received_at: now,
             token: FencingToken(token),
             answer: sender,
         });
@@ -256,8 +263,9 @@
         })
     }
 
-    /// The next batch for this leader, counted as in flight; heartbeats whose agents no longer wait are
-    /// left out. `None` if there is nothing to send, or enough is in flight.
+    /// Takes the next batch for this leader from the queue and counts it as in flight. Heartbeats whose
+    /// agents no longer wait, or accept no commands of the leader's term, are dropped. `None` if there
+    /// is nothing to send, or the limit of batches in flight is reached.
     pub fn next_batch(
         &mut self,
         leader: &LeaderHint,
@@ -294,19 +302,19 @@
         Some(queued)
     }
 
-    /// Whether heartbeats wait for a batch.
+    /// Whether any heartbeats wait to be sent in a batch.
     pub fn has_queued(&self) -> bool {
         !self.queue.is_empty()
     }
 
-    /// Drops all that waits for a batch, as there is no leader to send it to. The agents get an error and
-    /// try another node.
+    /// Drops all heartbeats that wait to be sent, because the leader is unknown or unreachable. Their
+    /// agents receive an error, or a redirect to the leader where it may still be reachable for them.
     pub fn drop_queued(&mut self) {
         self.queue.clear();
         self.queued_bytes = 0;
     }
 
-    /// A batch to this leader was answered.
+    /// Records that the leader responded to a batch, which ends the failure on the path to it.
     pub fn record_batch_success(&mut self, leader: &LeaderHint) {
         self.in_flight = self.in_flight.saturating_sub(1);
         if self
@@ -318,8 +326,8 @@
         }
     }
 
-    /// A batch to this leader was not answered. It is not repeated, since it may have been accepted; what
-    /// waits behind it is dropped as well.
+    /// Records that a batch to this leader failed. The batch is not repeated, since the leader may have
+    /// accepted it; the heartbeats that wait behind it are dropped as well.
     pub fn record_batch_failure(
         &mut self,
         leader: &LeaderHint,
@@ -330,7 +338,7 @@
         self.failure = Some(FailedPath {
             leader: leader.clone(),
             failure,
-            at: now,
+            failed_at: now,
         });
         self.drop_queued();
     }
--- a/src/forwarding/tests.rs
+++ b/src/forwarding/tests.rs
@@ -1,5 +1,3 @@
-//! Tests of [`super`].
-
 use super::*;
 use crate::model::Term;
 
@@ -32,21 +30,21 @@
     }
 }
 
-/// Of a node with 512 public connections and 136 MB.
+/// The limits of a controller with 512 public connections and 136 MB of memory.
 const LIMITS: QueueLimits = QueueLimits {
     heartbeats: 512,
     bytes: 17 * 128 * 1024,
 };
 
 struct Follower {
-    forwarding: Forwarding,
+    forwarding: ForwardingQueue,
     start: Instant,
 }
 
 impl Follower {
     fn new() -> Self {
         Self {
-            forwarding: Forwarding::new(LIMITS),
+            forwarding: ForwardingQueue::new(LIMITS),
             start: Instant::now(),
         }
     }
@@ -76,15 +74,15 @@
     }
 }
 
-/// Reports that arrive while batches are under way wait and go together: batches widen.
+/// Heartbeats that arrive while two batches are in flight are sent together in the next batch.
 #[test]
-fn batches_grow_while_two_are_in_flight() {
+fn heartbeats_are_batched_together_while_two_batches_are_in_flight() {
     let mut follower = Follower::new();
     let mut pending = Vec::new();
     for (sequence, expected) in [(1, true), (2, true), (3, false), (4, false)] {
         pending.push(follower.queue(sequence, 0));
         let batch = follower.batch(3, 0);
-        assert_eq!(batch.is_some(), expected, "report {sequence}");
+        assert_eq!(batch.is_some(), expected, "heartbeat {sequence}");
         std::mem::forget(batch);
     }
     follower.forwarding.record_batch_success(&leader(3));
@@ -92,7 +90,7 @@
 }
 
 #[test]
-fn batches_and_the_queue_are_bounded_and_a_full_queue_says_so() {
+fn batches_and_queue_are_bounded_and_a_full_queue_rejects_heartbeats() {
     let mut follower = Follower::new();
     let pending: Vec<PendingHeartbeat> = (0..LIMITS.heartbeats as u64)
         .map(|sequence| follower.queue(sequence, 0))
@@ -105,42 +103,46 @@
     assert_eq!(follower.batch(3, 0).unwrap().len(), BATCH_HEARTBEATS_MAX);
     assert_eq!(pending.len(), LIMITS.heartbeats);
 
-    // The same by bytes, with the largest bodies that workers may send.
+    // The limit in bytes, with the largest bodies that agents may send.
     let mut follower = Follower::new();
     let mut pending = Vec::new();
-    let refused = (0..1000).find(|sequence| {
+    let first_rejected = (0..1000).find(|sequence| {
         let queued =
             follower
                 .forwarding
                 .enqueue(heartbeat(*sequence, FencingToken(0)), BODY_LIMIT, now);
         queued.map(|heartbeat| pending.push(heartbeat)).is_err()
     });
-    let taken = refused.unwrap() as usize * BODY_LIMIT;
-    assert!(taken <= LIMITS.bytes && taken * 2 > LIMITS.bytes);
+    let accepted_bytes = first_rejected.unwrap() as usize * BODY_LIMIT;
+    assert!(accepted_bytes <= LIMITS.bytes && accepted_bytes * 2 > LIMITS.bytes);
     let batch = follower.forwarding.next_batch(&leader(3), now).unwrap();
     assert!(!batch.is_empty() && batch.len() * BODY_LIMIT <= BATCH_BYTES_MAX);
 }
 
-/// A batch is never sent again, and what waits behind it is given up with it.
+/// A batch without a response may have been accepted, so it must not be sent again. The heartbeats
+/// queued behind it are dropped with it.
 #[test]
-fn an_unanswered_batch_is_not_repeated() {
+fn failed_batch_is_not_repeated_and_drops_queued_heartbeats() {
     let mut follower = Follower::new();
     let mut first = follower.queue(1, 0);
     let batch = follower.batch(3, 0).unwrap();
     let mut second = follower.queue(2, 100);
     follower.fail(UpstreamFailure::Unresponsive, 2500);
     drop(batch);
-    assert!(first.answer.try_recv().is_err(), "nobody will answer it");
+    assert!(
+        first.answer.try_recv().is_err(),
+        "no decision arrives for a heartbeat of the failed batch"
+    );
     assert!(second.answer.try_recv().is_err());
-    assert!(follower.batch(3, 2500).is_none(), "nothing is left to send");
+    assert!(follower.batch(3, 2500).is_none(), "the queue is empty");
 }
 
-/// A worker whose follower can't reach the leader is told at once where to go, and one batch at a
-/// time tries whether the path is there again.
+/// While a follower cannot reach the leader, heartbeats are rejected or redirected at once. After the
+/// backoff one batch at a time probes the path.
 #[test]
-fn a_failed_path_is_tried_again_by_one_batch() {
+fn failed_path_is_probed_by_one_batch_after_the_backoff() {
     use UpstreamFailure::{ConnectionRefused, NotLeading, Unresponsive, Unsupported};
-    for (failure, told) in [
+    for (failure, expected_route) in [
         (Unresponsive, ForwardingRoute::Reject),
         (NotLeading, ForwardingRoute::Reject),
         (ConnectionRefused, ForwardingRoute::Redirect),
@@ -151,83 +153,96 @@
         let pending = follower.queue(1, 0);
         std::mem::forget(follower.batch(3, 0));
         follower.fail(failure, 10);
-        assert_eq!(follower.route(3, 20), told, "{failure:?}");
+        assert_eq!(follower.route(3, 20), expected_route, "{failure:?}");
         assert_eq!(
             follower.route(4, 20),
             ForwardingRoute::Forward,
-            "another leader"
+            "path to another leader"
         );
-        let over = 10 + failure.backoff().as_millis() as u64;
+        let backoff_end_ms = 10 + failure.backoff().as_millis() as u64;
         assert_eq!(
-            follower.route(3, over),
+            follower.route(3, backoff_end_ms),
             ForwardingRoute::Forward,
             "{failure:?}"
         );
-        let probe = follower.queue(2, over);
-        std::mem::forget(follower.batch(3, over));
-        assert_eq!(follower.route(3, over), told, "one tries the path");
+        let probe = follower.queue(2, backoff_end_ms);
+        std::mem::forget(follower.batch(3, backoff_end_ms));
+        assert_eq!(
+            follower.route(3, backoff_end_ms),
+            expected_route,
+            "{failure:?}: a probe is in flight"
+        );
         follower.forwarding.record_batch_success(&leader(3));
-        assert_eq!(follower.route(3, over), ForwardingRoute::Forward);
+        assert_eq!(follower.route(3, backoff_end_ms), ForwardingRoute::Forward);
         drop((pending, probe));
     }
 }
 
-/// What came for the former leader goes to the one that is known by then; reports whose worker
-/// has given up, or has seen a higher term, go to nobody.
+/// Heartbeats queued under a former leader are sent to the current one. Those whose agents no longer
+/// wait, or have accepted a token of a higher term, are dropped.
 #[test]
-fn only_heartbeats_whose_agents_wait_are_sent() {
+fn heartbeats_of_agents_that_no_longer_wait_or_saw_a_higher_term_are_dropped() {
     let mut follower = Follower::new();
-    let waits = follower.queue(1, 0);
+    let waiting = follower.queue(1, 0);
     drop(follower.queue(2, 0));
     let now = follower.at(0);
     let ahead = heartbeat(3, FencingToken::first(Term(9)));
     let ahead = follower.forwarding.enqueue(ahead, 200, now).unwrap();
     let batch = follower.batch(4, 100).unwrap();
     assert_eq!(batch.len(), 1);
-    drop((waits, ahead));
+    drop((waiting, ahead));
 
     let mut late = Follower::new();
-    let waits = late.queue(1, 0);
-    let limit = RELAY_TIMEOUT.as_millis() as u64;
-    assert!(late.batch(3, limit).is_none(), "the worker has given up");
-    drop(waits);
+    let waiting = late.queue(1, 0);
+    let limit_ms = RELAY_TIMEOUT.as_millis() as u64;
+    assert!(
+        late.batch(3, limit_ms).is_none(),
+        "the agent no longer waits"
+    );
+    drop(waiting);
 }
 
-/// A 200 that the worker drops holds it at this node while its lease runs out.
+/// An agent that drops a 200 keeps sending its heartbeats to the same follower while its lease expires.
 #[test]
-fn no_response_is_relayed_late_or_under_a_token_below_the_agent_s() {
+fn response_is_not_relayed_late_or_under_a_token_below_the_accepted_one() {
     let mut follower = Follower::new();
-    let seen = FencingToken::first(Term(3)).0 + 5;
+    let accepted_token = FencingToken::first(Term(3)).0 + 5;
     let now = follower.at(0);
-    let heartbeat = heartbeat(1, FencingToken(seen));
+    let heartbeat = heartbeat(1, FencingToken(accepted_token));
     let pending = follower.forwarding.enqueue(heartbeat, 200, now).unwrap();
-    let limit = RELAY_TIMEOUT.as_millis() as u64;
+    let limit_ms = RELAY_TIMEOUT.as_millis() as u64;
     let relayed = |token, ms| pending.relayed_response(accepted(token), follower.at(ms));
-    assert!(relayed(seen, limit - 1).is_some());
-    assert!(relayed(seen + 1, 10).is_some());
-    assert!(relayed(seen - 1, 10).is_none(), "the worker would drop it");
-    assert!(relayed(seen, limit).is_none(), "the worker has given up");
+    assert!(relayed(accepted_token, limit_ms - 1).is_some());
+    assert!(relayed(accepted_token + 1, 10).is_some());
+    assert!(
+        relayed(accepted_token - 1, 10).is_none(),
+        "the agent would drop it"
+    );
+    assert!(
+        relayed(accepted_token, limit_ms).is_none(),
+        "the agent no longer waits"
+    );
     let unavailable = ForwardedAnswer::Unavailable;
     assert!(pending
         .relayed_response(unavailable, follower.at(10))
         .is_none());
 }
 
-/// The batches of all followers take a bounded part of the leader's processor, and on a machine of
-/// usual size reports hardly wait.
+/// The batches of all followers take a bounded fraction of the leader's processor time, and with a
+/// processor of the usual size heartbeats are hardly delayed.
 #[test]
-fn heartbeats_are_batched_longer_where_the_processor_is_small() {
-    let gather = |cores: f64, nodes: usize| {
+fn batch_delay_is_longer_for_a_leader_with_less_processor_time() {
+    let delay_of = |cores: f64, controllers: usize| {
         let text = include_str!("../../deploy/example.toml");
         let mut settings = Settings::parse(text, "a test").unwrap();
         settings.params.resources.cores = cores;
-        settings.params.count = nodes;
+        settings.params.count = controllers;
         batch_delay(&settings)
     };
-    assert_eq!(gather(1.0, 3), BATCH_DELAY_MIN);
-    assert!(gather(0.16, 3) < Duration::from_millis(50));
-    assert_eq!(gather(0.029, 7), BATCH_DELAY_MAX);
-    let (cores, nodes) = (0.1, 5);
-    let a_second = (nodes - 1) as f64 / gather(cores, nodes).as_secs_f64();
-    assert!(a_second * BATCH_CPU_S <= cores * BATCH_CPU_PART * 1.01);
+    assert_eq!(delay_of(1.0, 3), BATCH_DELAY_MIN);
+    assert!(delay_of(0.16, 3) < Duration::from_millis(50));
+    assert_eq!(delay_of(0.029, 7), BATCH_DELAY_MAX);
+    let (cores, controllers) = (0.1, 5);
+    let batches_per_s = (controllers - 1) as f64 / delay_of(cores, controllers).as_secs_f64();
+    assert!(batches_per_s * BATCH_CPU_S <= cores * BATCH_CPU_FRACTION * 1.01);
 }
--- a/src/service/cancellations.rs
+++ b/src/service/cancellations.rs
@@ -1,26 +1,26 @@
-//! Cancellations that the other nodes have not been notified of.
+//! Cancellations of which the peers have not been notified yet.
 
 use parking_lot::Mutex;
 
 use crate::model::JobId;
 
-/// Cancellations that may wait to be published. The peers' watches bring the rest.
+/// Most cancellations queued for publication. The peers read any others through their watches.
 const QUEUED_MAX: usize = 1024;
 
-/// Cancelled jobs to publish to the peers.
+/// The queue of cancelled jobs to publish to the peers.
 #[derive(Debug, Default)]
 pub struct UnpublishedCancellations(Mutex<Vec<JobId>>);
 
 impl UnpublishedCancellations {
-    /// Queues a cancelled job, unless too many wait.
+    /// Queues a cancelled job, unless the queue is full.
     pub fn push(&self, id: &JobId) {
-        let mut waiting = self.0.lock();
-        if waiting.len() < QUEUED_MAX {
-            waiting.push(id.clone());
+        let mut queue = self.0.lock();
+        if queue.len() < QUEUED_MAX {
+            queue.push(id.clone());
         }
     }
 
-    /// Takes all that wait.
+    /// Removes and returns all queued jobs.
     pub fn take(&self) -> Vec<JobId> {
         std::mem::take(&mut *self.0.lock())
     }
--- a/src/service/connections.rs
+++ b/src/service/connections.rs
@@ -8,17 +8,17 @@
 pub struct ConnectionCount(Arc<AtomicUsize>);
 
 impl ConnectionCount {
-    /// How many are open.
+    /// The present number, which may change before the caller uses it.
     pub fn open(&self) -> usize {
         self.0.load(Ordering::Relaxed)
     }
 }
 
-/// Counts a connection for as long as it is open.
+/// Counts a connection while it is open, that is until this value is dropped.
 #[derive(Debug)]
 pub struct OpenConnection {
     count: ConnectionCount,
-    used: AtomicBool,
+    has_received_request: AtomicBool,
 }
 
 impl OpenConnection {
@@ -27,13 +27,13 @@
         count.0.fetch_add(1, Ordering::Relaxed);
         Self {
             count,
-            used: AtomicBool::new(false),
+            has_received_request: AtomicBool::new(false),
         }
     }
 
-    /// Whether this is the connection's first request.
+    /// Returns whether no earlier request was received on this connection; later calls return false.
     pub fn first_request(&self) -> bool {
-        !self.used.swap(true, Ordering::Relaxed)
+        !self.has_received_request.swap(true, Ordering::Relaxed)
     }
 }
 
--- a/src/service/heartbeats.rs
+++ b/src/service/heartbeats.rs
@@ -1,9 +1,9 @@
 //! Decides the response to a heartbeat.
 //!
-//! [`decide`] is the only place that grants a 200, a fencing token and commands, whether a heartbeat
-//! arrived at this node directly or was forwarded by another one. The staleness bound of the replica,
-//! the lease, and the time until which a machine's tasks may run all count from the moment of this
-//! decision, which is never earlier than the moment at which the agent sent the heartbeat.
+//! [`decide`] is the only function that grants a 200, a fencing token and commands, whether a heartbeat
+//! arrived at this controller directly or was forwarded by a peer. The staleness bound of the replica,
+//! the lease, and the time until which a machine's tasks may run are all measured from the time of this
+//! decision, which is never earlier than the time at which the agent sent the heartbeat.
 
 use std::time::Instant;
 
@@ -16,15 +16,15 @@
 /// The response to a heartbeat.
 #[derive(Debug, Clone, PartialEq)]
 pub enum HeartbeatDecision {
-    /// 200 with this body.
+    /// 200 with this body, which extends the agent's lease.
     Accepted(HeartbeatResponse),
-    /// 503: this node does not, or no longer, act for the term.
+    /// 503: this controller does not act as leader of the term, or no longer does.
     NotLeading,
 }
 
-/// Decides under `term`, which this node led when the heartbeat arrived. `clock` is read again right
-/// before the response: the process may have been paused since the first reading, and its leadership,
-/// or its time to keep leases alive, may be over.
+/// Decides under `term`, in which this controller led when the heartbeat arrived. `clock` is read again
+/// right before the response: the process may have been paused since the first reading, and its
+/// leadership, or the period in which it may still extend leases, may have ended.
 pub fn decide(
     shared: &Shared,
     heartbeat: &Heartbeat,
@@ -37,21 +37,21 @@
     let Some(cluster) = guard.as_mut().filter(|cluster| cluster.term == term) else {
         return not_leading;
     };
-    let verified = cluster.apply_heartbeat(heartbeat, HeartbeatSource::Worker, clock());
-    if verified == HeartbeatOrdering::Deposed {
+    let ordering = cluster.apply_heartbeat(heartbeat, HeartbeatSource::Worker, clock());
+    if ordering == HeartbeatOrdering::Deposed {
         return not_leading;
     }
-    // Checked under the lock and at the last moment: a leadership that has just ended must not send
-    // starts, and one whose time to keep leases alive is over must not renew them.
+    // This is checked last and under the lock: a leader whose leadership has just ended must not send
+    // starts, and a former leader whose period for extending leases has ended must not extend them.
     let now = clock();
-    let Some(starts) = starts_allowed(shared, term, now) else {
+    let Some(with_starts) = starts_allowed(shared, term, now) else {
         return not_leading;
     };
     let token = cluster.mark_answered(&id, now);
-    // Terminations and clears are safe under any token that the agent still accepts. A copy or an
-    // older heartbeat gets none: its agent does not wait for them.
-    let commands = match verified {
-        HeartbeatOrdering::Newer => cluster.respond(&id, now, starts),
+    // Terminations and clears are safe under any token that the agent still accepts. The response to a
+    // duplicate or older heartbeat has no commands, since the agent does not wait for it.
+    let commands = match ordering {
+        HeartbeatOrdering::Newer => cluster.respond(&id, now, with_starts),
         HeartbeatOrdering::Older | HeartbeatOrdering::Deposed => Vec::new(),
     };
     if cluster.scheduling_needed {
@@ -61,15 +61,15 @@
     HeartbeatDecision::Accepted(HeartbeatResponse { token, commands })
 }
 
-/// Whether an answer given now may carry starts; `None` if there may be no answer.
+/// Whether a response sent now may contain starts; `None` if no 200 may be sent.
 fn starts_allowed(shared: &Shared, term: Term, now: Instant) -> Option<bool> {
     let election = shared.election.lock();
     match election.role(now) {
         Role::Leader(leadership) if leadership.term == term => {
-            let refused = shared.links.placement_refusal().is_some();
-            Some(!refused && election.leadership_for_starts(now).is_some())
+            let is_refused = shared.links.placement_refusal().is_some();
+            Some(!is_refused && election.leadership_for_starts(now).is_some())
         }
-        Role::KeepAlive(own) if own == term => Some(false),
+        Role::KeepAlive(own_term) if own_term == term => Some(false),
         _ => None,
     }
 }
--- a/src/service/links/active.rs
+++ b/src/service/links/active.rs
@@ -1,4 +1,4 @@
-//! Detection, damping, the connectivity matrix and handover decisions, where links are turned on.
+//! Failure detection, damping, the connectivity matrix and handover decisions, where links are enabled.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
@@ -20,21 +20,21 @@
 use crate::metrics::LinkMetrics;
 use crate::time::unix_ms;
 
-/// Detection, damping and the connectivity matrix.
+/// The state of failure detection, damping, the connectivity matrix and handover decisions.
 pub struct ActiveLinks {
-    /// The parameters of the judgement.
+    /// The parts that the features file enables, with their parameters.
     pub features: LinkFeatures,
-    /// The links of this controller.
+    /// The states of this controller's links.
     pub table: Mutex<LinkTable>,
-    /// The rows of the other controllers.
+    /// The latest rows of the other controllers.
     pub matrix: Mutex<Matrix>,
-    leadership: Mutex<HandoverPolicy>,
+    handover_policy: Mutex<HandoverPolicy>,
     snapshot: PublishedSnapshot,
     incarnation: AtomicU64,
     sequence: AtomicU64,
-    /// Rows accepted.
+    /// Rows of other controllers that were added to the matrix.
     pub rows_accepted: AtomicU64,
-    /// Rows rejected.
+    /// Rows that were rejected for any reason, those that could not be decoded included.
     pub rows_rejected: AtomicU64,
     handovers: AtomicU64,
 }
@@ -42,18 +42,18 @@
 impl ActiveLinks {
     pub(super) fn new(settings: &Settings, features: LinkFeatures, now: Instant) -> Self {
         let timing = link_timing(settings);
-        let judgement = DetectionParams {
+        let detection = DetectionParams {
             phi_down: features.detector_phi,
             damping: features.damping,
         };
-        let others = || settings.known.iter().map(|peer| peer.member.clone());
-        let table = LinkTable::new(&settings.member, others(), judgement, timing, now);
+        let other_members = || settings.known.iter().map(|peer| peer.member.clone());
+        let table = LinkTable::new(&settings.member, other_members(), detection, timing, now);
         let snapshot = PublishedSnapshot::new(table.gate());
         Self {
             features,
             table: Mutex::new(table),
-            matrix: Mutex::new(Matrix::new(others(), timing)),
-            leadership: Mutex::new(HandoverPolicy::new(&timing, features.handovers_max)),
+            matrix: Mutex::new(Matrix::new(other_members(), timing)),
+            handover_policy: Mutex::new(HandoverPolicy::new(&timing, features.handovers_max)),
             snapshot,
             incarnation: AtomicU64::new(unix_ms(SystemTime::now())),
             sequence: AtomicU64::new(0),
@@ -63,34 +63,34 @@
         }
     }
 
-    /// Why the placement gate refuses new placements, if it does. Read without a lock.
+    /// Why the placement gate refuses new placements, if it does. This takes no lock.
     pub(super) fn placement_refusal(&self) -> Option<GateRefusal> {
         let refusal = self.snapshot.gate().refusal;
         refusal.filter(|_| self.features.placement_gate)
     }
 
-    /// The latest decisions.
+    /// The state of the placement gate and the latest handover decisions, read without a lock.
     pub fn snapshot(&self) -> Arc<LinkSnapshot> {
         self.snapshot.load_full()
     }
 
-    pub(super) fn store(
+    pub(super) fn record_store_request(
         &self,
         operation: StoreOperation,
-        sent: Instant,
+        sent_at: Instant,
         succeeded: bool,
         now: Instant,
     ) {
         let (change, gate) = {
             let mut table = self.table.lock();
-            let change = table.store(operation, sent, succeeded, now);
+            let change = table.store(operation, sent_at, succeeded, now);
             (change, table.gate())
         };
         log_changes(change.as_slice());
         self.publish_gate(gate);
     }
 
-    /// Judges all links again.
+    /// Evaluates all links and the placement gate at `now`.
     pub fn evaluate(&self, now: Instant) {
         let (changes, gate) = {
             let mut table = self.table.lock();
@@ -100,15 +100,25 @@
         self.publish_gate(gate);
     }
 
-    /// This process was paused; the links are judged anew.
+    /// Resumes after a pause of this process: heartbeats and rows missed meanwhile are no evidence of
+    /// failed links.
     pub fn resume_after_pause(&self, now: Instant) {
         self.table.lock().resume(now);
-        self.leadership.lock().reset();
+        self.handover_policy.lock().reset();
     }
 
-    /// A request to a peer was answered or not.
-    pub fn record_peer_request(&self, member: &str, sent: Instant, answered: bool, now: Instant) {
-        let change = self.table.lock().peer_request(member, sent, answered, now);
+    /// Records a request to a peer, and whether the peer responded.
+    pub fn record_peer_request(
+        &self,
+        member: &str,
+        sent_at: Instant,
+        answered: bool,
+        now: Instant,
+    ) {
+        let change = self
+            .table
+            .lock()
+            .peer_request(member, sent_at, answered, now);
         log_changes(change.as_slice());
     }
 
@@ -122,18 +132,18 @@
         }
     }
 
-    /// The row of this controller as it is now, numbered for sending.
-    pub fn next_row(&self, leads_term: Option<u64>, now: Instant, wall: SystemTime) -> Row {
+    /// The present row of this controller for sending, with the next sequence number.
+    pub fn next_row(&self, leads_term: Option<u64>, now: Instant, wall_time: SystemTime) -> Row {
         let stamp = RowStamp {
             incarnation: self.incarnation.load(Ordering::Relaxed),
             sequence: self.sequence.fetch_add(1, Ordering::Relaxed) + 1,
-            wall_ms: unix_ms(wall),
+            wall_ms: unix_ms(wall_time),
             leads_term,
         };
         self.table.lock().row(stamp, now)
     }
 
-    /// The row of this controller as it is now, for use in this process.
+    /// The present row of this controller for use in this process, with the last sequence number.
     pub fn own_row(&self, leads_term: Option<u64>, now: Instant) -> Row {
         let stamp = RowStamp {
             incarnation: self.incarnation.load(Ordering::Relaxed),
@@ -144,7 +154,8 @@
         self.table.lock().row(stamp, now)
     }
 
-    /// Takes another controller's row.
+    /// Checks another controller's row and adds it to the matrix. The reply to the sender is the same
+    /// for an accepted row and for one of a former incarnation.
     pub fn accept_row(
         &self,
         message: RowMessage,
@@ -152,18 +163,20 @@
         wall_ms: u64,
     ) -> Result<RowReply, RowRejection> {
         let member = message.member.clone();
-        let taken = Row::check(message).and_then(|row| self.matrix.lock().take(row, now, wall_ms));
-        match taken {
+        let outcome =
+            Row::check(message).and_then(|row| self.matrix.lock().take(row, now, wall_ms));
+        match outcome {
             Ok(()) => {
                 self.rows_accepted.fetch_add(1, Ordering::Relaxed);
                 let change = self.table.lock().peer_row(&member, now);
                 log_changes(change.as_slice());
             }
-            Err(why) => {
-                self.record_row_rejection(&member, why);
-                // The reply names the newer incarnation: a process whose clock is behind takes a higher one.
-                if why != RowRejection::FormerIncarnation {
-                    return Err(why);
+            Err(rejection) => {
+                self.record_row_rejection(&member, rejection);
+                // The reply contains the newest incarnation, above which a process whose clock is
+                // behind raises its own.
+                if rejection != RowRejection::FormerIncarnation {
+                    return Err(rejection);
                 }
             }
         }
@@ -171,23 +184,26 @@
         Ok(RowReply { newest_incarnation })
     }
 
-    /// Whether a write without effect should show if transactions succeed: those of this controller fail
-    /// while it leads, or the leader has lost the key-value store and another node may have it.
-    pub fn needs_write_probe(&self, leads: bool, now: Instant) -> bool {
-        let own_fail = self.table.lock().store_write_down();
-        (leads && own_fail) || self.matrix.lock().leader_lacks_store(now)
+    /// Whether a probe record should be written to show whether transactions succeed: this controller
+    /// leads and its transactions fail, or the leader does not reach the key-value store, and another
+    /// controller may reach it.
+    pub fn needs_write_probe(&self, is_leader: bool, now: Instant) -> bool {
+        let own_writes_fail = self.table.lock().store_write_down();
+        (is_leader && own_writes_fail) || self.matrix.lock().leader_lacks_store(now)
     }
 
-    /// Counts a rejected row, and logs it once.
-    pub fn record_row_rejection(&self, member: &str, why: RowRejection) {
+    /// Counts a rejected row, and logs the first rejection of a sender for each reason since its last
+    /// accepted row.
+    pub fn record_row_rejection(&self, member: &str, rejection: RowRejection) {
         self.rows_rejected.fetch_add(1, Ordering::Relaxed);
-        if self.matrix.lock().should_log_rejection(member, why) {
-            warn!(member, reason = %why, "row rejected");
+        if self.matrix.lock().should_log_rejection(member, rejection) {
+            warn!(member, reason = %rejection, "row rejected");
         }
     }
 
-    /// A peer answered a row. It may know a higher incarnation under this name, if the time of day was
-    /// ahead then; rows of a lower incarnation would be rejected for ever.
+    /// Raises the incarnation of this process above the one in a peer's reply to a row. The peer has
+    /// accepted a higher incarnation of this controller if the clock was ahead at that time; it would
+    /// reject all rows of a lower one.
     pub fn handle_row_reply(&self, reply: RowReply) {
         let incarnation = self.incarnation.load(Ordering::Relaxed);
         if reply.newest_incarnation > incarnation {
@@ -200,12 +216,12 @@
         }
     }
 
-    /// The handover decision that follows from the matrix, while this controller leads.
+    /// The handover decision of this controller as leader, by its own row and the rows of the peers.
     pub fn decide_handover(&self, now: Instant) -> Decision {
         let own = self.own_row(None, now);
         let decision = {
             let matrix = self.matrix.lock();
-            self.leadership.lock().decide(&own, &matrix, now)
+            self.handover_policy.lock().decide(&own, &matrix, now)
         };
         if self.snapshot.add_decision(&decision, now) {
             info!(?decision, "handover decision");
@@ -213,7 +229,8 @@
         decision
     }
 
-    /// Whether any other controller can use the key-value store, by its row; `None` without rows.
+    /// Whether the row of any other controller shows that it can use the key-value store; `None`
+    /// without rows.
     pub fn others_have_store(&self, now: Instant) -> Option<bool> {
         let matrix = self.matrix.lock();
         let mut rows = matrix.rows(now).peekable();
@@ -221,18 +238,19 @@
         Some(rows.any(|(_, row, _)| row.store_usable()))
     }
 
-    /// Leadership was handed over.
+    /// Records that this controller handed over leadership, for the limit on handovers and the metrics.
     pub fn handed_over(&self, now: Instant) {
-        self.leadership.lock().handed_over(now);
+        self.handover_policy.lock().handed_over(now);
         self.handovers.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Whether leadership was handed over so often lately that it stays.
+    /// Whether the limit on recent handovers is reached, so that this controller keeps its leadership.
     pub fn handovers_exhausted(&self, now: Instant) -> bool {
-        self.leadership.lock().exhausted(now)
+        self.handover_policy.lock().exhausted(now)
     }
 
-    /// Counters for operators.
+    /// The metrics of the links since the process started; `suppressed` counts the links that are
+    /// suppressed now.
     pub fn metrics(&self, now: Instant) -> LinkMetrics {
         let (refused_for, suppressed) = {
             let table = self.table.lock();
@@ -247,7 +265,7 @@
         }
     }
 
-    /// Whether an election should be left to a better connected controller for a moment.
+    /// Whether this controller should delay its campaign in favor of a better connected controller.
     pub fn should_yield(&self, now: Instant) -> bool {
         if !self.features.leadership {
             return false;
--- a/src/service/links/evidence.rs
+++ b/src/service/links/evidence.rs
@@ -1,36 +1,35 @@
-//! Evidence of links that is collected whether links are turned on or not.
+//! Evidence on links that is collected whether or not the features file enables links.
 
 use std::time::Instant;
 
 use knotlanding_links::contact::{Contact, PeerContacts, CONTACT_LOST};
 use knotlanding_links::misdirected::MisdirectedHeartbeats;
 
-/// Contact with the key-value store, with the leader, and misdirected heartbeats.
+/// Contact with the key-value store and with the leader, and misdirected heartbeats.
 #[derive(Debug, Default)]
 pub(super) struct Evidence {
     pub(super) contact: Contact,
     pub(super) peer_contacts: PeerContacts,
-    /// When a state summary of a leader last arrived.
-    pub(super) last_summary: Option<Instant>,
+    pub(super) last_summary_at: Option<Instant>,
     pub(super) misdirected: MisdirectedHeartbeats,
 }
 
 impl Evidence {
-    /// A request to the key-value store, sent at `sent`, was answered.
-    pub(super) fn store_answered(&mut self, sent: Instant) {
-        self.contact.answered = self.contact.answered.max(Some(sent));
+    /// Records that the key-value store responded to a request sent at `sent_at`.
+    pub(super) fn store_answered(&mut self, sent_at: Instant) {
+        self.contact.answered = self.contact.answered.max(Some(sent_at));
         self.contact.failing_since = None;
     }
 
-    /// Whether this node can take requests: it reaches the key-value store, or none of its peers is
-    /// known to be in a better position.
-    pub(super) fn fit_for_requests(&self, loaded: bool, has_peers: bool, now: Instant) -> bool {
-        let within = |at: Instant| now.saturating_duration_since(at) <= CONTACT_LOST;
-        let failing = self.contact.failing_since.is_some_and(|at| !within(at));
-        let peer_fine = self
-            .last_summary
+    /// Whether this controller can serve requests: its replica is loaded and it reaches the key-value
+    /// store, or no peer is known to be in a better position.
+    pub(super) fn can_serve_requests(&self, loaded: bool, has_peers: bool, now: Instant) -> bool {
+        let is_recent = |at: Instant| now.saturating_duration_since(at) <= CONTACT_LOST;
+        let store_lost = self.contact.failing_since.is_some_and(|at| !is_recent(at));
+        let leader_summary_recent = self
+            .last_summary_at
             .is_some_and(|at| now.saturating_duration_since(at) < CONTACT_LOST);
-        let alone = has_peers && self.peer_contacts.isolated(now);
-        (loaded && !failing) || !(peer_fine || alone)
+        let is_isolated = has_peers && self.peer_contacts.isolated(now);
+        (loaded && !store_lost) || !(leader_summary_recent || is_isolated)
     }
 }
--- a/src/service/links/mod.rs
+++ b/src/service/links/mod.rs
@@ -1,9 +1,9 @@
-//! What this process knows of its links: to the key-value store, to the other controllers and to the
-//! agents that send heartbeats here.
+//! The state of this process's links: to the key-value store, to the other controllers, and to the
+//! agents that send heartbeats to this controller.
 //!
-//! Contact with the key-value store and misdirected heartbeats are always judged, see `evidence`.
-//! Detection, damping, the connectivity matrix and what depends on them exist only if the features
-//! file turns them on, see `active`. Their decisions are read without a lock, see `snapshot`.
+//! Contact with the key-value store and misdirected heartbeats are always evaluated, see `evidence`.
+//! Failure detection, damping, the connectivity matrix and what depends on them exist only if the
+//! features file enables them, see `active`. Their decisions are read without a lock, see `snapshot`.
 
 mod active;
 mod evidence;
@@ -27,28 +27,29 @@
 use crate::timing::leader_lease;
 use crate::wire::Heartbeat;
 
-/// Time between two rows.
+/// Time between two rows that a controller sends to a peer.
 pub const ROW_INTERVAL: Duration = Duration::from_secs(1);
-/// The one owner of the state of this process's links.
+
+/// The only owner of the state of this process's links.
 pub struct LinkMonitor {
     evidence: Mutex<Evidence>,
     active: Option<ActiveLinks>,
 }
 
-/// The times by which links are judged.
+/// The durations by which links are evaluated, derived from the settings.
 pub fn link_timing(settings: &Settings) -> LinkTiming {
     let leader_lease = leader_lease(settings);
-    let clock_ms = settings.params.clock_off_ms.max(0.0) * 2.0;
+    let clock_skew_ms = settings.params.clock_off_ms.max(0.0) * 2.0;
     LinkTiming {
         row_interval: ROW_INTERVAL,
         leader_lease,
         heartbeat_interval: secs(settings.params.workers.report_s),
-        clock_skew_max: Duration::from_millis(clock_ms as u64),
+        clock_skew_max: Duration::from_millis(clock_skew_ms as u64),
     }
 }
 
 impl LinkMonitor {
-    /// A monitor without any evidence.
+    /// A monitor without evidence; `features` is `None` where the features file does not enable links.
     pub fn new(settings: &Settings, features: Option<LinkFeatures>) -> Self {
         let now = Instant::now();
         Self {
@@ -57,84 +58,88 @@
         }
     }
 
-    /// Detection, damping and the matrix, if the features file turns them on.
+    /// Failure detection, damping and the matrix, if the features file enables them.
     pub fn active(&self) -> Option<&ActiveLinks> {
         self.active.as_ref()
     }
 
-    /// A request to the key-value store, sent at `sent`, was answered.
-    pub fn store_answered(&self, operation: StoreOperation, sent: Instant, now: Instant) {
-        self.evidence.lock().store_answered(sent);
+    /// Records that the key-value store responded to a request sent at `sent_at`.
+    pub fn store_answered(&self, operation: StoreOperation, sent_at: Instant, now: Instant) {
+        self.evidence.lock().store_answered(sent_at);
         if let Some(active) = &self.active {
-            active.store(operation, sent, true, now);
+            active.record_store_request(operation, sent_at, true, now);
         }
     }
 
-    /// A request to the key-value store, sent at `sent`, failed.
-    pub fn store_failed(&self, operation: StoreOperation, sent: Instant, now: Instant) {
+    /// Records that a request to the key-value store, sent at `sent_at`, failed.
+    pub fn store_failed(&self, operation: StoreOperation, sent_at: Instant, now: Instant) {
         let contact = &mut self.evidence.lock().contact;
         contact.failing_since.get_or_insert(now);
         if let Some(active) = &self.active {
-            active.store(operation, sent, false, now);
+            active.record_store_request(operation, sent_at, false, now);
         }
     }
 
-    /// Contact with the key-value store.
+    /// The last successful contact with the key-value store, and since when requests fail.
     pub fn contact(&self) -> Contact {
         self.evidence.lock().contact
     }
 
-    /// The peers are asked whether they reach the key-value store, while this process does not.
-    pub fn peers_asked(&self, now: Instant) {
+    /// Records that the peers were queried whether they reach the key-value store, which this process
+    /// does not reach.
+    pub fn record_peer_queries(&self, now: Instant) {
         self.evidence.lock().peer_contacts.probed(now);
     }
 
-    /// A peer answered.
-    pub fn peer_contact_answered(&self, answer: PeerContactAnswer, now: Instant) {
+    /// Records a peer's response to such a query.
+    pub fn record_peer_contact(&self, answer: PeerContactAnswer, now: Instant) {
         self.evidence.lock().peer_contacts.record(answer, now);
     }
 
-    /// Discards the peers' answers.
-    pub fn forget_peer_contacts(&self) {
+    /// Discards the queries and the peers' responses, as when this process reaches the key-value store
+    /// again.
+    pub fn discard_peer_contacts(&self) {
         self.evidence.lock().peer_contacts = PeerContacts::default();
     }
 
-    /// A state summary of a leader arrived.
+    /// Records that a state summary of a leader arrived.
     pub fn record_summary(&self, now: Instant) {
-        self.evidence.lock().last_summary = Some(now);
+        self.evidence.lock().last_summary_at = Some(now);
     }
 
-    /// When a state summary of a leader last arrived.
-    pub fn last_summary(&self) -> Option<Instant> {
-        self.evidence.lock().last_summary
+    /// When a state summary of a leader last arrived; `None` before the first one.
+    pub fn last_summary_at(&self) -> Option<Instant> {
+        self.evidence.lock().last_summary_at
     }
 
-    /// A node counted so many misdirected heartbeats since it started.
-    pub fn misdirected_counted(&self, member: &str, count: u64, now: Instant) {
+    /// Records the number of misdirected heartbeats that a controller has counted since its process
+    /// started.
+    pub fn record_misdirected_count(&self, member: &str, count: u64, now: Instant) {
         self.evidence
             .lock()
             .misdirected
             .record_count(member, count, now);
     }
 
-    /// Whether many heartbeats were misdirected lately.
+    /// Whether another controller recently counted many misdirected heartbeats within a short time.
     pub fn misdirected_lately(&self, now: Instant) -> bool {
         self.evidence.lock().misdirected.many_recently(now)
     }
 
-    /// Whether this node can take requests, judged by its links; `has_peers` if it is not the only one.
-    /// In an outage that all nodes share, no node is better than another, and all go on.
+    /// Whether this controller can serve requests, by the state of its links. `loaded` says whether the
+    /// replica is loaded, and `has_peers` whether there are other controllers. In an outage that
+    /// affects all controllers, none is in a better position than another, and all continue to serve.
     pub fn can_serve_requests(&self, loaded: bool, has_peers: bool, now: Instant) -> bool {
         let evidence = self.evidence.lock();
-        evidence.fit_for_requests(loaded, has_peers, now)
+        evidence.can_serve_requests(loaded, has_peers, now)
     }
 
-    /// Why nothing new may be placed, if the links are the reason. Read without a lock.
+    /// Why the placement gate refuses new placements, if it does. This takes no lock.
     pub fn placement_refusal(&self) -> Option<GateRefusal> {
         self.active.as_ref()?.placement_refusal()
     }
 
-    /// A heartbeat arrived at this node, whichever node decides it.
+    /// Records a heartbeat that arrived at this controller, whether or not this controller decides on it.
     pub fn record_worker_heartbeat(&self, heartbeat: &Heartbeat, now: Instant) {
         if let Some(active) = &self.active {
             let number = worker_number(&heartbeat.machine);
@@ -143,7 +148,7 @@
         }
     }
 
-    /// An agent's newest heartbeat was answered with 200 by this node.
+    /// Records that this controller sent a 200 in response to the agent's newest heartbeat.
     pub fn record_worker_response(&self, machine: &str) {
         if let Some(active) = &self.active {
             active.table.lock().worker_answered(worker_number(machine));
--- a/src/service/links/snapshot.rs
+++ b/src/service/links/snapshot.rs
@@ -1,4 +1,4 @@
-//! The decisions that follow from the links, kept for readers without a lock.
+//! The decisions that follow from the states of the links, for readers that take no lock.
 
 use std::collections::VecDeque;
 use std::time::Instant;
@@ -8,24 +8,24 @@
 use knotlanding_links::handover::Decision;
 use std::sync::Arc;
 
-/// Handover decisions that are kept for operators.
+/// Handover decisions that are kept for operators to read.
 const DECISIONS_KEPT: usize = 16;
 
 /// A handover decision with its time.
 #[derive(Debug, Clone)]
 pub struct DecisionEntry {
-    /// When it was made.
+    /// When the decision was made.
     pub at: Instant,
-    /// The decision.
+    /// The decision, with the candidate if there is one.
     pub decision: Decision,
 }
 
-/// The latest decisions.
+/// The decisions at one point in time.
 #[derive(Debug, Clone)]
 pub struct LinkSnapshot {
-    /// The verdict of the placement gate.
+    /// Whether the placement gate admits new placements.
     pub gate: GateVerdict,
-    /// The latest handover decisions that differ from the one before, oldest first.
+    /// The latest handover decisions that differ in kind from the one before, oldest first.
     pub decisions: VecDeque<DecisionEntry>,
 }
 
@@ -45,12 +45,11 @@
         self.0.load_full()
     }
 
-    /// The verdict of the placement gate.
     pub(super) fn gate(&self) -> GateVerdict {
         self.0.load().gate
     }
 
-    /// Replaces the verdict of the placement gate; whether it differs from the one before.
+    /// Replaces the verdict of the placement gate. Returns whether it differs from the one before.
     pub(super) fn set_gate(&self, gate: GateVerdict) -> bool {
         if self.0.load().gate == gate {
             return false;
@@ -62,7 +61,7 @@
         true
     }
 
-    /// Adds a decision if it is of another kind than the latest one; whether it was added.
+    /// Adds a decision if it is of another kind than the latest one. Returns whether it was added.
     pub(super) fn add_decision(&self, decision: &Decision, now: Instant) -> bool {
         let kind = std::mem::discriminant(decision);
         let latest = self.0.load().decisions.back().cloned();
--- a/src/service/mod.rs
+++ b/src/service/mod.rs
@@ -1,7 +1,8 @@
-//! What the parts of one process share, each behind a short lock of its own.
+//! The state that the parts of one process share. Each part of the state has a lock of its own, which
+//! is held only briefly.
 //!
-//! Locks are taken in this order: replica, election, cluster, all others. No lock is held across an
-//! await, and nothing is sent, written or encoded under one.
+//! Locks are acquired in this order: replica, election, cluster, all others. No lock is held across an
+//! await, and nothing is sent, written or encoded while one is held.
 
 mod cancellations;
 mod connections;
@@ -39,9 +40,9 @@
 
 /// The state that the parts of one process share.
 pub struct Shared {
-    /// The settings of the platform.
+    /// The settings, which do not change while the process runs.
     pub settings: Settings,
-    /// How the sockets are divided among their purposes.
+    /// Limits on the sockets for each purpose.
     pub sockets: Sockets,
     /// The scheduling policy that follows from the settings.
     pub policy: SchedulingPolicy,
@@ -51,33 +52,33 @@
     pub election: Mutex<ElectionState>,
     /// The cluster state, while this process leads.
     pub cluster: Mutex<Option<Cluster>>,
-    /// Machine types, once known.
+    /// The machine types; `None` until the cloud's catalog was read for the first time.
     pub catalog: Mutex<Option<Catalog>>,
-    /// The cache of the leader's state summary.
+    /// The latest state summary of a leader, for display and for the recovery when this process is elected.
     pub summary_cache: Mutex<SummaryCache>,
-    /// The state of this process's links.
+    /// The states of this process's links, and the evidence for them.
     pub links: LinkMonitor,
-    /// The operators' settings in force.
+    /// The operators' settings, as the replica last showed them.
     pub operator: Mutex<OperatorSettings>,
-    /// Connections open on the public address.
+    /// The number of connections open on the public address.
     pub connections: ConnectionCount,
-    /// Heartbeats that this node forwards or redirects to the leader.
+    /// Heartbeats that this controller forwards or redirects to the leader.
     pub forwarding: HeartbeatForwarding,
-    /// Cancellations that the peers have not been notified of.
+    /// Cancellations of which the peers have not been notified yet.
     pub cancellations: UnpublishedCancellations,
-    /// Counters and histograms.
+    /// Counters and histograms since the process started.
     pub metrics: Mutex<Metrics>,
-    /// Wake-ups of the loops.
+    /// Notifications that wake the loops of the actors.
     pub wake_ups: WakeUps,
 }
 
 impl Shared {
-    /// The state of a process that has just started, with nothing turned on by a features file.
+    /// The state of a process that has just started without a features file.
     pub fn new(settings: Settings) -> Arc<Self> {
         Self::with_features(settings, Features::default())
     }
 
-    /// The state of a process that has just started.
+    /// The state of a process that has just started with these features.
     pub fn with_features(settings: Settings, features: Features) -> Arc<Self> {
         let sockets = Sockets::of(&settings);
         let mem_mb = settings.params.resources.mem_mb;
@@ -102,8 +103,8 @@
         })
     }
 
-    /// The leadership, if starts may be decided and sent under it now: lease and replica allow it,
-    /// and the links to the key-value store do not refuse it.
+    /// The leadership, if starts may be decided and sent under it now: the lease is valid, the replica
+    /// is fresh, and the placement gate refuses nothing.
     pub fn leadership_for_starts(&self, now: Instant) -> Option<Leadership> {
         let leadership = self.election.lock().leadership_for_starts(now)?;
         self.links
@@ -112,23 +113,25 @@
             .then_some(leadership)
     }
 
-    /// Whether this node can take requests. In an outage that all nodes share, no node is better
-    /// than another, and all go on.
+    /// Whether this controller can serve requests. In an outage that affects all controllers, none is
+    /// in a better position than another, and all continue to serve.
     pub fn can_serve_requests(&self, now: Instant) -> bool {
         let loaded = self.replica.lock().loaded;
         let has_peers = !self.settings.known.is_empty();
         self.links.can_serve_requests(loaded, has_peers, now)
     }
 
-    /// A cancellation is on record: the job's tasks are stopped at once where this node answers for
-    /// them, and the cancellation is queued for the other nodes. Nobody waits for that.
+    /// Acts on a cancellation that is on record: the job's tasks are stopped at once if this process
+    /// has the cluster state, and the cancellation is queued for the peers. The caller waits for
+    /// neither.
     pub fn cancellation_recorded(&self, id: &JobId) {
         self.cancel_tasks(std::slice::from_ref(id));
         self.cancellations.push(id);
         self.wake_ups.cancellations.notify_one();
     }
 
-    /// Cancellations of these jobs are on record, even if the replica has not seen them yet.
+    /// Stops the tasks of these jobs, whose cancellations are on record even if the replica does not
+    /// show them yet.
     pub fn cancel_tasks(&self, ids: &[JobId]) {
         if let Some(cluster) = self.cluster.lock().as_mut() {
             for id in ids {
@@ -138,8 +141,8 @@
         self.wake_ups.scheduler.notify_one();
     }
 
-    /// Applies the operators' list of machines to drain.
-    pub fn drain_by_operator(&self, cluster: &mut Cluster) {
+    /// Applies the operators' list of machines to drain; drains for other reasons are left as they are.
+    pub fn apply_operator_drains(&self, cluster: &mut Cluster) {
         let operator = self.operator.lock();
         for machine in cluster.machines.values_mut() {
             let listed = operator.drained.iter().any(|name| **name == *machine.id.0);
@@ -151,7 +154,7 @@
         }
     }
 
-    /// All counters and histograms of this process.
+    /// A snapshot of all counters and histograms of this process.
     pub fn metrics_view(&self, now: Instant) -> MetricsView {
         let mut view = self.metrics.lock().view(now);
         view.resident_bytes = resident_bytes();
@@ -159,7 +162,7 @@
         view
     }
 
-    /// These machines are confirmed to be released or terminated; they leave the cluster state.
+    /// Removes machines that are confirmed to be released or terminated from the cluster state.
     pub fn machines_released(&self, ids: &[MachineId]) {
         if let Some(cluster) = self.cluster.lock().as_mut() {
             for id in ids {
--- a/src/service/operator.rs
+++ b/src/service/operator.rs
@@ -1,21 +1,23 @@
-//! Operators' own settings.
+//! The settings that operators change at run time.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
 use crate::fleet::IdlePolicy;
 
-/// Operators' settings, kept in the state service.
+/// The settings that operators change at run time, kept in the key-value store.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OperatorSettings {
-    /// Idle machines are kept this many times as long as a new one takes to be as useful.
+    /// Factor on the time for which idle machines are kept; at 1 it is the time that a new machine
+    /// takes to become as useful.
     #[serde(default = "one")]
     pub idle_factor: f64,
-    /// Spare room for classes that start promptly, as a part of what is expected.
+    /// Factor on the spare capacity for classes that start promptly; at 1 it is what their expected
+    /// demand needs.
     #[serde(default = "one")]
     pub spare_factor: f64,
-    /// Machines that get no new tasks.
+    /// Names of machines that get no new tasks.
     #[serde(default)]
     pub drained: Vec<String>,
 }
@@ -34,46 +36,50 @@
     }
 }
 
-/// Largest factor operators may set: beyond it nothing would ever be returned.
+/// Largest factor that operators may set. With a larger one, no machine would ever be released.
 const FACTOR_MAX: f64 = 100.0;
-/// Part of a value in the state service that the names of drained machines may fill.
-const DRAINED_NAMES_PART: f64 = 0.75;
-/// Bytes around each name, in the form by which values are measured.
-const NAME_ENVELOPE_BYTES: usize = 4;
+/// Fraction of the largest value in the key-value store that the names of drained machines may fill.
+const DRAINED_NAMES_FRACTION: f64 = 0.75;
+/// Bytes that are added to each name by the encoding in which the size of values is measured.
+const NAME_OVERHEAD_BYTES: usize = 4;
 
-/// A field of the operators' settings that can't be taken.
+/// A field of the operators' settings that failed validation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("field `{field}` is out of range")]
 pub struct FieldOutOfRange {
-    /// The field's name.
+    /// The name of the field in the settings.
     pub field: &'static str,
 }
 
 impl OperatorSettings {
-    /// Checks that every field is in its range, and that one value of so many KiB in the key-value
-    /// store can hold them.
+    /// Checks that every field is in its range, and that the settings fit into one value of `value_kb`
+    /// KiB in the key-value store.
     pub fn validate(&self, value_kb: f64) -> Result<(), FieldOutOfRange> {
-        let factor_ok = |f: f64| f.is_finite() && (0.0..=FACTOR_MAX).contains(&f);
-        if !factor_ok(self.idle_factor) {
+        let is_valid_factor =
+            |factor: f64| factor.is_finite() && (0.0..=FACTOR_MAX).contains(&factor);
+        if !is_valid_factor(self.idle_factor) {
             return Err(FieldOutOfRange {
                 field: "idle_factor",
             });
         }
-        if !factor_ok(self.spare_factor) {
+        if !is_valid_factor(self.spare_factor) {
             return Err(FieldOutOfRange {
                 field: "spare_factor",
             });
         }
-        let names_ok = self.drained.iter().all(|name| !name.is_empty());
-        let bytes = self.drained.iter().map(|n| n.len() + NAME_ENVELOPE_BYTES);
-        let fits = bytes.sum::<usize>() as f64 <= value_kb * 1024.0 * DRAINED_NAMES_PART;
-        if !fits || !names_ok {
+        let names_are_valid = self.drained.iter().all(|name| !name.is_empty());
+        let bytes = self
+            .drained
+            .iter()
+            .map(|name| name.len() + NAME_OVERHEAD_BYTES);
+        let fits = bytes.sum::<usize>() as f64 <= value_kb * 1024.0 * DRAINED_NAMES_FRACTION;
+        if !fits || !names_are_valid {
             return Err(FieldOutOfRange { field: "drained" });
         }
         Ok(())
     }
 
-    /// What of it the fleet needs.
+    /// The part of the settings that scaling uses.
     pub fn idle_policy(&self) -> IdlePolicy {
         IdlePolicy {
             idle_factor: self.idle_factor,
--- a/src/service/store_observer.rs
+++ b/src/service/store_observer.rs
@@ -1,4 +1,4 @@
-//! What follows from requests to the key-value store and from changes of the replica.
+//! Updates of the shared state after requests to the key-value store and after changes of the replica.
 
 use std::time::{Instant, SystemTime};
 
@@ -12,57 +12,66 @@
 use crate::store::replica::{Replica, ReplicaChange};
 
 impl Shared {
-    /// A request sent at `sent` was answered by the key-value store.
-    pub fn store_answered(&self, operation: StoreOperation, sent: Instant) {
-        self.links.store_answered(operation, sent, Instant::now());
+    /// Records that the key-value store responded to a request sent at `sent_at`.
+    pub fn store_answered(&self, operation: StoreOperation, sent_at: Instant) {
+        self.links
+            .store_answered(operation, sent_at, Instant::now());
     }
 
-    /// A request sent at `sent` to the key-value store failed.
-    pub fn store_failed(&self, operation: StoreOperation, sent: Instant) {
+    /// Records that a request to the key-value store, sent at `sent_at`, failed. The replica counts as
+    /// stale until a read confirms it; a leader requests that read at once.
+    pub fn store_failed(&self, operation: StoreOperation, sent_at: Instant) {
         let now = Instant::now();
         let leads = {
             let mut election = self.election.lock();
             election.freshness().invalidate(now);
             election.own_term().is_some()
         };
-        self.links.store_failed(operation, sent, now);
+        self.links.store_failed(operation, sent_at, now);
         if leads {
             self.replica.request_read();
         }
     }
 
-    /// The replica and the cluster state have all that was confirmed before `sent`.
-    pub fn replica_complete(&self, sent: Instant) {
-        self.election.lock().freshness().confirm(sent);
+    /// Records that the replica and the cluster state contain everything that was confirmed before
+    /// `sent_at`.
+    pub fn replica_complete(&self, sent_at: Instant) {
+        self.election.lock().freshness().confirm(sent_at);
     }
 
-    /// The replica has taken these changes.
+    /// Applies changes of the replica to the election, the cluster state, the operators' settings and
+    /// the links.
     pub fn replica_changed(&self, changes: &[ReplicaChange]) {
         self.replica_changed_at(changes, Instant::now(), SystemTime::now());
     }
 
-    /// The same at a given time, for those who keep their own clocks.
-    pub fn replica_changed_at(&self, changes: &[ReplicaChange], now: Instant, wall: SystemTime) {
+    /// Does the same as [`Self::replica_changed`] at a given time, for callers with clocks of their own.
+    pub fn replica_changed_at(
+        &self,
+        changes: &[ReplicaChange],
+        now: Instant,
+        wall_time: SystemTime,
+    ) {
         let replica = self.replica.lock();
         let mut leader_changed = false;
         let mut jobs_changed = false;
         for change in changes {
             match change {
                 ReplicaChange::Leader => leader_changed = true,
-                ReplicaChange::Settings => self.operator_settings_changed(&replica),
+                ReplicaChange::Settings => self.update_operator_settings(&replica),
                 ReplicaChange::Misdirected(member, count) => {
-                    self.links.misdirected_counted(member, *count, now);
+                    self.links.record_misdirected_count(member, *count, now);
                 }
                 ReplicaChange::Job(id) => {
                     jobs_changed = true;
                     if let Some(cluster) = self.cluster.lock().as_mut() {
-                        cluster.sync_job(id, &replica, now, wall, false);
+                        cluster.sync_job(id, &replica, now, wall_time, false);
                     }
                 }
             }
         }
         if leader_changed {
-            self.leader_changed(&replica);
+            self.update_election(&replica);
         }
         drop(replica);
         if jobs_changed {
@@ -70,13 +79,13 @@
         }
     }
 
-    fn operator_settings_changed(&self, replica: &Replica) {
-        let read = replica.settings.record.as_ref().and_then(from_value);
-        let settings: OperatorSettings = read.unwrap_or_default();
+    fn update_operator_settings(&self, replica: &Replica) {
+        let stored = replica.settings.record.as_ref().and_then(from_value);
+        let settings: OperatorSettings = stored.unwrap_or_default();
         *self.operator.lock() = settings;
     }
 
-    fn leader_changed(&self, replica: &Replica) {
+    fn update_election(&self, replica: &Replica) {
         let record = replica.leader.as_ref().map(|leader| &leader.record);
         let (term, lost) = {
             let mut election = self.election.lock();
@@ -91,12 +100,12 @@
 }
 
 impl StoreObserver for Shared {
-    fn request_answered(&self, operation: StoreOperation, sent: Instant) {
-        self.store_answered(operation, sent);
+    fn request_answered(&self, operation: StoreOperation, sent_at: Instant) {
+        self.store_answered(operation, sent_at);
     }
 
-    fn request_failed(&self, operation: StoreOperation, sent: Instant) {
-        self.store_failed(operation, sent);
+    fn request_failed(&self, operation: StoreOperation, sent_at: Instant) {
+        self.store_failed(operation, sent_at);
     }
 
     fn events_received(&self, count: usize) {
@@ -107,8 +116,8 @@
         Shared::replica_changed(self, changes);
     }
 
-    fn replica_confirmed(&self, sent: Instant) {
-        self.replica_complete(sent);
+    fn replica_confirmed(&self, sent_at: Instant) {
+        self.replica_complete(sent_at);
     }
 
     fn needs_confirming_read(&self, now: Instant) -> bool {
--- a/src/service/wake_ups.rs
+++ b/src/service/wake_ups.rs
@@ -1,16 +1,17 @@
-//! Wake-ups of the loops that wait for work.
+//! Notifications that wake the loops of the actors when they have work to do.
 
 use tokio::sync::Notify;
 
-/// One wake-up for each loop. A wake-up without a waiting loop is kept until the loop waits next.
+/// One notification for each loop. A notification that is sent while its loop does not wait is kept
+/// until the loop waits next.
 #[derive(Debug, Default)]
 pub struct WakeUps {
-    /// The scheduling cycle.
+    /// Wakes the loop that runs scheduling cycles.
     pub scheduler: Notify,
-    /// The election.
+    /// Wakes the loop that renews the lease and campaigns.
     pub election: Notify,
-    /// The loop that forwards heartbeats to the leader.
+    /// Wakes the loop that forwards heartbeats to the leader.
     pub forwarding: Notify,
-    /// The loop that publishes cancellations to the peers.
+    /// Wakes the loop that publishes cancellations to the peers.
     pub cancellations: Notify,
 }
