--- a/src/admin_client.rs
+++ b/src/admin_client.rs
@@ -1,5 +1,4 @@
-//! The client of the administration interface: one request to one controller, as the command line
-//! asks for it.
+//! The client of the administration interface. It sends the request of a subcommand to one controller.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -11,46 +10,46 @@
 
 use crate::cli::AdminAction;
 
-/// Time for a controller's answer.
+/// Time limit for a controller's response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Largest response body: the status of 4,000 machines and 20,000 jobs has some 6 MB.
+/// Largest response body: the status of 4,000 machines and 20,000 jobs takes about 6 MB.
 const RESPONSE_BYTES_MAX: usize = 64 * 1024 * 1024;
 
-/// Why an administration request brought no result.
+/// Why an administration request failed.
 #[derive(Debug, Error)]
 pub enum AdminClientError {
     /// The file with the settings to send can't be read.
-    #[error("cannot read {path}: {source}")]
+    #[error("cannot read settings from {path}: {source}")]
     UnreadableFile {
         /// The path as it was given.
         path: String,
         /// The error of the operating system.
         source: std::io::Error,
     },
-    /// There was no response.
-    #[error("{node} does not answer: {source}")]
+    /// No response was received.
+    #[error("no response from {node}: {source}")]
     NoResponse {
-        /// The controller that was asked.
+        /// The controller to which the request was sent.
         node: SocketAddrV4,
         /// The error of the HTTP client.
         source: SendRequestError,
     },
-    /// The response ended before its body was complete, or the body is too large.
-    #[error("{node} broke off: {source}")]
+    /// The response was truncated, or its body is too large.
+    #[error("incomplete response from {node}: {source}")]
     IncompleteResponse {
-        /// The controller that was asked.
+        /// The controller to which the request was sent.
         node: SocketAddrV4,
         /// The error of the HTTP client.
         source: PayloadError,
     },
-    /// The controller answered with an error status.
-    #[error("{node} refuses ({status}): {body}")]
-    Refused {
-        /// The controller that was asked.
+    /// The controller responded with an error status.
+    #[error("{node} rejected the request ({status}): {body}")]
+    Rejected {
+        /// The controller to which the request was sent.
         node: SocketAddrV4,
-        /// Its status.
+        /// The HTTP status of the response.
         status: StatusCode,
-        /// Its body, which gives the reason.
+        /// The body of the response, which contains the reason.
         body: String,
     },
 }
@@ -71,7 +70,7 @@
         }
     }
 
-    fn from_action(action: AdminAction) -> Result<Self, AdminClientError> {
+    fn for_action(action: AdminAction) -> Result<Self, AdminClientError> {
         Ok(match action {
             AdminAction::Status => Self::get("status"),
             AdminAction::Job { id } => Self::get(format!("jobs/{id}")),
@@ -82,7 +81,7 @@
             AdminAction::Set { json } => Self {
                 method: Method::PUT,
                 path: "settings".to_owned(),
-                body: Some(inline_or_file(json)?),
+                body: Some(read_argument(json)?),
             },
             AdminAction::Drain { machine } => Self {
                 method: Method::POST,
@@ -93,8 +92,8 @@
     }
 }
 
-/// The argument itself, or the contents of the file that it names after an `@`.
-fn inline_or_file(argument: String) -> Result<String, AdminClientError> {
+/// Returns the argument itself, or the contents of the file whose path follows an `@`.
+fn read_argument(argument: String) -> Result<String, AdminClientError> {
     let Some(path) = argument.strip_prefix('@') else {
         return Ok(argument);
     };
@@ -104,9 +103,9 @@
     })
 }
 
-/// Carries an action out at `node` and returns the body of its response.
+/// Sends the request for `action` to `node` and returns the body of the response.
 pub async fn execute(node: SocketAddrV4, action: AdminAction) -> Result<String, AdminClientError> {
-    let request = AdminRequest::from_action(action)?;
+    let request = AdminRequest::for_action(action)?;
     let client = Client::builder().timeout(RESPONSE_TIMEOUT).finish();
     let outgoing = client.request(
         request.method,
@@ -127,7 +126,7 @@
         .map_err(|source| AdminClientError::IncompleteResponse { node, source })?;
     let body = String::from_utf8_lossy(&body).into_owned();
     if !status.is_success() {
-        return Err(AdminClientError::Refused { node, status, body });
+        return Err(AdminClientError::Rejected { node, status, body });
     }
     Ok(body)
 }
--- a/src/api/admin/machines.rs
+++ b/src/api/admin/machines.rs
@@ -1,27 +1,28 @@
-//! `GET /admin/machines/{name}` and `POST /admin/machines/{name}/drain`.
+//! Handlers of `GET /admin/machines/{name}` and `POST /admin/machines/{name}/drain`.
 
 use actix_web::{web, HttpResponse};
 
-use super::settings::{change, VersionedSettings};
+use super::settings::{write_settings, VersionedSettings};
 use super::views::MachineStatus;
-use super::{from_cluster, Store};
+use super::{cluster_response, StoreAddr};
 use crate::model::MachineId;
 use crate::service::Shared;
 
-/// `GET /admin/machines/{name}`: one machine.
+/// `GET /admin/machines/{name}`: the status of one machine; only the leader has it.
 pub async fn machine(shared: web::Data<Shared>, path: web::Path<String>) -> HttpResponse {
     let id = MachineId(path.as_str().into());
-    from_cluster(&shared, "machine", |cluster, now| {
+    cluster_response(&shared, "machine", |cluster, now| {
         let machine = cluster.machines.get(&id)?;
         let judge = cluster.health_judge(now);
         Some(MachineStatus::of(cluster, machine, &judge))
     })
 }
 
-/// `POST /admin/machines/{name}/drain`: no new tasks for the machine.
+/// `POST /admin/machines/{name}/drain`: adds the machine to the drained ones in the operators' settings, so
+/// that no new tasks are placed on it.
 pub async fn drain(
     shared: web::Data<Shared>,
-    store: Store,
+    store: StoreAddr,
     path: web::Path<String>,
 ) -> HttpResponse {
     let version = shared.replica.lock().settings.version;
@@ -30,5 +31,5 @@
     if !settings.drained.contains(&name) {
         settings.drained.push(name);
     }
-    change(&shared, &store, VersionedSettings { version, settings }).await
+    write_settings(&shared, &store, VersionedSettings { version, settings }).await
 }
--- a/src/api/admin/mod.rs
+++ b/src/api/admin/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' interface: JSON on the peer address.
+//! The administration interface for operators: JSON on the peer address.
 
 mod machines;
 mod settings;
@@ -20,16 +20,16 @@
 use crate::store::actor::StoreActor;
 use crate::wire::Problem;
 
-/// Largest body taken from an operator.
-const BODY_LIMIT: usize = 64 * 1024;
+/// Largest request body accepted from an operator.
+const BODY_BYTES_MAX: usize = 64 * 1024;
 
-type Store = web::Data<Addr<StoreActor>>;
+type StoreAddr = web::Data<Addr<StoreActor>>;
 
-/// The routes for operators.
+/// Registers the routes for operators.
 pub fn routes(config: &mut web::ServiceConfig) {
     config.service(
         web::scope("/admin")
-            .app_data(web::PayloadConfig::new(BODY_LIMIT))
+            .app_data(web::PayloadConfig::new(BODY_BYTES_MAX))
             .route("/status", web::get().to(status::status))
             .route("/links", web::get().to(super::links::links))
             .route("/metrics", web::get().to(status::metrics))
@@ -41,8 +41,9 @@
     );
 }
 
-/// What `find` takes from the leader's cluster state, or which node leads.
-fn from_cluster<T: Serialize>(
+/// Responds with the result of `find` on the leader's cluster state. A node that does not lead responds
+/// with 503 and the leader's name, if it has one.
+fn cluster_response<T: Serialize>(
     shared: &Shared,
     what: &str,
     find: impl Fn(&Cluster, Instant) -> Option<T>,
@@ -54,7 +55,7 @@
             Role::Follower(Some(leader)) => format!("{} leads; ask there", leader.member),
             _ => "nobody is known to lead; try again".to_owned(),
         };
-        return refuse(HttpResponse::ServiceUnavailable(), error);
+        return error_response(HttpResponse::ServiceUnavailable(), error);
     }
     let found = {
         let cluster = shared.cluster.lock();
@@ -62,19 +63,19 @@
     };
     match found {
         Some(found) => HttpResponse::Ok().json(found),
-        None => refuse(HttpResponse::NotFound(), format!("no such {what}")),
+        None => error_response(HttpResponse::NotFound(), format!("no such {what}")),
     }
 }
 
-fn refuse(mut answer: actix_web::HttpResponseBuilder, error: String) -> HttpResponse {
-    answer.json(Problem { error })
+fn error_response(mut response: actix_web::HttpResponseBuilder, error: String) -> HttpResponse {
+    response.json(Problem { error })
 }
 
-fn unavailable() -> HttpResponse {
+fn store_unavailable() -> HttpResponse {
     let error = "the state service does not answer; try again".to_owned();
-    let mut answer = refuse(HttpResponse::ServiceUnavailable(), error);
-    answer
+    let mut response = error_response(HttpResponse::ServiceUnavailable(), error);
+    response
         .headers_mut()
         .insert(header::RETRY_AFTER, HeaderValue::from(RETRY_AFTER_S));
-    answer
+    response
 }
--- a/src/api/admin/settings.rs
+++ b/src/api/admin/settings.rs
@@ -1,7 +1,7 @@
-//! `GET /admin/settings` and `PUT /admin/settings`.
+//! Handlers of `GET /admin/settings` and `PUT /admin/settings`.
 //!
-//! The settings are stored in the key-value store under a version: every controller takes them up
-//! through its watch, and they outlive all controllers.
+//! The settings are stored with a version in the key-value store. Every controller applies them when its
+//! watch reports them, and they persist when all controllers are restarted.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use actix_web::{web, HttpResponse};
 use serde::{Deserialize, Serialize};
 
-use super::{refuse, unavailable, Store};
+use super::{error_response, store_unavailable, StoreAddr};
 use crate::service::operator::OperatorSettings;
 use crate::service::Shared;
 use crate::store::actor::{Commit, StoreActor};
@@ -17,63 +17,63 @@
     keys, to_value, Change, Condition, Transaction, TransactionOutcome, WritePriority,
 };
 
-/// A change of settings is answered by then.
-const CHANGE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Time limit for the write of a change; without an outcome by then the response is 503.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Settings with the version that a change has to name.
+/// Settings with their version, which a change must name to be accepted.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct VersionedSettings {
-    /// Version of the settings read; 0: none were ever set.
+    /// Store version of the settings; 0 if none were ever set.
     pub version: u64,
-    /// The settings.
+    /// The operators' settings in full; a change replaces all of them.
     pub settings: OperatorSettings,
 }
 
-/// `GET /admin/settings`
+/// `GET /admin/settings`: the operators' settings with their version.
 pub async fn settings(shared: web::Data<Shared>) -> HttpResponse {
     let (loaded, version) = {
         let replica = shared.replica.lock();
         (replica.loaded, replica.settings.version)
     };
     if !loaded {
-        return unavailable();
+        return store_unavailable();
     }
     let settings = shared.operator.lock().clone();
     HttpResponse::Ok().json(VersionedSettings { version, settings })
 }
 
-/// `PUT /admin/settings`
+/// `PUT /admin/settings`: replaces the operators' settings.
 pub async fn set_settings(
     shared: web::Data<Shared>,
-    store: Store,
+    store: StoreAddr,
     body: web::Bytes,
 ) -> HttpResponse {
     let requested: VersionedSettings = match serde_json::from_slice(&body) {
         Ok(requested) => requested,
-        Err(error) => return refuse(HttpResponse::BadRequest(), error.to_string()),
+        Err(error) => return error_response(HttpResponse::BadRequest(), error.to_string()),
     };
-    change(&shared, &store, requested).await
+    write_settings(&shared, &store, requested).await
 }
 
-/// Writes the operators' settings, unless they have changed since the version named.
-pub(super) async fn change(
+/// Writes the operators' settings, unless they have changed since `requested.version`.
+pub(super) async fn write_settings(
     shared: &Shared,
     store: &Addr<StoreActor>,
     requested: VersionedSettings,
 ) -> HttpResponse {
     let value_kb = shared.settings.params.state.value_kb;
     if let Err(error) = requested.settings.validate(value_kb) {
-        return refuse(HttpResponse::BadRequest(), error.to_string());
+        return error_response(HttpResponse::BadRequest(), error.to_string());
     }
     if !shared.replica.lock().loaded {
-        return unavailable();
+        return store_unavailable();
     }
     let transaction = Transaction::new(
         vec![Condition::new(keys::SETTINGS, requested.version)],
         vec![Change::put(keys::SETTINGS, to_value(&requested.settings))],
     );
     let sent = actix::clock::timeout(
-        CHANGE_TIMEOUT,
+        WRITE_TIMEOUT,
         store.send(Commit(transaction, WritePriority::High)),
     );
     match sent.await {
@@ -85,8 +85,8 @@
         }
         Ok(Ok(TransactionOutcome::Conflict { .. })) => {
             let error = "the settings have changed since that version; read them again".to_owned();
-            refuse(HttpResponse::Conflict(), error)
+            error_response(HttpResponse::Conflict(), error)
         }
-        _ => unavailable(),
+        _ => store_unavailable(),
     }
 }
--- a/src/api/admin/status.rs
+++ b/src/api/admin/status.rs
@@ -1,31 +1,31 @@
-//! `GET /admin/status`, `/admin/metrics` and `/admin/jobs/{id}`.
+//! Handlers of `GET /admin/status`, `/admin/metrics` and `/admin/jobs/{id}`.
 
 use std::time::Instant;
 
 use actix_web::{web, HttpResponse};
 
 use super::views::{node_status, JobStatus};
-use super::{from_cluster, refuse};
+use super::{cluster_response, error_response};
 use crate::model::JobId;
 use crate::service::Shared;
 
-/// `GET /admin/status`
+/// `GET /admin/status`: the state of this node, and on the leader that of all machines and jobs.
 pub async fn status(shared: web::Data<Shared>) -> HttpResponse {
     HttpResponse::Ok().json(node_status(&shared))
 }
 
-/// `GET /admin/metrics`
+/// `GET /admin/metrics`: counters and histograms of this process.
 pub async fn metrics(shared: web::Data<Shared>) -> HttpResponse {
     let now = Instant::now();
     HttpResponse::Ok().json(shared.metrics_view(now))
 }
 
-/// `GET /admin/jobs/{id}`: one job that is not over.
+/// `GET /admin/jobs/{id}`: the status of one unfinished job; only the leader has it.
 pub async fn job(shared: web::Data<Shared>, path: web::Path<String>) -> HttpResponse {
     let Some(id) = JobId::parse(&path) else {
-        return refuse(HttpResponse::NotFound(), "no such job".to_owned());
+        return error_response(HttpResponse::NotFound(), "no such job".to_owned());
     };
-    from_cluster(&shared, "job under way", |cluster, now| {
+    cluster_response(&shared, "job under way", |cluster, now| {
         cluster.jobs.get(&id).map(|job| JobStatus::of(job, now))
     })
 }
--- a/src/api/admin/views.rs
+++ b/src/api/admin/views.rs
@@ -1,4 +1,4 @@
-//! What operators see of the cluster state, as JSON.
+//! JSON views of the cluster state for operators.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -11,7 +11,6 @@
 use crate::pending_reason::PendingReason;
 use crate::service::Shared;
 
-/// A machine.
 #[derive(Debug, Serialize)]
 pub(super) struct MachineStatus {
     #[serde(rename = "build")]
@@ -23,16 +22,16 @@
     drain: Option<&'static str>,
     #[serde(rename = "returning")]
     releasing: bool,
-    /// Why it gets no new tasks.
+    /// Why no new tasks are placed on it.
     passed_over: Option<&'static str>,
     health: MachineHealth,
 }
 
-/// A machine's health with the time of the evidence.
+/// A machine's health with the age of the evidence for it.
 #[derive(Debug, Serialize)]
 pub(super) struct MachineHealth {
     state: HealthState,
-    /// What is lost, if it is unreachable.
+    /// The direction that is lost if the machine is unreachable.
     #[serde(skip_serializing_if = "Option::is_none")]
     lost: Option<LostDirection>,
     evidence_s_ago: Option<f64>,
@@ -40,8 +39,8 @@
 
 impl MachineHealth {
     pub(super) fn of(health: WorkerHealth, now: Instant) -> Self {
-        let age = health.evidence_at;
-        let age = age.map(|at| now.saturating_duration_since(at).as_secs_f64());
+        let evidence_at = health.evidence_at;
+        let age = evidence_at.map(|at| now.saturating_duration_since(at).as_secs_f64());
         Self {
             state: health.state,
             lost: health.lost,
@@ -53,15 +52,19 @@
 impl MachineStatus {
     pub(super) fn of(cluster: &Cluster, machine: &Machine, judge: &HealthJudge) -> Self {
         let now = judge.now;
-        let reported = machine
+        let since_heartbeat = machine
             .last_heartbeat
             .map(|at| now.saturating_duration_since(at));
         Self {
             machine_type: machine.machine_type.clone(),
             zone: machine.zone.clone(),
             spot: machine.spot,
-            tasks: machine.instances.values().filter(|s| s.occupies()).count(),
-            reported_s_ago: reported.map(|d| d.as_secs_f64()),
+            tasks: machine
+                .instances
+                .values()
+                .filter(|instance| instance.occupies())
+                .count(),
+            reported_s_ago: since_heartbeat.map(|age| age.as_secs_f64()),
             drain: machine.drain.map(DrainReason::label),
             releasing: machine.releasing,
             passed_over: machine
@@ -72,7 +75,7 @@
     }
 }
 
-/// A job that has no final verdict.
+/// A job without a final verdict.
 #[derive(Debug, Serialize)]
 pub(super) struct JobStatus {
     class: String,
@@ -81,18 +84,18 @@
     done: u32,
     placed: usize,
     age_s: f64,
-    /// Why tasks of it don't run.
+    /// Why tasks of the job are pending; absent if none is.
     #[serde(rename = "waits_for")]
     pending_reason: Option<PendingReason>,
-    /// Machines on which tasks of it failed.
+    /// Number of machines on which tasks of the job failed.
     failed_on: usize,
-    /// Whether it fails everywhere, as far as can be seen.
+    /// Whether the job is suspected of failing on every machine.
     suspected: bool,
 }
 
 impl JobStatus {
     pub(super) fn of(job: &Job, now: Instant) -> Self {
-        let waits = job.is_schedulable() && job.pending_count() > 0;
+        let has_pending_tasks = job.is_schedulable() && job.pending_count() > 0;
         Self {
             class: job.spec.class.clone(),
             team: job.spec.team.clone(),
@@ -100,14 +103,14 @@
             done: job.done.len(),
             placed: job.placements.len(),
             age_s: now.saturating_duration_since(job.submitted).as_secs_f64(),
-            pending_reason: waits.then_some(job.pending_reason),
+            pending_reason: has_pending_tasks.then_some(job.pending_reason),
             failed_on: job.failed_on.len(),
             suspected: job.suspected(),
         }
     }
 }
 
-/// This node, and on the leader all machines and jobs.
+/// The state of this node, and on the leader that of all machines and jobs.
 #[derive(Debug, Serialize)]
 pub(super) struct Status {
     member: String,
@@ -117,25 +120,24 @@
     records_revision: u64,
     state_service_answers: bool,
     unsettled_machines: usize,
-    /// Machines by their health; none on a node that does not lead and can't tell.
+    /// Number of machines by health; empty on a node that does not lead.
     worker_health: BTreeMap<HealthState, usize>,
     machines: BTreeMap<String, MachineStatus>,
     jobs: BTreeMap<String, JobStatus>,
 }
 
-/// The status of this node.
 pub(super) fn node_status(shared: &Shared) -> Status {
     let now = Instant::now();
     let role = shared.election.lock().role(now);
     let leading = matches!(role, Role::Leader(_));
-    let me = shared.settings.member.clone();
+    let own_member = shared.settings.member.clone();
     let (leader, term) = match role {
-        Role::Leader(leadership) => (Some(me.clone()), Some(leadership.term.0)),
+        Role::Leader(leadership) => (Some(own_member.clone()), Some(leadership.term.0)),
         Role::KeepAlive(_) => (None, None),
         Role::Follower(leader) => (leader.map(|leader| leader.member), None),
     };
     let mut status = Status {
-        member: me,
+        member: own_member,
         leading,
         leader,
         term,
--- a/src/api/links.rs
+++ b/src/api/links.rs
@@ -1,4 +1,5 @@
-//! `GET /admin/links`: the connectivity matrix, suppressed links and the last decisions on leadership.
+//! Handler of `GET /admin/links`: the connectivity matrix, suppressed links and the latest decisions on
+//! leadership handovers.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::Ordering;
@@ -16,19 +17,19 @@
 
 #[derive(Debug, Serialize)]
 struct PeerLinksView {
-    /// Requests to it are answered.
+    /// Whether the peer responds to this controller's requests.
     outbound: LinkStatus,
-    /// Its requests arrive.
+    /// Whether the peer's requests arrive at this controller.
     inbound: LinkStatus,
 }
 
-/// One controller's row.
+/// One controller's row of the connectivity matrix.
 #[derive(Debug, Serialize)]
 struct RowView {
     #[serde(rename = "life")]
     incarnation: u64,
     sequence: u64,
-    /// Time since the row came; nothing for the row of the controller that was asked.
+    /// Seconds since the row was received; absent for the row of the responding controller.
     received_s_ago: Option<f64>,
     leads_term: Option<u64>,
     store_read: LinkStatus,
@@ -36,7 +37,7 @@
     peers: BTreeMap<String, PeerLinksView>,
     workers_heard: u64,
     workers_reached: u64,
-    /// How well connected it would be as the leader.
+    /// How well connected this controller would be as the leader.
     as_leader: Connectivity,
 }
 
@@ -85,32 +86,35 @@
     member: String,
     placement_gate: GateView,
     suppressed: Vec<String>,
-    /// Rows by controller; nothing where none came lately.
+    /// Rows by controller; `None` where no recent row is present.
     matrix: BTreeMap<String, Option<RowView>>,
     decisions: Vec<DecisionView>,
     rows_taken: u64,
     rows_refused: u64,
 }
 
-fn view(shared: &Shared, active: &ActiveLinks, now: Instant) -> LinksView {
-    let leads = shared
+fn links_view(shared: &Shared, active: &ActiveLinks, now: Instant) -> LinksView {
+    let leads_term = shared
         .election
         .lock()
         .leadership(now)
         .map(|leadership| leadership.term.0);
-    let own = active.own_row(leads, now);
+    let own_row = active.own_row(leads_term, now);
     let snapshot = active.snapshot();
-    let me = shared.settings.member.clone();
+    let own_member = shared.settings.member.clone();
     let mut matrix: BTreeMap<String, Option<RowView>> = BTreeMap::new();
     {
         let rows = active.matrix.lock();
-        let as_leader = connectivity(&own, &own, &rows, now);
-        matrix.insert(me.clone(), Some(RowView::of(&own, None, as_leader)));
+        let as_leader = connectivity(&own_row, &own_row, &rows, now);
+        matrix.insert(
+            own_member.clone(),
+            Some(RowView::of(&own_row, None, as_leader)),
+        );
         matrix.extend(rows.members().map(|member| (member.to_owned(), None)));
         for (member, row, age) in rows.rows(now) {
-            let as_leader = connectivity(row, &own, &rows, now);
-            let shown = RowView::of(row, Some(age), as_leader);
-            matrix.insert(member.to_owned(), Some(shown));
+            let as_leader = connectivity(row, &own_row, &rows, now);
+            let row_view = RowView::of(row, Some(age), as_leader);
+            matrix.insert(member.to_owned(), Some(row_view));
         }
     }
     let (suppressed, refused_for) = {
@@ -125,7 +129,7 @@
         decision: entry.decision.clone(),
     });
     LinksView {
-        member: me,
+        member: own_member,
         placement_gate: GateView {
             on: active.features.placement_gate,
             refuses: snapshot.gate.refusal,
@@ -140,10 +144,10 @@
     }
 }
 
-/// `GET /admin/links`
+/// `GET /admin/links`: 404 where links are not turned on.
 pub async fn links(shared: web::Data<Shared>) -> HttpResponse {
     match shared.links.active() {
-        Some(active) => HttpResponse::Ok().json(view(&shared, active, Instant::now())),
+        Some(active) => HttpResponse::Ok().json(links_view(&shared, active, Instant::now())),
         None => HttpResponse::NotFound().json(Problem {
             error: "links are not turned on here; see deploy/features.toml".to_owned(),
         }),
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -1,5 +1,5 @@
-//! What users, workers, the load balancer and operators reach. Handlers decode, call the
-//! modules that decide, and encode.
+//! HTTP handlers for users, agents, the load balancer and operators. A handler decodes the request,
+//! calls the module that makes the decision, and encodes the response.
 
 pub mod admin;
 pub mod links;
@@ -18,54 +18,55 @@
 use crate::service::Shared;
 use crate::wire::{self, Problem};
 
-/// Seconds after which a refused request may come again.
+/// `Retry-After` of a temporarily rejected request, in seconds.
 pub const RETRY_AFTER_S: u32 = 1;
 
-/// An answer with a CBOR body.
-pub fn cbor<T: Serialize>(status: StatusCode, body: &T) -> HttpResponse {
+/// Builds a response with a CBOR body.
+pub fn cbor_response<T: Serialize>(status: StatusCode, body: &T) -> HttpResponse {
     HttpResponse::build(status)
         .content_type(wire::CBOR)
         .body(wire::encode(body))
 }
 
-/// A refusal that says why.
-pub fn problem(status: StatusCode, error: impl Into<String>) -> HttpResponse {
+/// Builds an error response whose CBOR body gives the reason.
+pub fn error_response(status: StatusCode, error: impl Into<String>) -> HttpResponse {
     let error = error.into();
-    cbor(status, &Problem { error })
+    cbor_response(status, &Problem { error })
 }
 
-/// A temporary refusal, with the time after which the request may be repeated.
-pub fn later(status: StatusCode, error: &str) -> HttpResponse {
-    let mut answer = problem(status, error);
-    answer
+/// Builds an error response with a `Retry-After` header, for a request that may be repeated later.
+pub fn retry_later_response(status: StatusCode, error: &str) -> HttpResponse {
+    let mut response = error_response(status, error);
+    response
         .headers_mut()
         .insert(header::RETRY_AFTER, HeaderValue::from(RETRY_AFTER_S));
-    answer
+    response
 }
 
-/// Closes a user's connection after its answer when connections run short.
-async fn close_when_scarce(
+/// Closes a user's connection after the response while more public connections are open than the
+/// threshold for users.
+async fn close_above_threshold(
     request: ServiceRequest,
     next: Next<impl MessageBody>,
 ) -> Result<ServiceResponse<impl MessageBody>, actix_web::Error> {
     let shared = request.app_data::<web::Data<Shared>>().cloned();
-    let mut answer = next.call(request).await?;
+    let mut response = next.call(request).await?;
     if shared.is_some_and(|shared| shared.connections.open() > shared.sockets.users_close) {
-        let head = answer.response_mut().head_mut();
+        let head = response.response_mut().head_mut();
         head.set_connection_type(ConnectionType::Close);
     }
-    Ok(answer)
+    Ok(response)
 }
 
-/// The routes on the public address.
-pub fn public(config: &mut web::ServiceConfig) {
+/// Registers the routes of the public address.
+pub fn public_routes(config: &mut web::ServiceConfig) {
     config
         .app_data(web::PayloadConfig::new(wire::BODY_LIMIT))
         .route("/hello", web::post().to(workers::heartbeat))
         .route("/up", web::get().to(users::health))
         .service(
             web::scope("/api/jobs")
-                .wrap(from_fn(close_when_scarce))
+                .wrap(from_fn(close_above_threshold))
                 .route("", web::post().to(users::submit))
                 .route("/{id}", web::get().to(users::poll))
                 .route("/{id}/abort", web::post().to(users::cancel)),
--- a/src/api/users/cancel.rs
+++ b/src/api/users/cancel.rs
@@ -1,4 +1,4 @@
-//! `POST /api/jobs/{id}/abort`: the cancellation of a job.
+//! Handler of `POST /api/jobs/{id}/abort`.
 
 use std::time::Instant;
 
@@ -7,7 +7,7 @@
 use tracing::info;
 
 use super::status::{read_verdict, state_response, store_failure};
-use super::{no_such_job, Store, WRITE_TIMEOUT};
+use super::{no_such_job, StoreAddr, WRITE_TIMEOUT};
 use crate::model::{JobId, Verdict};
 use crate::service::Shared;
 use crate::store::actor::{Commit, StoreActor};
@@ -17,22 +17,23 @@
     to_value, Change, Condition, StoreError, Transaction, TransactionOutcome, WritePriority,
 };
 
-/// Attempts at a cancellation whose conditions failed, each after reading the record again.
+/// Maximum number of transactions per cancellation; each attempt after a conflict reads the record again.
 const ATTEMPTS_MAX: usize = 3;
 
-/// `POST /api/jobs/{id}/abort`
+/// `POST /api/jobs/{id}/abort`: cancels a job; responds with the status that is then on record.
 pub async fn cancel(
     shared: web::Data<Shared>,
-    store: Store,
+    store: StoreAddr,
     path: web::Path<String>,
 ) -> HttpResponse {
     shared.metrics.lock().requests.cancellations += 1;
     let Some(id) = JobId::parse(&path) else {
         return no_such_job();
     };
-    let began = Instant::now();
+    let started_at = Instant::now();
     match actix::clock::timeout(WRITE_TIMEOUT, record_cancellation(&shared, &store, &id)).await {
-        Ok(answer) if began.elapsed() < WRITE_TIMEOUT => answer,
+        // After a pause of the process, another node may have reported a later status than this response.
+        Ok(response) if started_at.elapsed() < WRITE_TIMEOUT => response,
         _ => store_failure(&StoreError::OutcomeUnknown),
     }
 }
@@ -59,24 +60,24 @@
                 live.map(|live| live.record.clone()),
             )
         };
-        // The specification stays until every task of the job is confirmed terminated.
+        // The record keeps the job's specification until every task is confirmed terminated.
         let record = JobRecord {
             verdict: Verdict::Cancelled,
             tasks,
             live,
         };
-        let group = Transaction::new(
+        let transaction = Transaction::new(
             vec![Condition::new(keys::job(id), version)],
             vec![Change::put(keys::job(id), to_value(&record))],
         );
-        let outcome = store.send(Commit(group, WritePriority::High)).await;
+        let outcome = store.send(Commit(transaction, WritePriority::High)).await;
         match outcome.unwrap_or(TransactionOutcome::Failed(StoreError::OutcomeUnknown)) {
             TransactionOutcome::Committed(_) => {
                 info!(job = %id, "job cancelled");
                 shared.cancellation_recorded(id);
                 return state_response(shared, id, Verdict::Cancelled, tasks);
             }
-            // Another write came first; the record as it is now decides.
+            // Another write changed the record first. The next attempt reads it again.
             TransactionOutcome::Conflict { .. } => {}
             TransactionOutcome::Failed(error) => return store_failure(&error),
         }
--- a/src/api/users/mod.rs
+++ b/src/api/users/mod.rs
@@ -1,5 +1,5 @@
-//! Users' requests. Any node answers them, whichever node leads: verdicts are written to and read
-//! from the key-value store, and nothing else may be shown as a verdict.
+//! Handlers of users' requests. Every node serves them, whether it leads or not: a verdict is written to
+//! and read from the key-value store, and no other source may supply a verdict in a response.
 
 mod cancel;
 mod poll;
@@ -15,16 +15,16 @@
 pub use self::cancel::cancel;
 pub use self::poll::poll;
 pub use self::submit::submit;
-use super::problem;
+use super::error_response;
 use crate::service::Shared;
 use crate::store::actor::StoreActor;
 
-/// A submission or cancellation is answered by then, while its user still waits.
+/// Time limit for the response to a submission or cancellation: the user still waits for it by then.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
 
-type Store = web::Data<Addr<StoreActor>>;
+type StoreAddr = web::Data<Addr<StoreActor>>;
 
-/// `GET /up`
+/// `GET /up`: the health check of the load balancer; 503 if this node should get no requests.
 pub async fn health(shared: web::Data<Shared>) -> HttpResponse {
     shared.metrics.lock().requests.health_checks += 1;
     if shared.fit_for_requests(Instant::now()) {
@@ -35,5 +35,5 @@
 }
 
 fn no_such_job() -> HttpResponse {
-    problem(StatusCode::NOT_FOUND, "no such job")
+    error_response(StatusCode::NOT_FOUND, "no such job")
 }
--- a/src/api/users/poll.rs
+++ b/src/api/users/poll.rs
@@ -1,16 +1,16 @@
-//! `GET /api/jobs/{id}`: the status of a job.
+//! Handler of `GET /api/jobs/{id}`.
 
 use actix_web::{web, HttpResponse};
 
 use super::status::{read_verdict, verdict_response};
-use super::{no_such_job, Store};
+use super::{no_such_job, StoreAddr};
 use crate::model::JobId;
 use crate::service::Shared;
 
-/// `GET /api/jobs/{id}`
+/// `GET /api/jobs/{id}`: the status of a job.
 pub async fn poll(
     shared: web::Data<Shared>,
-    store: Store,
+    store: StoreAddr,
     path: web::Path<String>,
 ) -> HttpResponse {
     shared.metrics.lock().requests.polls += 1;
--- a/src/api/users/status.rs
+++ b/src/api/users/status.rs
@@ -1,4 +1,4 @@
-//! A job's status as its user may see it.
+//! Reads verdicts and builds the responses that report a job's status to its user.
 
 use std::time::{Duration, Instant};
 
@@ -6,7 +6,7 @@
 use actix_web::http::StatusCode;
 use actix_web::HttpResponse;
 
-use super::super::{cbor, later};
+use super::super::{cbor_response, retry_later_response};
 use crate::model::{JobId, Verdict};
 use crate::service::Shared;
 use crate::store::actor::{ReadVerdict, StoreActor};
@@ -14,14 +14,15 @@
 use crate::store::StoreError;
 use crate::wire::JobState;
 
-/// A poll is answered by then.
-const POLL_TIMEOUT: Duration = Duration::from_millis(1700);
+/// Time limit for the read of a verdict.
+const READ_TIMEOUT: Duration = Duration::from_millis(1700);
 
-/// A job's status as its user may see it. A verdict that is final by now is shown, even if it was not
-/// final when it was read: the process may have been paused since, and another node may have shown it.
+/// The status of a job as reported to its user. A verdict that is final in the replica by now replaces the
+/// one given: the process may have been paused since that was read, and another node may have reported
+/// the final one.
 pub(super) fn job_state(shared: &Shared, id: &JobId, verdict: Verdict, tasks: u32) -> JobState {
-    let known = shared.replica.lock().jobs.get(id).map(|job| job.record);
-    let JobVerdict { verdict, tasks } = known
+    let replicated = shared.replica.lock().jobs.get(id).map(|job| job.record);
+    let JobVerdict { verdict, tasks } = replicated
         .filter(JobVerdict::is_final)
         .unwrap_or(JobVerdict { verdict, tasks });
     let (done, running) = match verdict {
@@ -43,7 +44,8 @@
     }
 }
 
-/// Completed and running tasks, as far as this node knows.
+/// The numbers of completed and running tasks: on the leader from the cluster state, elsewhere from the
+/// last state summary.
 fn task_counts(shared: &Shared, id: &JobId) -> (u32, u32) {
     if let Some(cluster) = shared.cluster.lock().as_ref() {
         return cluster.count(id);
@@ -52,30 +54,31 @@
     summary.counts.get(id).copied().unwrap_or((0, 0))
 }
 
-/// The verdict on a job with its number of tasks. A final verdict never changes and is taken from the
+/// Reads the verdict on a job and its number of tasks. A final verdict never changes and is taken from the
 /// replica; any other is read from the key-value store.
 pub(super) async fn read_verdict(
     shared: &Shared,
     store: &Addr<StoreActor>,
     id: &JobId,
 ) -> Result<Option<JobVerdict>, StoreError> {
-    let cached = {
+    let replicated = {
         let replica = shared.replica.lock();
         replica.jobs.get(id).map(|job| job.record)
     };
-    if cached.as_ref().is_some_and(JobVerdict::is_final) {
-        return Ok(cached);
+    if replicated.as_ref().is_some_and(JobVerdict::is_final) {
+        return Ok(replicated);
     }
-    let began = Instant::now();
-    let check = store.send(ReadVerdict(id.clone()));
-    match actix::clock::timeout(POLL_TIMEOUT, check).await {
-        // After a pause of the process, this answer may be older than what another node has shown.
-        Ok(Ok(answer)) if began.elapsed() < POLL_TIMEOUT => answer,
+    let started_at = Instant::now();
+    let read = store.send(ReadVerdict(id.clone()));
+    match actix::clock::timeout(READ_TIMEOUT, read).await {
+        // After a pause of the process, this result may be older than what another node has reported.
+        Ok(Ok(result)) if started_at.elapsed() < READ_TIMEOUT => result,
         _ => Err(StoreError::OutcomeUnknown),
     }
 }
 
-/// The response with a verdict that has just been read.
+/// Builds the response to a request from the result of [`read_verdict`]; `absent` builds it for a job
+/// without a record.
 pub(super) fn verdict_response(
     shared: &Shared,
     id: &JobId,
@@ -89,21 +92,23 @@
     }
 }
 
-/// The response with a job's status.
+/// Builds the response that reports a job's status.
 pub(super) fn state_response(
     shared: &Shared,
     id: &JobId,
     verdict: Verdict,
     tasks: u32,
 ) -> HttpResponse {
-    cbor(StatusCode::OK, &job_state(shared, id, verdict, tasks))
+    cbor_response(StatusCode::OK, &job_state(shared, id, verdict, tasks))
 }
 
-/// The response where the key-value store gave no result.
+/// Builds the error response for an operation on the key-value store that failed or has no known outcome.
 pub(super) fn store_failure(error: &StoreError) -> HttpResponse {
     match error {
-        StoreError::Refused(429) => later(StatusCode::TOO_MANY_REQUESTS, "too many requests"),
-        _ => later(
+        StoreError::Refused(429) => {
+            retry_later_response(StatusCode::TOO_MANY_REQUESTS, "too many requests")
+        }
+        _ => retry_later_response(
             StatusCode::SERVICE_UNAVAILABLE,
             "the state service does not answer",
         ),
--- a/src/api/users/submit.rs
+++ b/src/api/users/submit.rs
@@ -1,4 +1,4 @@
-//! `POST /api/jobs`: the submission of a job.
+//! Handler of `POST /api/jobs`.
 
 use std::time::{Instant, SystemTime};
 
@@ -7,9 +7,9 @@
 use actix_web::{web, HttpResponse};
 use tracing::{debug, info};
 
-use super::super::{cbor, later, problem};
+use super::super::{cbor_response, error_response, retry_later_response};
 use super::status::{job_state, read_verdict, store_failure, verdict_response};
-use super::{Store, WRITE_TIMEOUT};
+use super::{StoreAddr, WRITE_TIMEOUT};
 use crate::cluster::Catalog;
 use crate::model::{JobId, JobKind, JobSpec, Priority, Resources, Verdict};
 use crate::policy::SchedulingPolicy;
@@ -22,57 +22,58 @@
 use crate::time::unix_ms;
 use crate::wire::{self, JobBody};
 
-/// `POST /api/jobs`
+/// `POST /api/jobs`: records a new job; for a job already on record, responds with its status.
 pub async fn submit(
     shared: web::Data<Shared>,
-    store: Store,
+    store: StoreAddr,
     body: Result<web::Bytes, actix_web::Error>,
 ) -> HttpResponse {
-    let began = Instant::now();
+    let started_at = Instant::now();
     shared.metrics.lock().requests.submissions += 1;
     let Ok(body) = body else {
-        return problem(StatusCode::BAD_REQUEST, "body too large or cut off");
+        return error_response(StatusCode::BAD_REQUEST, "body too large or cut off");
     };
-    let read = wire::decode::<JobBody>(&body).and_then(JobBody::check);
-    let spec = match read {
+    let decoded = wire::decode::<JobBody>(&body).and_then(JobBody::check);
+    let spec = match decoded {
         Ok(spec) => spec,
-        Err(error) => return problem(StatusCode::BAD_REQUEST, error.to_string()),
+        Err(error) => return error_response(StatusCode::BAD_REQUEST, error.to_string()),
     };
-    let answer = match actix::clock::timeout(WRITE_TIMEOUT, accept(&shared, &store, spec)).await {
-        // After a pause of the process another node may have shown something newer than this answer.
-        Ok(answer) if began.elapsed() < WRITE_TIMEOUT => answer,
+    let response = match actix::clock::timeout(WRITE_TIMEOUT, accept(&shared, &store, spec)).await {
+        // After a pause of the process, another node may have reported a later status than this response.
+        Ok(response) if started_at.elapsed() < WRITE_TIMEOUT => response,
         _ => store_failure(&StoreError::OutcomeUnknown),
     };
     let mut metrics = shared.metrics.lock();
-    metrics.submissions.add(began.elapsed());
-    match answer.status() {
+    metrics.submissions.add(started_at.elapsed());
+    match response.status() {
         StatusCode::CREATED => metrics.counts.accepted += 1,
         status if status.is_server_error() || status == StatusCode::TOO_MANY_REQUESTS => {
             metrics.counts.refused += 1;
         }
         _ => {}
     }
-    answer
+    response
 }
 
-/// Why a job is infeasible, if it can never run.
-fn infeasible(spec: &JobSpec, policy: &SchedulingPolicy, catalog: &Catalog) -> Option<String> {
+/// The reason why a job can never run; `None` if it is feasible.
+fn infeasibility(spec: &JobSpec, policy: &SchedulingPolicy, catalog: &Catalog) -> Option<String> {
     if !policy.teams.contains_key(&spec.team) {
         return Some(format!("unknown team {}", spec.team));
     }
-    let fits_one = catalog.iter().any(|machine_type| {
+    let fits_any_type = catalog.iter().any(|machine_type| {
         let mut zones = machine_type.zones.iter();
-        let zone = zones.any(|zone| spec.allows(&machine_type.name, zone, false));
-        zone && spec.task_resources.fits(&machine_type.capacity)
+        let zone_allowed = zones.any(|zone| spec.allows(&machine_type.name, zone, false));
+        zone_allowed && spec.task_resources.fits(&machine_type.capacity)
     });
-    if !fits_one {
+    if !fits_any_type {
         return Some("a task fits no machine type allowed".to_owned());
     }
-    let most: Resources = match spec.kind {
+    // A gang runs all its tasks at once; the tasks of other kinds may run one after another.
+    let needed_at_once: Resources = match spec.kind {
         JobKind::Array | JobKind::Service => spec.task_resources,
         JobKind::Gang => spec.task_resources.times(spec.tasks),
     };
-    if !policy.within_limit(&spec.team, &most) {
+    if !policy.within_limit(&spec.team, &needed_at_once) {
         return Some("the job needs more than its team's limit".to_owned());
     }
     None
@@ -80,21 +81,21 @@
 
 async fn accept(shared: &Shared, store: &Addr<StoreActor>, spec: JobSpec) -> HttpResponse {
     let id = spec.id.clone();
-    let known = shared.replica.lock().jobs.contains_key(&id);
-    if known {
+    let is_on_record = shared.replica.lock().jobs.contains_key(&id);
+    if is_on_record {
         return existing_job(shared, store, &id).await;
     }
     let Some(catalog) = shared.catalog.lock().clone() else {
-        return later(
+        return retry_later_response(
             StatusCode::SERVICE_UNAVAILABLE,
             "the machine types are not known yet",
         );
     };
-    if let Some(reason) = infeasible(&spec, &shared.policy, &catalog) {
-        // An accepted job must never be called infeasible, whatever the catalog says now.
+    if let Some(reason) = infeasibility(&spec, &shared.policy, &catalog) {
+        // A job that was accepted is never rejected as infeasible later, even if the catalog has changed.
         let read = read_verdict(shared, store, &id).await;
         return verdict_response(shared, &id, read, || {
-            problem(StatusCode::UNPROCESSABLE_ENTITY, reason)
+            error_response(StatusCode::UNPROCESSABLE_ENTITY, reason)
         });
     }
     debug!(job = %id, class = %spec.class, team = %spec.team, priority = ?spec.priority,
@@ -102,7 +103,7 @@
     record_acceptance(shared, store, spec).await
 }
 
-/// Writes the record of a new job, unless there is one.
+/// Writes the record of a new job, unless the key-value store already has one.
 async fn record_acceptance(
     shared: &Shared,
     store: &Addr<StoreActor>,
@@ -110,7 +111,7 @@
 ) -> HttpResponse {
     let (id, tasks) = (spec.id.clone(), spec.tasks);
     let submitted_ms = unix_ms(SystemTime::now());
-    // When more writes wait than the limits allow, those of the lowest priority class wait longest.
+    // When writes queue up at the rate limit, those for the lowest priority class are sent last.
     let write_priority = if spec.priority == Priority::BestEffort {
         WritePriority::Low
     } else {
@@ -135,7 +136,7 @@
         TransactionOutcome::Committed(_) => {
             info!(job = %id, tasks, "job accepted");
             let accepted = job_state(shared, &id, Verdict::Accepted, tasks);
-            cbor(StatusCode::CREATED, &accepted)
+            cbor_response(StatusCode::CREATED, &accepted)
         }
         TransactionOutcome::Conflict { .. } => existing_job(shared, store, &id).await,
         TransactionOutcome::Failed(error) => {
@@ -147,7 +148,7 @@
 
 async fn existing_job(shared: &Shared, store: &Addr<StoreActor>, id: &JobId) -> HttpResponse {
     let read = read_verdict(shared, store, id).await;
-    // The record existed a moment ago; only another read can tell.
+    // The record existed a moment ago, so its absence now does not establish an outcome.
     verdict_response(shared, id, read, || {
         store_failure(&StoreError::OutcomeUnknown)
     })
--- a/src/api/workers.rs
+++ b/src/api/workers.rs
@@ -1,11 +1,11 @@
-//! Heartbeats of the agents on machines.
+//! Handler of heartbeats from the agents on machines.
 
 use std::time::Instant;
 
 use actix_web::http::{ConnectionType, StatusCode};
 use actix_web::{web, HttpRequest, HttpResponse};
 
-use super::{cbor, problem};
+use super::{cbor_response, error_response};
 use crate::forwarding::messages::ForwardedAnswer;
 use crate::forwarding::{ForwardingRoute, PendingHeartbeat, QueueFull, ANSWER_LIMIT};
 use crate::leader::{LeaderHint, Role};
@@ -14,60 +14,65 @@
 use crate::service::{OpenConnection, Shared};
 use crate::wire::{self, Heartbeat, Redirect};
 
-/// How a heartbeat is answered.
+/// The result of receiving a heartbeat.
 #[derive(Debug)]
 pub enum HeartbeatOutcome {
-    /// By this node.
+    /// This node responds at once.
     Answered(HttpResponse),
-    /// By the leader, for which it was queued.
+    /// The heartbeat is queued for the leader, whose response will be relayed.
     Queued(PendingHeartbeat),
 }
 
-/// `POST /hello`
+/// `POST /hello`: a heartbeat.
 ///
-/// The connection is closed after the response where connections are scarce, and where the agent has to
-/// go elsewhere: it would not use this one again.
+/// The connection is closed after the response while more public connections are open than the threshold
+/// for heartbeats, and after any response other than 200: the agent then sends to another node and does not
+/// use this connection again.
 pub async fn heartbeat(
     shared: web::Data<Shared>,
     request: HttpRequest,
     body: Result<web::Bytes, actix_web::Error>,
 ) -> HttpResponse {
-    let first = request
+    let first_request = request
         .conn_data::<OpenConnection>()
         .is_some_and(OpenConnection::first_request);
-    let mut answer = match receive(&shared, body, &Instant::now) {
-        HeartbeatOutcome::Answered(answer) => answer,
-        HeartbeatOutcome::Queued(pending) => await_leader(&shared, pending).await,
+    let mut response = match receive(&shared, body, &Instant::now) {
+        HeartbeatOutcome::Answered(response) => response,
+        HeartbeatOutcome::Queued(pending) => relay_from_leader(&shared, pending).await,
     };
-    let status = answer.status().as_u16();
-    shared.metrics.lock().heartbeats.answered(first, status);
-    let stays = answer.status() == StatusCode::OK;
-    if !stays {
+    let status = response.status().as_u16();
+    shared
+        .metrics
+        .lock()
+        .heartbeats
+        .answered(first_request, status);
+    let agent_stays = response.status() == StatusCode::OK;
+    if !agent_stays {
         shared.forwarding.count_misdirected();
     }
-    if !stays || shared.connections.open() > shared.sockets.heartbeats_close {
-        let head = answer.head_mut();
+    if !agent_stays || shared.connections.open() > shared.sockets.heartbeats_close {
+        let head = response.head_mut();
         head.set_connection_type(ConnectionType::Close);
     }
-    answer
+    response
 }
 
-/// Answers a heartbeat, or queues it for the leader. `clock` is read again right before the response:
-/// the process may have been paused since the first reading.
+/// Responds to a heartbeat, or queues it for the leader. `clock` is read again right before the response is
+/// built, because the process may have been paused since the first reading.
 pub fn receive(
     shared: &Shared,
     body: Result<web::Bytes, actix_web::Error>,
     clock: &dyn Fn() -> Instant,
 ) -> HeartbeatOutcome {
     let Ok(body) = body else {
-        let answer = problem(StatusCode::BAD_REQUEST, "body too large or cut off");
-        return HeartbeatOutcome::Answered(answer);
+        let response = error_response(StatusCode::BAD_REQUEST, "body too large or cut off");
+        return HeartbeatOutcome::Answered(response);
     };
     let role = shared.election.lock().role(clock());
     let term = match role {
         Role::Leader(leadership) => leadership.term,
         Role::KeepAlive(term) => term,
-        Role::Follower(Some(leader)) => return to_leader(shared, &leader, &body, clock()),
+        Role::Follower(Some(leader)) => return queue_for_leader(shared, &leader, &body, clock()),
         Role::Follower(None) => {
             return HeartbeatOutcome::Answered(unavailable(Unavailable::NoLeader))
         }
@@ -80,13 +85,13 @@
     HeartbeatOutcome::Answered(match decide(shared, &heartbeat, term, clock) {
         HeartbeatDecision::Accepted(answer) => {
             shared.links.worker_answered(&heartbeat.machine);
-            cbor(StatusCode::OK, &answer)
+            cbor_response(StatusCode::OK, &answer)
         }
         HeartbeatDecision::NotLeading => unavailable(Unavailable::LeadershipChanging),
     })
 }
 
-/// Why a heartbeat is answered with 503.
+/// Why a heartbeat gets the status 503.
 #[derive(Debug, Clone, Copy)]
 enum Unavailable {
     NoLeader,
@@ -100,7 +105,7 @@
 }
 
 impl Unavailable {
-    /// The text of the response; it is part of the interface.
+    /// The error text of the response, which is part of the interface.
     fn text(self) -> &'static str {
         match self {
             Self::NoLeader => "nobody leads",
@@ -116,15 +121,20 @@
 }
 
 fn unavailable(reason: Unavailable) -> HttpResponse {
-    problem(StatusCode::SERVICE_UNAVAILABLE, reason.text())
+    error_response(StatusCode::SERVICE_UNAVAILABLE, reason.text())
 }
 
 fn malformed(error: &wire::WireError) -> HttpResponse {
-    problem(StatusCode::BAD_REQUEST, error.to_string())
+    error_response(StatusCode::BAD_REQUEST, error.to_string())
 }
 
-/// Queues a heartbeat for the leader, or answers at once.
-fn to_leader(shared: &Shared, leader: &LeaderHint, body: &[u8], now: Instant) -> HeartbeatOutcome {
+/// Queues a heartbeat for the leader, or responds at once if it can't be forwarded.
+fn queue_for_leader(
+    shared: &Shared,
+    leader: &LeaderHint,
+    body: &[u8],
+    now: Instant,
+) -> HeartbeatOutcome {
     let route = match shared.settings.peer_address(&leader.member) {
         Some(_) => shared.forwarding.lock().route(leader, now),
         None => ForwardingRoute::Redirect,
@@ -135,8 +145,8 @@
             return HeartbeatOutcome::Answered(redirect(shared, leader, now))
         }
         ForwardingRoute::Reject => {
-            let answer = unavailable(Unavailable::LeaderUnreachable);
-            return HeartbeatOutcome::Answered(answer);
+            let response = unavailable(Unavailable::LeaderUnreachable);
+            return HeartbeatOutcome::Answered(response);
         }
     }
     let heartbeat: Heartbeat = match wire::decode(body) {
@@ -144,8 +154,8 @@
         Err(error) => return HeartbeatOutcome::Answered(malformed(&error)),
     };
     if FencingToken(heartbeat.token).term() > leader.term {
-        let answer = unavailable(Unavailable::NewerLeaderKnown);
-        return HeartbeatOutcome::Answered(answer);
+        let response = unavailable(Unavailable::NewerLeaderKnown);
+        return HeartbeatOutcome::Answered(response);
     }
     shared.links.worker_reported(&heartbeat, now);
     let queued = shared.forwarding.lock().enqueue(heartbeat, body.len(), now);
@@ -158,45 +168,46 @@
     }
 }
 
-/// Redirects an agent to the leader, unless the rate limit of redirects is reached.
+/// Redirects an agent to the leader, unless the rate limit for redirects is reached.
 fn redirect(shared: &Shared, leader: &LeaderHint, now: Instant) -> HttpResponse {
     if !shared.forwarding.try_redirect(now) {
         return unavailable(Unavailable::RedirectLimit);
     }
     let report_to = Some(leader.member.clone());
-    cbor(StatusCode::MISDIRECTED_REQUEST, &Redirect { report_to })
+    cbor_response(StatusCode::MISDIRECTED_REQUEST, &Redirect { report_to })
 }
 
-async fn await_leader(shared: &Shared, mut pending: PendingHeartbeat) -> HttpResponse {
+async fn relay_from_leader(shared: &Shared, mut pending: PendingHeartbeat) -> HttpResponse {
     let answer = actix::clock::timeout(ANSWER_LIMIT, &mut pending.answer).await;
     let answer = answer.ok().and_then(Result::ok);
     let now = Instant::now();
     match answer {
         Some(answer) => {
-            let relayed = relay_response(&pending, answer, now);
-            if relayed.status() == StatusCode::OK {
+            let response = relay_response(&pending, answer, now);
+            if response.status() == StatusCode::OK {
                 shared.links.worker_answered(&pending.machine);
             }
-            relayed
+            response
         }
         None => upstream_unavailable(shared, now),
     }
 }
 
-/// Relays the leader's response, or answers with an error so that the agent tries another node.
+/// Builds the response to an agent from the leader's answer. If the agent can't use the answer, the
+/// response is an error, so that the agent tries another node.
 pub fn relay_response(
     pending: &PendingHeartbeat,
     answer: ForwardedAnswer,
     now: Instant,
 ) -> HttpResponse {
     match pending.relayed_response(answer, now) {
-        Some(answer) => cbor(StatusCode::OK, &answer),
+        Some(response) => cbor_response(StatusCode::OK, &response),
         None => unavailable(Unavailable::ResponseUnusable),
     }
 }
 
-/// The response where the leader did not answer: where the nodes can't reach each other, the agent may
-/// still reach the leader.
+/// Builds the response for a heartbeat to which the leader did not respond in time. It redirects the agent
+/// to the leader where the route allows that: the agent may reach the leader although this node does not.
 pub fn upstream_unavailable(shared: &Shared, now: Instant) -> HttpResponse {
     let role = shared.election.lock().role(now);
     if let Role::Follower(Some(leader)) = role {
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,73 +1,73 @@
-//! The command line.
+//! The command line's arguments and subcommands.
 
 use std::path::PathBuf;
 
 use clap::{Parser, Subcommand};
 
-/// A gang scheduler for rented clusters: all starts of a gang leave together, or none does.
+/// A gang scheduler for rented clusters: starts all tasks of a gang together, or none.
 #[derive(Debug, Parser)]
 #[command(version, about, arg_required_else_help = true)]
 pub struct Cli {
     /// Serve as a controller with this settings file.
     #[arg(long, value_name = "FILE")]
     pub config: Option<PathBuf>,
-    /// Turn on what this file names; see deploy/features.toml. Without it nothing is turned on.
+    /// Turn on the optional subsystems named in this file; see deploy/features.toml. Default: none.
     #[arg(long, value_name = "FILE")]
     pub features: Option<PathBuf>,
-    /// What to do instead of serving.
+    /// The command to run instead of serving.
     #[command(subcommand)]
     pub command: Option<Command>,
 }
 
-/// What to do instead of serving.
+/// Commands that run instead of serving.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Check a settings file and say what is wrong with it.
+    /// Validate a settings file and print the first error.
     Check {
-        /// The file.
+        /// The settings file.
         file: PathBuf,
-        /// A features file to check with it.
+        /// A features file to validate as well.
         #[arg(long, value_name = "FILE")]
         features: Option<PathBuf>,
     },
-    /// Talk to a running controller's administration interface.
+    /// Send a request to the administration interface of a running controller.
     Admin {
-        /// Any controller's peer address, such as 10.0.0.1:8081.
+        /// The peer address of any controller, such as 10.0.0.1:8081.
         #[arg(long, value_name = "ADDRESS")]
         node: std::net::SocketAddrV4,
-        /// What to ask or tell it.
+        /// The request to send.
         #[command(subcommand)]
         action: AdminAction,
     },
 }
 
-/// What operators can ask or tell a controller.
+/// Requests to the administration interface.
 #[derive(Debug, Subcommand)]
 pub enum AdminAction {
-    /// Who leads, the machines, and the jobs with what each waits for.
+    /// Show the leader, the machines, and the jobs with the reason why each is pending.
     Status,
-    /// Why one job's tasks don't run. Ask the leader.
+    /// Show why tasks of one job are pending; only the leader has this state.
     Job {
         /// The job's id.
         id: String,
     },
-    /// How one machine stands, and why it gets no tasks. Ask the leader.
+    /// Show the state of one machine, and why no tasks are placed on it; only the leader has this state.
     Machine {
         /// The machine's name.
         name: String,
     },
-    /// Counters and histograms.
+    /// Show counters and histograms of the controller.
     Metrics,
-    /// The connectivity matrix, suppressed links and the last decisions on leadership.
+    /// Show the connectivity matrix, suppressed links and the latest decisions on leadership.
     Links,
-    /// The operators' settings with their version.
+    /// Show the operators' settings with their version.
     Settings,
-    /// Set the operators' settings: JSON with `version` and `settings`, as `settings` prints it.
+    /// Replace the operators' settings: JSON with `version` and `settings`, as printed by `settings`.
     Set {
-        /// The JSON, or a file that holds it after an @.
+        /// The JSON, or @ followed by the path of a file that contains it.
         json: String,
     },
-    /// Give a machine no new tasks.
+    /// Place no new tasks on a machine.
     Drain {
         /// The machine's name.
         machine: String,
--- a/src/config.rs
+++ b/src/config.rs
@@ -1,6 +1,6 @@
-//! The settings file the platform hands over: read once, checked, then shared read-only.
+//! The settings file that the platform provides: read and validated once at startup, then shared read-only.
 //!
-//! Unknown fields are ignored, because the platform may add some at any time.
+//! Unknown fields are ignored, because the platform may add fields at any time.
 
 use std::net::SocketAddrV4;
 use std::path::Path;
@@ -8,10 +8,10 @@
 use serde::Deserialize;
 use thiserror::Error;
 
-/// Why a settings file can't be used. Each message names the file or the field at fault.
+/// Why a settings file can't be used. Each message names the file or the field that is wrong.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// The file can't be read at all.
+    /// The file can't be opened or read.
     #[error("cannot read settings file {path}: {source}")]
     Unreadable {
         /// The path as it was given.
@@ -19,211 +19,214 @@
         /// The error of the operating system.
         source: std::io::Error,
     },
-    /// Not TOML, or a field is missing or of the wrong kind.
-    #[error("settings file {path} is wrong: {reason}")]
+    /// The file is not valid TOML, or a field is missing or has the wrong type.
+    #[error("settings file {path} is malformed: {reason}")]
     Malformed {
         /// The path as it was given.
         path: String,
-        /// The reason on one line.
+        /// The parser's message, joined into one line.
         reason: String,
     },
-    /// A field was read but its value is out of range.
+    /// A field has a value of the right type that is not allowed.
     #[error("settings field `{field}` is wrong: {reason}")]
     Invalid {
-        /// The field, with its tables.
+        /// The field's name, qualified by its tables.
         field: String,
-        /// What is expected.
+        /// A description of the allowed values.
         reason: &'static str,
     },
 }
 
-/// Another controller.
+/// Another controller of the deployment.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Peer {
-    /// Its name.
+    /// The name under which it sends messages to its peers and leads.
     pub member: String,
-    /// Its zone.
+    /// The zone in which it runs; empty if not given.
     #[serde(default)]
     pub area: String,
-    /// Where its `peer_bind` can be reached.
+    /// The address at which its `peer_bind` is reachable from this node.
     pub peer_addr: SocketAddrV4,
 }
 
-/// The external systems.
+/// Addresses of the external systems.
 #[derive(Debug, Clone, Deserialize)]
 pub struct External {
-    /// The cloud's interface.
+    /// The API of the cloud that rents out machines.
     pub cloud: SocketAddrV4,
-    /// The key-value store.
+    /// The key-value store that all controllers share.
     pub state: SocketAddrV4,
 }
 
-/// A team's guarantee and limit; 0 means that the resource is not managed for it.
+/// A team's guarantee and limit. A limit of 0 means that the resource is not managed for the team.
 #[derive(Debug, Clone, Deserialize)]
 pub struct TeamSettings {
-    /// The team's name.
+    /// The name by which jobs refer to the team.
     pub name: String,
-    /// Guaranteed processors.
+    /// Guaranteed number of processors.
     #[serde(default)]
     pub cpus: f64,
-    /// Most processors at any time.
+    /// Maximum number of processors at any time.
     #[serde(default)]
     pub cpus_max: f64,
-    /// Guaranteed graphics cards.
+    /// Guaranteed number of graphics cards.
     #[serde(default)]
     pub gpus: f64,
-    /// Most graphics cards at any time.
+    /// Maximum number of graphics cards at any time.
     #[serde(default)]
     pub gpus_max: f64,
 }
 
-/// A service-level objective.
+/// A service-level objective for the jobs of one class.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Objective {
-    /// `wait`, `finished`, `deadline` or `guarantee`; others are ignored.
+    /// `wait`, `finished`, `deadline` or `guarantee`; objectives of other kinds are ignored.
     pub kind: String,
-    /// The job class that it applies to.
+    /// The job class to which the objective applies.
     #[serde(default)]
     pub class: String,
-    /// The time allowed, where the kind has one.
+    /// The allowed time in seconds, for the kinds that have one.
     pub within_s: Option<f64>,
-    /// How many times its deadline a job may take, where the kind is `deadline`.
+    /// The factor of its deadline within which a job must finish, for the kind `deadline`.
     pub times: Option<f64>,
 }
 
-/// The workers' timing.
+/// Timing of the agents on machines, in seconds.
 #[derive(Debug, Clone, Deserialize)]
 pub struct WorkerSettings {
     /// The heartbeat interval.
     pub report_s: f64,
-    /// The worker lease: an agent without an answered heartbeat for that long kills all tasks.
+    /// The worker lease: an agent whose heartbeats get no response for this time kills all tasks.
     pub lease_s: f64,
-    /// The gang barrier timeout.
+    /// How long a member of a gang waits for the others at the gang barrier.
     pub gang_wait_s: f64,
-    /// How soon the members of a gang detect a lost one.
+    /// Time within which the members of a gang detect that one is lost.
     pub gang_peer_s: f64,
-    /// The cancellation deadline: the tasks of a cancelled job must have terminated by then.
+    /// The cancellation deadline: time within which all tasks of a cancelled job must have terminated.
     pub cancel_s: f64,
 }
 
-/// Limits of the key-value store.
+/// Limits that the key-value store enforces.
 #[derive(Debug, Clone, Deserialize)]
 pub struct StateSettings {
-    /// Requests a second, all nodes together.
+    /// Requests per second, for all nodes together.
     pub rps: f64,
-    /// Puts and deletes a second, all nodes together.
+    /// Puts and deletes per second, for all nodes together.
     pub write_rps: f64,
-    /// Largest value in KiB.
+    /// Size of the largest value in KiB.
     pub value_kb: f64,
-    /// Puts and deletes in one transaction.
+    /// Maximum number of puts and deletes in one transaction.
     pub txn_ops: usize,
 }
 
-/// Limits of the cloud's interface.
+/// Limits of the cloud's API.
 #[derive(Debug, Clone, Deserialize)]
 pub struct CloudSettings {
-    /// Requests a second.
+    /// Requests per second.
     pub rps: f64,
-    /// How old the machine list is.
+    /// How old the cloud's machine list may be, in seconds.
     pub list_lag_s: f64,
 }
 
-/// The resources of this process.
+/// The resource limits of this process.
 #[derive(Debug, Clone, Deserialize)]
 pub struct ProcessResources {
-    /// Share of one core.
+    /// Share of one processor core.
     pub cores: f64,
     /// Memory in MB.
     pub mem_mb: f64,
-    /// Sockets open at once.
+    /// Maximum number of sockets open at once.
     pub max_sockets: usize,
 }
 
-/// Everything below `params`.
+/// The table `params`: parameters of the deployment, and the resource limits of this process.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Params {
-    /// Number of controllers.
+    /// Number of controllers in the deployment.
     pub count: usize,
-    /// The zones of the deployment.
+    /// Names of the zones of the deployment.
     #[serde(default)]
     pub zones: Vec<String>,
-    /// Bound on the error of the time of day.
+    /// Maximum error of each node's time of day, in milliseconds.
     #[serde(default)]
     pub clock_off_ms: f64,
-    /// The teams.
+    /// The teams that may submit jobs.
     #[serde(default)]
     pub teams: Vec<TeamSettings>,
-    /// The service-level objectives.
+    /// The service-level objectives by job class.
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    /// Workers' timing.
+    /// Timing of the agents on machines.
     pub workers: WorkerSettings,
-    /// Limits of the key-value store.
+    /// Limits that the key-value store enforces.
     pub state: StateSettings,
-    /// The cloud's limits.
+    /// Limits of the cloud's API.
     pub cloud: CloudSettings,
-    /// This process's limits.
+    /// Resource limits of this process.
     pub resources: ProcessResources,
 }
 
-/// The whole file.
+/// The contents of the settings file.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Settings {
-    /// This node's name.
+    /// This controller's name, which is not empty and differs from those of its peers.
     pub member: String,
-    /// This node's zone.
+    /// The zone in which this controller runs; empty if not given.
     #[serde(default)]
     pub area: String,
-    /// For users, workers and health checks.
+    /// The address that serves users, agents and health checks.
     pub public_addr: SocketAddrV4,
-    /// For the other controllers and operators.
+    /// The address that serves the other controllers and operators.
     pub peer_bind: SocketAddrV4,
-    /// The other controllers.
+    /// The other controllers of the deployment; without any this node has no peers.
     #[serde(default)]
     pub known: Vec<Peer>,
-    /// The external systems.
+    /// Addresses of the external systems.
     pub external: External,
-    /// The deployment.
+    /// Parameters of the deployment.
     pub params: Params,
 }
 
 impl Settings {
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
     pub fn load(path: &Path) -> Result<Self, ConfigError> {
-        let shown = path.display().to_string();
+        let displayed_path = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|source| ConfigError::Unreadable {
-            path: shown.clone(),
+            path: displayed_path.clone(),
             source,
         })?;
-        Self::parse(&text, &shown)
+        Self::parse(&text, &displayed_path)
     }
 
-    /// Reads settings from text; `shown` names the source in errors.
-    pub fn parse(text: &str, shown: &str) -> Result<Self, ConfigError> {
+    /// Parses and validates settings; `source_name` names the source in errors.
+    pub fn parse(text: &str, source_name: &str) -> Result<Self, ConfigError> {
         let settings: Settings = toml::from_str(text).map_err(|error| ConfigError::Malformed {
-            path: shown.to_owned(),
-            reason: one_line(&error.to_string()),
+            path: source_name.to_owned(),
+            reason: join_lines(&error.to_string()),
         })?;
-        settings.check()?;
+        settings.validate()?;
         Ok(settings)
     }
 
-    fn check(&self) -> Result<(), ConfigError> {
-        for (field, value) in self.numbers_above_zero() {
+    fn validate(&self) -> Result<(), ConfigError> {
+        for (field, value) in self.positive_numbers() {
             if !value.is_finite() || value <= 0.0 {
-                return Err(invalid(field, "must be a number above 0"));
+                return Err(invalid_field(field, "must be a number above 0"));
             }
         }
         if self.member.is_empty() {
-            return Err(invalid("member", "must not be empty"));
+            return Err(invalid_field("member", "must not be empty"));
         }
         if self.knows(&self.member) {
-            return Err(invalid("known", "names this node itself"));
+            return Err(invalid_field("known", "names this node itself"));
         }
-        self.params.teams.iter().try_for_each(TeamSettings::check)
+        self.params
+            .teams
+            .iter()
+            .try_for_each(TeamSettings::validate)
     }
 
-    fn numbers_above_zero(&self) -> [(&'static str, f64); 14] {
+    fn positive_numbers(&self) -> [(&'static str, f64); 14] {
         let params = &self.params;
         let (workers, state) = (&params.workers, &params.state);
         let resources = &params.resources;
@@ -250,20 +253,20 @@
         self.known.iter().any(|peer| peer.member == member)
     }
 
-    /// Where another controller can be reached by its peers.
+    /// The peer address of another controller, if the settings name it.
     pub fn peer_address(&self, member: &str) -> Option<SocketAddrV4> {
         let peer = self.known.iter().find(|peer| peer.member == member);
         peer.map(|peer| peer.peer_addr)
     }
 
-    /// The team's settings, if there is such a team.
+    /// The settings of a team, if there is one of this name.
     pub fn team(&self, name: &str) -> Option<&TeamSettings> {
         self.params.teams.iter().find(|team| team.name == name)
     }
 }
 
 impl TeamSettings {
-    fn check(&self) -> Result<(), ConfigError> {
+    fn validate(&self) -> Result<(), ConfigError> {
         let amounts = [
             ("cpus", self.cpus),
             ("cpus_max", self.cpus_max),
@@ -273,21 +276,21 @@
         for (name, amount) in amounts {
             if !amount.is_finite() || amount < 0.0 {
                 let field = format!("params.teams.{}.{name}", self.name);
-                return Err(invalid(field, "must be a number of at least 0"));
+                return Err(invalid_field(field, "must be a number of at least 0"));
             }
         }
         Ok(())
     }
 }
 
-fn invalid(field: impl Into<String>, reason: &'static str) -> ConfigError {
+fn invalid_field(field: impl Into<String>, reason: &'static str) -> ConfigError {
     ConfigError::Invalid {
         field: field.into(),
         reason,
     }
 }
 
-fn one_line(text: &str) -> String {
+fn join_lines(text: &str) -> String {
     text.lines()
         .map(str::trim)
         .filter(|line| !line.is_empty())
--- a/src/features.rs
+++ b/src/features.rs
@@ -1,7 +1,7 @@
-//! Subsystems that are turned on by a file of their own, named by an argument of the program.
+//! Optional subsystems, which are turned on by the features file named on the command line.
 //!
-//! Without the argument none is on. The file is read once at the start; whatever is wrong with it ends
-//! the program with one line that names file, field, value and what is allowed.
+//! Without a features file all of them are off. The file is read once at startup; an error in it terminates
+//! the program with one line that names the file, the field, its value and the allowed values.
 
 use std::path::Path;
 
@@ -11,7 +11,7 @@
 /// Why a features file can't be used.
 #[derive(Debug, Error)]
 pub enum FeaturesError {
-    /// The file can't be read.
+    /// The file can't be opened or read.
     #[error("cannot read features file {path}: {source}")]
     Unreadable {
         /// The path as it was given.
@@ -19,57 +19,57 @@
         /// The error of the operating system.
         source: std::io::Error,
     },
-    /// Not TOML.
-    #[error("features file {path} is no TOML: {reason}")]
+    /// The file is not valid TOML.
+    #[error("features file {path} is not valid TOML: {reason}")]
     Malformed {
         /// The path as it was given.
         path: String,
-        /// The reason on one line.
+        /// The parser's message, without the excerpt of the file.
         reason: String,
     },
-    /// A table or field of an unknown name.
+    /// The file has a table or field with an unknown name, which may be misspelt.
     #[error("features file {path}: unknown field `{field}`; allowed are {allowed}")]
     UnknownField {
         /// The path as it was given.
         path: String,
         /// The field with its table.
         field: String,
-        /// Names that are known there.
+        /// The allowed names in that table, separated by commas.
         allowed: String,
     },
-    /// A field whose value is out of range.
+    /// A field has a value of the wrong type or out of range.
     #[error("features file {path}: field `{field}` is {value}; allowed is {allowed}")]
-    WrongValue {
+    InvalidValue {
         /// The path as it was given.
         path: String,
         /// The field with its table.
         field: String,
         /// The value as it stands in the file.
         value: String,
-        /// What is expected.
+        /// A description of the allowed values.
         allowed: String,
     },
 }
 
-/// What is turned on.
+/// The optional subsystems that are turned on.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Features {
-    /// The judgement of links, if it is turned on.
+    /// The judgement of links; absent if it is turned off.
     pub links: Option<LinkFeatures>,
 }
 
-/// How links are judged and what depends on it; see docs/links.md.
+/// The features of the judgement of links, and its parameters; see docs/links.md.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LinkFeatures {
-    /// Whether a leader that can't read or write suspends placements.
+    /// Whether a leader suspends placements while it can't read or write the key-value store.
     pub placement_gate: bool,
-    /// Whether links that flap count as down.
+    /// Whether a flapping link counts as down.
     pub damping: bool,
-    /// Whether the connectivity matrix decides on handovers.
+    /// Whether the connectivity matrix may trigger handovers of leadership.
     pub leadership: bool,
-    /// Suspicion level (phi) from which on a link is down.
+    /// Suspicion level (phi) at or above which a link counts as down.
     pub detector_phi: f64,
-    /// Handovers of one controller within the window of the timing.
+    /// Maximum handovers by one controller within the handover window.
     pub handovers_max: usize,
 }
 
@@ -85,7 +85,7 @@
     }
 }
 
-/// Fields of the table `links`.
+/// Allowed fields of the table `links`.
 const LINK_FIELDS: [&str; 6] = [
     "enabled",
     "placement_gate",
@@ -96,17 +96,17 @@
 ];
 
 impl Features {
-    /// Reads a features file.
+    /// Reads and validates a features file.
     pub fn load(path: &Path) -> Result<Self, FeaturesError> {
-        let shown = path.display().to_string();
+        let displayed_path = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|source| FeaturesError::Unreadable {
-            path: shown.clone(),
+            path: displayed_path.clone(),
             source,
         })?;
-        Self::parse(&text, &shown)
+        Self::parse(&text, &displayed_path)
     }
 
-    /// Reads features from text; `path` names the source in errors.
+    /// Parses and validates features; `path` names the source in errors.
     pub fn parse(text: &str, path: &str) -> Result<Self, FeaturesError> {
         let file: Table =
             text.parse()
@@ -114,27 +114,27 @@
                     path: path.to_owned(),
                     reason: error.message().to_owned(),
                 })?;
-        let fields = Fields {
+        let fields = FieldReader {
             path,
             table: "",
             values: &file,
         };
-        fields.only(&["links"])?;
+        fields.reject_unknown(&["links"])?;
         let links = match file.get("links") {
             None => None,
-            Some(Value::Table(values)) => link_features(&Fields {
+            Some(Value::Table(values)) => link_features(&FieldReader {
                 path,
                 table: "links",
                 values,
             })?,
-            Some(other) => return Err(fields.wrong("links", other, "a table")),
+            Some(other) => return Err(fields.invalid_value("links", other, "a table")),
         };
         Ok(Self { links })
     }
 }
 
-fn link_features(fields: &Fields) -> Result<Option<LinkFeatures>, FeaturesError> {
-    fields.only(&LINK_FIELDS)?;
+fn link_features(fields: &FieldReader) -> Result<Option<LinkFeatures>, FeaturesError> {
+    fields.reject_unknown(&LINK_FIELDS)?;
     let default = LinkFeatures::default();
     let links = LinkFeatures {
         placement_gate: fields.flag("placement_gate", default.placement_gate)?,
@@ -146,15 +146,15 @@
     Ok(fields.flag("enabled", true)?.then_some(links))
 }
 
-/// A table of the file.
-struct Fields<'a> {
+/// Reads the fields of one table; `table` is empty for the top level of the file.
+struct FieldReader<'a> {
     path: &'a str,
     table: &'a str,
     values: &'a Table,
 }
 
-impl Fields<'_> {
-    fn full_name(&self, field: &str) -> String {
+impl FieldReader<'_> {
+    fn qualified_name(&self, field: &str) -> String {
         if self.table.is_empty() {
             field.to_owned()
         } else {
@@ -162,23 +162,26 @@
         }
     }
 
-    /// Refuses names that are not known, which may be misspelt.
-    fn only(&self, allowed: &[&str]) -> Result<(), FeaturesError> {
-        let unknown = self.values.keys().find(|k| !allowed.contains(&k.as_str()));
+    /// Rejects the first field that is not allowed.
+    fn reject_unknown(&self, allowed: &[&str]) -> Result<(), FeaturesError> {
+        let unknown = self
+            .values
+            .keys()
+            .find(|field| !allowed.contains(&field.as_str()));
         match unknown {
             None => Ok(()),
             Some(field) => Err(FeaturesError::UnknownField {
                 path: self.path.to_owned(),
-                field: self.full_name(field),
+                field: self.qualified_name(field),
                 allowed: allowed.join(", "),
             }),
         }
     }
 
-    fn wrong(&self, field: &str, value: &Value, allowed: &str) -> FeaturesError {
-        FeaturesError::WrongValue {
+    fn invalid_value(&self, field: &str, value: &Value, allowed: &str) -> FeaturesError {
+        FeaturesError::InvalidValue {
             path: self.path.to_owned(),
-            field: self.full_name(field),
+            field: self.qualified_name(field),
             value: value.to_string(),
             allowed: allowed.to_owned(),
         }
@@ -188,17 +191,11 @@
         match self.values.get(field) {
             None => Ok(default),
             Some(Value::Boolean(flag)) => Ok(*flag),
-            Some(other) => Err(self.wrong(field, other, "true or false")),
+            Some(other) => Err(self.invalid_value(field, other, "true or false")),
         }
     }
 
-    fn number(
-        &self,
-        field: &str,
-        default: f64,
-        least: f64,
-        most: f64,
-    ) -> Result<f64, FeaturesError> {
+    fn number(&self, field: &str, default: f64, min: f64, max: f64) -> Result<f64, FeaturesError> {
         let Some(value) = self.values.get(field) else {
             return Ok(default);
         };
@@ -208,29 +205,27 @@
             _ => None,
         };
         number
-            .filter(|number| (least..=most).contains(number))
-            .ok_or_else(|| self.wrong(field, value, &format!("a number from {least} to {most}")))
+            .filter(|number| (min..=max).contains(number))
+            .ok_or_else(|| {
+                self.invalid_value(field, value, &format!("a number from {min} to {max}"))
+            })
     }
 
     fn count(
         &self,
         field: &str,
         default: usize,
-        least: usize,
-        most: usize,
+        min: usize,
+        max: usize,
     ) -> Result<usize, FeaturesError> {
         let Some(value) = self.values.get(field) else {
             return Ok(default);
         };
         let count = value.as_integer().and_then(|n| usize::try_from(n).ok());
         count
-            .filter(|count| (least..=most).contains(count))
+            .filter(|count| (min..=max).contains(count))
             .ok_or_else(|| {
-                self.wrong(
-                    field,
-                    value,
-                    &format!("a whole number from {least} to {most}"),
-                )
+                self.invalid_value(field, value, &format!("a whole number from {min} to {max}"))
             })
     }
 }
--- a/src/features/tests.rs
+++ b/src/features/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn what_is_not_named_is_off_and_a_table_turns_its_subsystem_on() {
+fn subsystem_is_on_only_if_its_table_is_present_and_not_disabled() {
     assert_eq!(parse("").unwrap().links, None);
     assert_eq!(
         parse("[links]").unwrap().links,
@@ -20,9 +20,9 @@
     assert_eq!((links.detector_phi, links.handovers_max), (3.0, 1));
 }
 
-/// Whoever has to mend it must not have to guess.
+/// An operator must be able to correct the file from the error message alone.
 #[test]
-fn every_error_is_one_line_with_file_field_value_and_what_is_allowed() {
+fn errors_are_one_line_with_the_file_field_value_and_allowed_values() {
     let cases = [
         ("links = 3", "field `links` is 3; allowed is a table"),
         ("[lanks]", "unknown field `lanks`; allowed are links"),
@@ -53,7 +53,7 @@
         assert_eq!(error, format!("features file features.toml: {expected}"));
     }
     let error = parse("[links").unwrap_err().to_string();
-    assert!(error.starts_with("features file features.toml is no TOML: "));
+    assert!(error.starts_with("features file features.toml is not valid TOML: "));
     assert_eq!(error.lines().count(), 1);
     let error = Features::load(Path::new("no/such.toml")).unwrap_err();
     assert!(error
--- a/src/http.rs
+++ b/src/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP client for requests to the key-value store and the cloud.
+//! The HTTP client for requests to the key-value store and to the cloud.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -10,63 +10,68 @@
 
 use crate::wire;
 
-/// Why a request brought no usable response.
+/// Why a request got no usable response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum RequestFailure {
-    /// There was no complete response in time.
-    #[error("no answer")]
+    /// No complete response arrived in time.
+    #[error("no complete response in time")]
     NoAnswer,
-    /// The response is larger than the limit.
-    #[error("the answer is too large")]
+    /// The response body exceeds the size limit.
+    #[error("the response body is too large")]
     AnswerTooLarge,
 }
 
-/// A server with its pooled connections.
+/// The address of a server and the HTTP client with its pooled connections.
 #[derive(Clone)]
 pub struct Remote {
-    base: String,
+    base_url: String,
     http: Client,
-    largest: usize,
+    body_bytes_max: usize,
 }
 
-/// A request to be made.
+/// A request that has not been sent yet.
 pub struct OutgoingRequest<'a> {
-    /// Method.
+    /// The HTTP method.
     pub method: Method,
-    /// Path and query.
+    /// The path with the query, appended to the server's address.
     pub path: &'a str,
-    /// CBOR body.
+    /// The CBOR body, if the request has one.
     pub body: Option<Vec<u8>>,
-    /// Time for the response.
+    /// Time limit for the response.
     pub limit: Duration,
 }
 
 impl Remote {
-    /// The server at `address`; response bodies above `largest` bytes are rejected.
-    pub fn new(address: SocketAddrV4, http: Client, largest: usize) -> Self {
+    /// Creates the endpoint for the server at `address`. Response bodies larger than `body_bytes_max` are
+    /// rejected.
+    pub fn new(address: SocketAddrV4, http: Client, body_bytes_max: usize) -> Self {
         Self {
-            base: format!("http://{address}"),
+            base_url: format!("http://{address}"),
             http,
-            largest,
+            body_bytes_max,
         }
     }
 
-    /// Sends a request. After a failure it is unknown whether the request was carried out.
+    /// Sends a request and returns the status and body of the response. After an error it is unknown
+    /// whether the server executed the request.
     pub async fn send(
         &self,
         outgoing: OutgoingRequest<'_>,
     ) -> Result<(u16, Vec<u8>), RequestFailure> {
         let request = self
             .http
-            .request(outgoing.method, format!("{}{}", self.base, outgoing.path))
+            .request(
+                outgoing.method,
+                format!("{}{}", self.base_url, outgoing.path),
+            )
             .timeout(outgoing.limit);
         let sent = match outgoing.body {
             Some(body) => request.content_type(wire::CBOR).send_body(body),
             None => request.send(),
         };
-        let mut answer = sent.await.map_err(|_| RequestFailure::NoAnswer)?;
-        let status = answer.status().as_u16();
-        match answer.body().limit(self.largest).await {
+        let mut response = sent.await.map_err(|_| RequestFailure::NoAnswer)?;
+        let status = response.status().as_u16();
+        match response.body().limit(self.body_bytes_max).await {
             Ok(body) => Ok((status, body.to_vec())),
             Err(PayloadError::Overflow) => Err(RequestFailure::AnswerTooLarge),
             Err(_) => Err(RequestFailure::NoAnswer),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,9 @@
 //! Knotlanding: a gang scheduler for rented clusters.
 //!
-//! One controller leads under a lease in an external key-value store. In every scheduling cycle it
-//! tentatively places the tasks of each gang, and sends all their starts together once the gang's
-//! minimum has capacity; otherwise no task of the gang starts. `actors` own the loops; the other
-//! modules decide, or communicate.
+//! One controller is the leader, under a lease in an external key-value store. In every scheduling cycle the
+//! leader tentatively places the tasks of each gang, and sends all their starts together once there is
+//! capacity for the gang's minimum; otherwise no task of the gang starts. The module `actors` runs the
+//! periodic work; the other modules contain the decisions and the communication.
 
 pub mod actors;
 pub mod admin_client;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: reads the command line, then hands over to the library.
+//! The executable: parses the command line and calls the library.
 
 use std::fmt::Display;
 use std::net::SocketAddrV4;
@@ -12,12 +12,12 @@
 use knotlanding::features::{Features, FeaturesError};
 use thiserror::Error;
 
-/// How the program ends when it fails.
+/// Exit code of the program after a failure.
 #[derive(Debug, Clone, Copy)]
 enum FailureCode {
-    /// A failure while running.
+    /// Serving or an administration request failed.
     Runtime = 1,
-    /// Settings or arguments that can't be used.
+    /// The arguments, the settings file or the features file are invalid.
     Usage = 2,
 }
 
@@ -27,13 +27,13 @@
     }
 }
 
-/// Why the files named on the command line can't be used.
+/// Why a file named on the command line can't be used.
 #[derive(Debug, Error)]
 enum LoadError {
-    /// The settings file.
+    /// The settings file can't be used.
     #[error(transparent)]
     Settings(#[from] ConfigError),
-    /// The features file.
+    /// The features file can't be used.
     #[error(transparent)]
     Features(#[from] FeaturesError),
 }
@@ -49,12 +49,12 @@
         },
         (None, None) => fail(
             FailureCode::Usage,
-            "give --config FILE to serve, or see --help",
+            "missing argument --config FILE, which is required to serve; see --help",
         ),
     }
 }
 
-/// Reads the settings, and the features if a file is named.
+/// Reads the settings file, and the features file if one is named.
 fn load(settings: &Path, features: Option<&Path>) -> Result<(Settings, Features), LoadError> {
     let settings = Settings::load(settings)?;
     let features = features.map(Features::load).transpose()?;
@@ -77,14 +77,18 @@
 }
 
 fn serve(settings: Settings, features: Features) -> ExitCode {
-    log_to_stderr();
+    init_logging();
     match actix::System::new().block_on(knotlanding::run::serve(settings, features)) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(error) => fail(FailureCode::Runtime, format_args!("cannot serve: {error}")),
+        Err(error) => fail(
+            FailureCode::Runtime,
+            format_args!("failed to serve: {error}"),
+        ),
     }
 }
 
-fn log_to_stderr() {
+/// Logs to standard error at the level in `LOG_LEVEL`; only errors by default.
+fn init_logging() {
     let level = match std::env::var("LOG_LEVEL").as_deref() {
         Ok("debug") => tracing::Level::DEBUG,
         Ok("info") => tracing::Level::INFO,
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,89 +1,94 @@
-//! Counters and histograms for the operators.
+//! Counters and histograms of this process, for operators.
 
 use std::time::{Duration, Instant};
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// Longest time that a histogram resolves; longer ones count as this.
+/// Largest value of a histogram; longer durations are recorded as this.
 const HISTOGRAM_MAX_MS: u64 = 3_600_000;
-/// Two significant digits suffice for an operator and keep a histogram at a few kilobytes.
+/// Two significant digits suffice for operators and limit a histogram to a few kilobytes.
 const SIGNIFICANT_DIGITS: u8 = 2;
 
-/// A histogram of milliseconds.
+/// A histogram of durations in milliseconds; empty if it could not be created.
 #[derive(Debug)]
-pub struct Times(Option<Histogram<u32>>);
+pub struct DurationHistogram(Option<Histogram<u32>>);
 
-impl Default for Times {
+impl Default for DurationHistogram {
     fn default() -> Self {
         Self(Histogram::new_with_bounds(1, HISTOGRAM_MAX_MS, SIGNIFICANT_DIGITS).ok())
     }
 }
 
-/// A histogram as operators see it.
+/// Quantiles of a histogram of durations, as reported to operators; all 0 without values.
 #[derive(Debug, Serialize, PartialEq)]
-pub struct Summary {
-    /// Number of values.
+pub struct HistogramSummary {
+    /// Number of recorded durations.
     pub count: u64,
     /// Median in milliseconds.
     pub p50_ms: u64,
-    /// 95th percentile.
+    /// 95th percentile in milliseconds.
     pub p95_ms: u64,
-    /// 99th percentile.
+    /// 99th percentile in milliseconds.
     pub p99_ms: u64,
-    /// Greatest.
+    /// Maximum in milliseconds.
     pub max_ms: u64,
 }
 
-impl Times {
-    /// Adds a value.
-    pub fn add(&mut self, time: Duration) {
+impl DurationHistogram {
+    /// Records a duration, rounded down to milliseconds but at least 1.
+    pub fn add(&mut self, duration: Duration) {
         if let Some(histogram) = &mut self.0 {
-            let ms = u64::try_from(time.as_millis()).unwrap_or(HISTOGRAM_MAX_MS);
+            let ms = u64::try_from(duration.as_millis()).unwrap_or(HISTOGRAM_MAX_MS);
             histogram.saturating_record(ms.clamp(1, HISTOGRAM_MAX_MS));
         }
     }
 
-    /// The histogram as operators see it.
-    pub fn summary(&self) -> Summary {
-        let at = |q: f64| self.0.as_ref().map_or(0, |h| h.value_at_quantile(q));
-        Summary {
+    /// Summarizes the durations recorded so far.
+    pub fn summary(&self) -> HistogramSummary {
+        let value_at = |quantile: f64| {
+            self.0
+                .as_ref()
+                .map_or(0, |histogram| histogram.value_at_quantile(quantile))
+        };
+        HistogramSummary {
             count: self.0.as_ref().map_or(0, Histogram::len),
-            p50_ms: at(0.5),
-            p95_ms: at(0.95),
-            p99_ms: at(0.99),
-            max_ms: at(1.0),
+            p50_ms: value_at(0.5),
+            p95_ms: value_at(0.95),
+            p99_ms: value_at(0.99),
+            max_ms: value_at(1.0),
         }
     }
 }
 
-/// Heartbeats that arrived at this node, and how they were answered.
+/// Numbers of heartbeats that arrived at this node, by the status of the response.
 #[derive(Debug, Default, Clone, PartialEq, Serialize)]
 pub struct HeartbeatMetrics {
-    /// First requests of their connections.
+    /// Heartbeats that were the first request on their connection.
     pub new_connection: u64,
-    /// Later requests of their connections.
+    /// Heartbeats on a connection that had carried a request before.
     pub kept_connection: u64,
-    /// Answered with 200, here or by the leader.
+    /// Responses with 200, decided here or by the leader.
     pub accepted: u64,
-    /// Answered with 421.
+    /// Responses with 421, which redirect the agent to the leader.
     pub redirected: u64,
-    /// Answered with 503.
+    /// Responses with 503.
     pub unavailable: u64,
-    /// Answered with any other status.
+    /// Responses with any other status.
     pub rejected: u64,
-    /// Forwarded to the leader.
+    /// Heartbeats forwarded to the leader.
     pub forwarded: u64,
-    /// Batches in which they were forwarded.
+    /// Batches in which heartbeats were forwarded.
     pub batches_sent: u64,
-    /// Batches of followers that were accepted here.
+    /// Batches accepted from followers.
     pub batches_taken: u64,
-    /// Heartbeats in these batches.
+    /// Heartbeats in the accepted batches.
     pub taken_from_batches: u64,
 }
 
 impl HeartbeatMetrics {
-    /// Counts a response; `first_request` if the heartbeat was the first on its connection.
+    /// Counts a response with this HTTP status. `first_request` says whether the heartbeat was the first
+    /// request on its connection.
     pub fn answered(&mut self, first_request: bool, status: u16) {
         if first_request {
             self.new_connection += 1;
@@ -99,88 +104,88 @@
     }
 }
 
-/// Requests of users and of the load balancer.
+/// Numbers of requests from users and from the load balancer.
 #[derive(Debug, Default, Clone, PartialEq, Serialize)]
 pub struct RequestMetrics {
-    /// Submissions, repeated ones included.
+    /// Submissions, including repeated ones.
     pub submissions: u64,
-    /// Polls of a job.
+    /// Polls of a job's status.
     pub polls: u64,
-    /// Cancellations.
+    /// Requests to cancel a job, including repeated ones.
     pub cancellations: u64,
-    /// Health checks.
+    /// Health checks of the load balancer.
     pub health_checks: u64,
 }
 
-/// State summaries that this node published while it led.
+/// State summaries that this node sent to its peers as the leader.
 #[derive(Debug, Default, Clone, PartialEq, Serialize)]
 pub struct SummaryMetrics {
-    /// Summaries of changes sent, one for each peer.
+    /// Incremental summaries, counted once for each peer.
     pub changes: u64,
-    /// Full summaries sent, one for each peer that missed it.
+    /// Full summaries, counted once for each peer that had missed an incremental one.
     pub full: u64,
-    /// Bytes of all of them.
+    /// Total size of all summaries in bytes.
     pub bytes: u64,
 }
 
-/// Counts of events since the process started.
+/// Numbers of events since the process started.
 #[derive(Debug, Default, Clone, PartialEq, Serialize)]
 pub struct EventCounts {
-    /// Submissions accepted here.
+    /// Submissions that this node accepted.
     pub accepted: u64,
-    /// Submissions refused for the time being.
+    /// Submissions that this node rejected temporarily, with 429 or a 5xx status.
     pub refused: u64,
-    /// Terms led by this process.
+    /// Terms that this process led.
     pub terms: u64,
-    /// Starts sent by scheduling cycles.
+    /// Task starts sent by scheduling cycles.
     pub starts: u64,
-    /// Tasks stopped by scheduling cycles; a gang counts once.
+    /// Tasks stopped by scheduling cycles; a gang is counted once.
     pub stops: u64,
-    /// Machines rented.
+    /// Machines that the cloud granted to this process.
     pub rented: u64,
-    /// Machines released.
+    /// Machines that this process released.
     pub returned: u64,
     /// Direct commands sent to agents.
     pub direct_commands: u64,
-    /// Records written by the leader, one for each transaction that it asked for.
+    /// Records that the leader wrote, counted once for each requested transaction.
     pub records_written: u64,
-    /// Changes that the watch of the state service brought.
+    /// Changes received through the watch of the key-value store.
     pub replica_events: u64,
 }
 
 /// All counters and histograms of this process.
 #[derive(Debug)]
 pub struct Metrics {
-    started: Instant,
-    /// Duration of a scheduling cycle.
-    pub rounds: Times,
-    /// Duration of all scheduling cycles together.
-    pub rounds_total: Duration,
-    /// Time from submission to a job's first running task.
-    pub waits: Times,
-    /// Time this node took to answer a submission.
-    pub submissions: Times,
-    /// Time from becoming leader until all machines were reconciled.
-    pub failovers: Times,
-    /// Counts of events.
+    started_at: Instant,
+    /// Durations of the scheduling cycles.
+    pub cycle_durations: DurationHistogram,
+    /// Sum of the durations of all scheduling cycles.
+    pub cycles_total: Duration,
+    /// Times from a job's submission to its first running task.
+    pub waits: DurationHistogram,
+    /// Times that this node took to respond to a submission.
+    pub submissions: DurationHistogram,
+    /// Times from becoming leader until all machines were reconciled.
+    pub failovers: DurationHistogram,
+    /// Numbers of events since the process started.
     pub counts: EventCounts,
-    /// Heartbeats.
+    /// Heartbeats that arrived at this node.
     pub heartbeats: HeartbeatMetrics,
-    /// Requests of users.
+    /// Requests from users and from the load balancer.
     pub requests: RequestMetrics,
-    /// State summaries.
+    /// State summaries that this node sent.
     pub summaries: SummaryMetrics,
 }
 
 impl Default for Metrics {
     fn default() -> Self {
         Self {
-            started: Instant::now(),
-            rounds: Times::default(),
-            rounds_total: Duration::ZERO,
-            waits: Times::default(),
-            submissions: Times::default(),
-            failovers: Times::default(),
+            started_at: Instant::now(),
+            cycle_durations: DurationHistogram::default(),
+            cycles_total: Duration::ZERO,
+            waits: DurationHistogram::default(),
+            submissions: DurationHistogram::default(),
+            failovers: DurationHistogram::default(),
             counts: EventCounts::default(),
             heartbeats: HeartbeatMetrics::default(),
             requests: RequestMetrics::default(),
@@ -190,19 +195,19 @@
 }
 
 impl Metrics {
-    /// Adds a scheduling cycle of this duration.
-    pub fn add_round(&mut self, took: Duration) {
-        self.rounds.add(took);
-        self.rounds_total += took;
+    /// Records a scheduling cycle of this duration.
+    pub fn add_round(&mut self, duration: Duration) {
+        self.cycle_durations.add(duration);
+        self.cycles_total += duration;
     }
 
-    /// The present values, without the resident memory and the links.
+    /// The current values, without the resident memory and the links, which the caller adds.
     pub fn view(&self, now: Instant) -> MetricsView {
         MetricsView {
-            round_time: self.rounds.summary(),
+            round_time: self.cycle_durations.summary(),
             waiting: self.waits.summary(),
             submission: self.submissions.summary(),
-            rounds_part: self.rounds_part(now),
+            rounds_part: self.cycle_time_share(now),
             failover: self.failovers.summary(),
             counts: self.counts.clone(),
             heartbeats: self.heartbeats.clone(),
@@ -213,73 +218,73 @@
         }
     }
 
-    /// Part of the time since the start of the process that scheduling cycles took, waits for the
-    /// processor included.
-    pub fn rounds_part(&self, now: Instant) -> f64 {
-        let up = now.saturating_duration_since(self.started).as_secs_f64();
-        if up > 0.0 {
-            self.rounds_total.as_secs_f64() / up
+    /// Share of the time since the process started that scheduling cycles took, including their waits for
+    /// the processor.
+    pub fn cycle_time_share(&self, now: Instant) -> f64 {
+        let uptime_s = now.saturating_duration_since(self.started_at).as_secs_f64();
+        if uptime_s > 0.0 {
+            self.cycles_total.as_secs_f64() / uptime_s
         } else {
             0.0
         }
     }
 }
 
-/// All counters and histograms as operators see them.
+/// All counters and histograms, as reported to operators.
 #[derive(Debug, Serialize)]
 pub struct MetricsView {
-    /// Duration of a scheduling cycle.
-    pub round_time: Summary,
-    /// Time from submission to a job's first running task.
-    pub waiting: Summary,
-    /// Time this node took to answer a submission.
-    pub submission: Summary,
-    /// Part of the time since the start of the process that scheduling cycles took.
+    /// Durations of the scheduling cycles.
+    pub round_time: HistogramSummary,
+    /// Times from a job's submission to its first running task.
+    pub waiting: HistogramSummary,
+    /// Times that this node took to respond to a submission.
+    pub submission: HistogramSummary,
+    /// Share of the time since the process started that scheduling cycles took.
     pub rounds_part: f64,
-    /// Time from becoming leader until all machines were reconciled.
+    /// Times from becoming leader until all machines were reconciled.
     #[serde(rename = "take_over")]
-    pub failover: Summary,
-    /// Counts of events.
+    pub failover: HistogramSummary,
+    /// Numbers of events since the process started.
     #[serde(flatten)]
     pub counts: EventCounts,
-    /// Heartbeats.
+    /// Heartbeats that arrived at this node.
     #[serde(rename = "reports")]
     pub heartbeats: HeartbeatMetrics,
-    /// Requests of users.
+    /// Requests from users and from the load balancer.
     pub requests: RequestMetrics,
-    /// State summaries.
+    /// State summaries that this node sent.
     #[serde(rename = "digests")]
     pub summaries: SummaryMetrics,
-    /// Resident memory, where the system provides it.
+    /// Resident memory in bytes; absent where the operating system does not report it.
     pub resident_bytes: Option<u64>,
-    /// Rows, gate and hand-overs, where links are turned on.
+    /// Counters of the links; absent where links are not turned on.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub links: Option<LinkMetrics>,
 }
 
-/// Where the system provides the memory of a process.
-const STATM: &str = "/proc/self/statm";
-/// Size of a page on the platforms that this runs on.
+/// File in which Linux reports the memory use of a process, in pages.
+const STATM_PATH: &str = "/proc/self/statm";
+/// Size of a memory page on the supported platforms.
 const PAGE_BYTES: u64 = 4096;
 
-/// Counters of the links and of what depends on them.
+/// Counters of the links, the placement gate and handovers.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct LinkMetrics {
-    /// Rows of other controllers accepted.
+    /// Rows accepted from other controllers.
     pub rows_taken: u64,
-    /// Rows rejected as stale, repeated or malformed.
+    /// Rows rejected, for example as stale, repeated or malformed.
     pub rows_refused: u64,
-    /// Seconds for which the placement gate has refused.
+    /// Total time for which the placement gate has suspended placements, in seconds.
     pub gate_refused_s: f64,
-    /// Links suppressed now.
+    /// Number of links that are suppressed at present, because they flap.
     pub suppressed: usize,
-    /// Handovers of leadership.
+    /// Handovers of leadership by this controller.
     pub handovers: u64,
 }
 
-/// Resident memory of this process in bytes; `None` where the system does not provide it.
+/// Resident memory of this process in bytes; `None` where the operating system does not report it.
 pub fn resident_bytes() -> Option<u64> {
-    let text = std::fs::read_to_string(STATM).ok()?;
+    let text = std::fs::read_to_string(STATM_PATH).ok()?;
     let pages = text.split_whitespace().nth(1)?.parse::<u64>().ok()?;
     Some(pages * PAGE_BYTES)
 }
--- a/src/peer/cancelled.rs
+++ b/src/peer/cancelled.rs
@@ -1,4 +1,4 @@
-//! Cancellations of which a peer notifies this node, so that their tasks stop at once.
+//! Receives notifications of cancellations from peers, so that this node stops the tasks at once.
 
 use actix_web::{web, HttpResponse};
 use serde::{Deserialize, Serialize};
@@ -7,25 +7,25 @@
 use crate::model::JobId;
 use crate::service::Shared;
 
-/// Path of cancelled jobs.
+/// Path of notifications of cancelled jobs.
 pub const CANCELLED: &str = "/peer/cancelled";
-/// Largest body accepted: more than a peer queues at once, see
+/// Largest body accepted, which holds more jobs than a peer queues at once, see
 /// [`crate::service::UnpublishedCancellations`].
-pub const CANCELLED_LIMIT: usize = 64 * 1024;
+pub const CANCELLED_BYTES_MAX: usize = 64 * 1024;
 
-/// Jobs whose cancellation is on record, of which all other nodes are notified at once: a node that
-/// alone can't reach the key-value store, and still answers heartbeats, learns of it in no other way.
-/// The notification stops tasks earlier; that they stop in time follows from
-/// [`crate::leader::ReplicaFreshness`].
+/// A notification of jobs whose cancellation is on record, sent to all other nodes at once. A node that
+/// can't reach the key-value store but still responds to heartbeats receives it in no other way. The
+/// notification only makes tasks stop earlier; [`crate::leader::ReplicaFreshness`] ensures that they stop
+/// by the cancellation deadline.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Cancelled {
-    /// The sender.
+    /// Name of the sending controller; notifications from unknown ones are rejected.
     pub member: String,
-    /// The jobs.
+    /// The cancelled jobs, at most as many as the sender queues.
     pub jobs: Vec<JobId>,
 }
 
-/// `POST /peer/cancelled`
+/// `POST /peer/cancelled`: stops the tasks of the cancelled jobs.
 pub async fn receive_cancelled(shared: web::Data<Shared>, body: web::Bytes) -> HttpResponse {
     let Some(notification) = decode::<Cancelled>(&body) else {
         return HttpResponse::BadRequest().finish();
--- a/src/peer/contact.rs
+++ b/src/peer/contact.rs
@@ -1,21 +1,21 @@
-//! Answers a peer that lost the key-value store whether this node reaches it.
+//! Reports to a peer that lost contact with the key-value store whether this node has contact.
 
 use actix_web::{web, HttpResponse};
 
 use crate::service::Shared;
 use crate::timing::{FOLLOWER_WATCH_TIMEOUT, WATCH_GRACE};
 
-/// Path of the query. Its name dates from 0.1.0 and stays for the sake of older nodes.
+/// Path of the query. The name dates from version 0.1.0 and stays for compatibility with older nodes.
 pub const CONTACT: &str = "/peer/pulse";
 
-/// `GET /peer/pulse`
+/// `GET /peer/pulse`: 204 if this node has recent contact with the key-value store, otherwise 503.
 pub async fn store_contact(shared: web::Data<Shared>) -> HttpResponse {
-    // After a pause of the process, neither a failure nor a recent contact is known yet.
+    // After a pause of the process no failure may be recorded yet, so a recent contact is required too.
     let contact = shared.links.contact();
-    let recent = contact
+    let is_recent = contact
         .answered
         .is_some_and(|at| at.elapsed() < FOLLOWER_WATCH_TIMEOUT * 2 + WATCH_GRACE);
-    if contact.failing_since.is_none() && recent {
+    if contact.failing_since.is_none() && is_recent {
         HttpResponse::NoContent().finish()
     } else {
         HttpResponse::ServiceUnavailable().finish()
--- a/src/peer/heartbeats.rs
+++ b/src/peer/heartbeats.rs
@@ -1,8 +1,8 @@
-//! Batches of heartbeats that a follower forwards to the leader.
+//! Receives batches of heartbeats that followers forward to the leader.
 //!
-//! The leader decides each heartbeat as it decides a direct one, see [`crate::service::heartbeats`].
-//! A batch that was sent to another term, that is old, or that arrives twice grants nothing: the first
-//! two are rejected whole, and the heartbeats of the third are no newer than those applied.
+//! The leader handles each heartbeat like a direct one, see [`crate::service::heartbeats`]. A batch for
+//! another term and a stale batch are rejected whole. The heartbeats of a batch that arrives twice are no
+//! newer than those already applied, so the second responses carry no commands.
 
 use std::time::{Duration, Instant, SystemTime};
 
@@ -19,53 +19,54 @@
 use crate::time::unix_ms;
 use crate::wire::Heartbeat;
 
-/// Path of forwarded heartbeats. The name on the wire stays.
+/// Path of forwarded heartbeats; the name is part of the wire format.
 pub const HEARTBEATS: &str = "/peer/reports";
-/// A batch that was sent longer ago, by the time of day, is rejected: no agent waits for its responses
-/// any more.
+/// Maximum age of a batch by the time of day. No agent still waits for the responses to an older one.
 pub const BATCH_AGE_MAX: Duration = Duration::from_secs(4);
 
 impl From<HeartbeatDecision> for ForwardedAnswer {
     fn from(decision: HeartbeatDecision) -> Self {
         match decision {
-            HeartbeatDecision::Accepted(answer) => Self::Accepted {
-                token: answer.token,
-                commands: answer.commands.into_iter().map(Into::into).collect(),
+            HeartbeatDecision::Accepted(response) => Self::Accepted {
+                token: response.token,
+                commands: response.commands.into_iter().map(Into::into).collect(),
             },
             HeartbeatDecision::NotLeading => Self::Unavailable,
         }
     }
 }
 
-/// Why a batch is rejected whole.
+/// Why a whole batch is rejected.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum BatchError {
-    /// The body is too large or was cut off.
-    #[error("the body is too large or cut off")]
-    Body,
-    /// Another version of the messages.
-    #[error("unknown version {0} of forwarded heartbeats")]
+    /// The body exceeds the size limit or was truncated.
+    #[error("the body is too large or truncated")]
+    UnreadableBody,
+    /// The batch has a format version that this node does not support.
+    #[error("unsupported version {0} of forwarded heartbeats")]
     UnknownVersion(u16),
-    /// Not a batch.
-    #[error("malformed batch of heartbeats")]
+    /// The body does not decode as a batch.
+    #[error("malformed heartbeat batch")]
     Malformed,
-    /// The sender is not among the known nodes.
-    #[error("`{0}` is no known node")]
+    /// The sender is not one of the controllers in the settings.
+    #[error("the sender `{0}` is not a known controller")]
     UnknownMember(String),
-    /// This node does not lead the term that the batch is meant for.
-    #[error("the batch is meant for term {0}, which this node does not lead")]
+    /// This node does not lead the term to which the batch is addressed.
+    #[error("the batch is for term {0}, which this node does not lead")]
     OtherTerm(u64),
-    /// The batch was sent too long ago.
-    #[error("the batch was sent {0} ms ago")]
+    /// The batch is older than the limit; its age in milliseconds.
+    #[error("the batch was sent {0} ms ago, which is too old")]
     Stale(u64),
 }
 
 impl BatchError {
-    /// The status for the follower: 400 and 403 suspend forwarding to this leader for a while, 409
-    /// concerns this batch only.
+    /// The HTTP status for the follower. After 400 or 403 it suspends forwarding to this leader for a while;
+    /// 409 concerns this batch only.
     pub fn status(&self) -> StatusCode {
         match self {
-            Self::Body | Self::UnknownVersion(_) | Self::Malformed => StatusCode::BAD_REQUEST,
+            Self::UnreadableBody | Self::UnknownVersion(_) | Self::Malformed => {
+                StatusCode::BAD_REQUEST
+            }
             Self::UnknownMember(_) => StatusCode::FORBIDDEN,
             Self::OtherTerm(_) | Self::Stale(_) => StatusCode::CONFLICT,
         }
@@ -80,7 +81,8 @@
     super::decode(bytes).ok_or(BatchError::Malformed)
 }
 
-/// Decodes a batch and decides its heartbeats. `clock` and `wall` are the process's clocks.
+/// Decodes a batch and handles its heartbeats, in order. `clock` is the monotonic clock, which is read for
+/// each decision; `wall` is the time of day.
 pub fn answer_batch(
     shared: &Shared,
     bytes: &[u8],
@@ -108,11 +110,11 @@
     })
 }
 
-/// Both clocks may be off by the bound in the settings.
+/// Rejects a stale batch. The clocks of both nodes may be off by the bound in the settings.
 fn check_age(shared: &Shared, batch: &HeartbeatBatch, wall: SystemTime) -> Result<(), BatchError> {
     let age = unix_ms(wall).saturating_sub(batch.sent_at_ms);
-    let off = shared.settings.params.clock_off_ms.max(0.0) * 2.0;
-    let limit = BATCH_AGE_MAX.as_millis() as u64 + off as u64;
+    let clock_error_ms = shared.settings.params.clock_off_ms.max(0.0) * 2.0;
+    let limit = BATCH_AGE_MAX.as_millis() as u64 + clock_error_ms as u64;
     if age > limit {
         return Err(BatchError::Stale(age));
     }
@@ -120,26 +122,26 @@
 }
 
 fn check_term(shared: &Shared, batch: &HeartbeatBatch, now: Instant) -> Result<(), BatchError> {
-    let own = match shared.election.lock().role(now) {
+    let led_term = match shared.election.lock().role(now) {
         Role::Leader(leadership) => Some(leadership.term),
         Role::KeepAlive(term) => Some(term),
         Role::Follower(_) => None,
     };
-    if own != Some(batch.term) {
+    if led_term != Some(batch.term) {
         return Err(BatchError::OtherTerm(batch.term.0));
     }
     Ok(())
 }
 
-/// `POST /peer/reports`
+/// `POST /peer/reports`: a batch of heartbeats.
 pub async fn receive_batch(
     shared: web::Data<Shared>,
     body: Result<web::Bytes, actix_web::Error>,
 ) -> HttpResponse {
-    let answered = body
-        .map_err(|_| BatchError::Body)
+    let result = body
+        .map_err(|_| BatchError::UnreadableBody)
         .and_then(|bytes| answer_batch(&shared, &bytes, &Instant::now, SystemTime::now()));
-    match answered {
+    match result {
         Ok(answer) => match super::encode(&answer) {
             Some(bytes) => HttpResponse::Ok().content_type(BINCODE).body(bytes),
             None => HttpResponse::InternalServerError().finish(),
@@ -150,7 +152,7 @@
 
 fn reject(error: &BatchError) -> HttpResponse {
     match error {
-        // Expected around every election.
+        // Expected during every election.
         BatchError::OtherTerm(_) | BatchError::Stale(_) => {
             debug!(reason = %error, "heartbeat batch rejected");
         }
--- a/src/peer/heartbeats/tests.rs
+++ b/src/peer/heartbeats/tests.rs
@@ -16,7 +16,7 @@
     SystemTime::UNIX_EPOCH + Duration::from_millis(ms)
 }
 
-/// A node that leads term 3 since `start` and knows `knot-1`.
+/// A leader of term 3 since `start`, with the peer `knot-1`.
 fn leader(start: Instant) -> Arc<Shared> {
     let peer = "[[known]]\nmember = \"knot-1\"\npeer_addr = \"10.0.0.1:8081\"\n\n[external]";
     let text = include_str!("../../../deploy/example.toml").replace("[external]", peer);
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_batch_and_its_answer_arrive_as_they_were_sent() {
+fn batch_and_answer_decode_to_what_was_encoded() {
     let sent = batch(3, NOW_MS, vec![heartbeat(1), heartbeat(2)]);
     assert_eq!(decode_batch(&encode(&sent).unwrap()), Ok(sent));
     let commands = vec![
@@ -97,55 +97,69 @@
             attempt: 9,
         },
     ];
-    let decided = HeartbeatResponse {
+    let response = HeartbeatResponse {
         token: 41,
         commands,
     };
-    let forwarded = ForwardedAnswer::from(HeartbeatDecision::Accepted(decided.clone()));
+    let forwarded = ForwardedAnswer::from(HeartbeatDecision::Accepted(response.clone()));
     let bytes = encode(&forwarded).unwrap();
-    let arrived: ForwardedAnswer = decode(&bytes).unwrap();
-    assert_eq!(arrived.accepted(), Some(decided));
+    let received: ForwardedAnswer = decode(&bytes).unwrap();
+    assert_eq!(received.accepted(), Some(response));
 }
 
-/// What is cut off, malformed, of another version or from nobody known is refused with a reason;
-/// the process goes on.
+/// A batch that is truncated, malformed, of another version or from an unknown controller is rejected with
+/// the reason and changes no state, and later batches are accepted.
 #[test]
-fn malformed_batches_are_rejected_with_their_reason() {
+fn malformed_batches_are_rejected_with_the_reason() {
     let now = Instant::now();
     let shared = leader(now);
-    let refused = |bytes: &[u8]| answer_batch(&shared, bytes, &|| now, wall(NOW_MS)).unwrap_err();
+    let rejection = |bytes: &[u8]| answer_batch(&shared, bytes, &|| now, wall(NOW_MS)).unwrap_err();
     let good = batch(3, NOW_MS, vec![heartbeat(1)]);
     let bytes = encode(&good).unwrap();
     for cut in [0, 1, 5, bytes.len() - 1] {
-        assert_eq!(refused(&bytes[..cut]), BatchError::Malformed, "{cut} bytes");
+        assert_eq!(
+            rejection(&bytes[..cut]),
+            BatchError::Malformed,
+            "{cut} bytes"
+        );
     }
     let mut longer = bytes.clone();
     longer.push(0);
-    assert_eq!(refused(&longer), BatchError::Malformed, "bytes behind it");
-    assert_eq!(refused(&[0xff; 64]), BatchError::Malformed);
-    // A length beyond the body must not be believed.
+    assert_eq!(
+        rejection(&longer),
+        BatchError::Malformed,
+        "a byte after the batch"
+    );
+    assert_eq!(rejection(&[0xff; 64]), BatchError::Malformed);
+    // A list length that exceeds the body must not cause an allocation of that size.
     let mut huge = encode(&(BATCH_VERSION, "knot-1", 3u64, NOW_MS)).unwrap();
     huge.extend([253, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x7f]);
-    assert_eq!(refused(&huge), BatchError::Malformed);
+    assert_eq!(rejection(&huge), BatchError::Malformed);
     let mut newer = good.clone();
     newer.version = BATCH_VERSION + 1;
-    let error = refused(&encode(&newer).unwrap());
+    let error = rejection(&encode(&newer).unwrap());
     assert_eq!(error, BatchError::UnknownVersion(BATCH_VERSION + 1));
     assert_eq!(error.status(), StatusCode::BAD_REQUEST);
-    let mut stranger = good.clone();
-    stranger.member = "knot-9".to_owned();
-    let error = refused(&encode(&stranger).unwrap());
-    assert_eq!(error.to_string(), "`knot-9` is no known node");
+    let mut from_unknown_member = good.clone();
+    from_unknown_member.member = "knot-9".to_owned();
+    let error = rejection(&encode(&from_unknown_member).unwrap());
+    assert_eq!(
+        error.to_string(),
+        "the sender `knot-9` is not a known controller"
+    );
     assert_eq!(error.status(), StatusCode::FORBIDDEN);
     let machines = shared.cluster.lock().as_ref().unwrap().machines.len();
-    assert_eq!(machines, 0, "nothing of them was taken");
-    assert!(answer(&shared, &good, now).is_ok(), "a good one still is");
+    assert_eq!(machines, 0, "rejected batches add no machines");
+    assert!(
+        answer(&shared, &good, now).is_ok(),
+        "a valid batch is accepted afterwards"
+    );
 }
 
-/// A batch held back for minutes, or one that reaches a former or later leader, grants nothing
-/// and proves nothing.
+/// A batch that was delayed for too long, or that reaches the leader of an earlier or later term, must
+/// renew no lease and update no machine.
 #[test]
-fn old_batches_and_batches_for_other_terms_are_rejected_whole() {
+fn stale_batches_and_batches_for_other_terms_are_rejected_whole() {
     let now = Instant::now();
     let shared = leader(now);
     for term in [2, 4] {
@@ -154,18 +168,19 @@
         assert_eq!(error.status(), StatusCode::CONFLICT);
     }
     let age = BATCH_AGE_MAX.as_millis() as u64;
-    let held = batch(3, NOW_MS - age - 1000, vec![heartbeat(1)]);
-    let error = answer(&shared, &held, now).unwrap_err();
+    let delayed = batch(3, NOW_MS - age - 1000, vec![heartbeat(1)]);
+    let error = answer(&shared, &delayed, now).unwrap_err();
     assert_eq!(error, BatchError::Stale(age + 1000));
     assert!(shared.cluster.lock().as_ref().unwrap().machines.is_empty());
     let recent = batch(3, NOW_MS - 1000, vec![heartbeat(1)]);
     assert!(answer(&shared, &recent, now).is_ok());
 }
 
-/// The same function decides as for a direct report, at its own time: no 200 once leadership and
-/// the time to keep leases alive are over, and the lease counts from the decision.
+/// A forwarded heartbeat is handled like a direct one, at the time of the decision: it gets no 200 after
+/// the leadership and the keep-alive period have ended, and the worker lease counts from the decision. A
+/// leader that was paused within a batch would otherwise renew leases under a leadership that has ended.
 #[test]
-fn a_forwarded_heartbeat_is_decided_at_the_time_of_the_decision() {
+fn forwarded_heartbeat_is_decided_by_the_clock_at_the_decision() {
     let start = Instant::now();
     let shared = leader(start);
     let at = |s: u64| start + Duration::from_secs(s);
@@ -173,35 +188,40 @@
     let token = FencingToken::first(Term(3)).0;
     let accepted = answers.answers[0].clone().accepted().unwrap();
     assert_eq!(accepted.token, token);
-    let answered = |shared: &Shared| {
+    let last_answered = |shared: &Shared| {
         let cluster = shared.cluster.lock();
         let machine = cluster.as_ref().unwrap().machines.values().next().unwrap();
         machine.last_answered
     };
-    assert_eq!(answered(&shared), Some(at(1)));
-    // The first look at the clock comes at once, all others after a pause.
-    let looks = std::cell::Cell::new(0);
+    assert_eq!(last_answered(&shared), Some(at(1)));
+    // The first reading of the clock is immediate; all later ones follow a pause.
+    let readings = std::cell::Cell::new(0);
     let clock = || {
-        looks.set(looks.get() + 1);
-        at(if looks.get() == 1 { 1 } else { 60 })
+        readings.set(readings.get() + 1);
+        at(if readings.get() == 1 { 1 } else { 60 })
     };
     let bytes = encode(&batch(3, NOW_MS, vec![heartbeat(2)])).unwrap();
     let late = answer_batch(&shared, &bytes, &clock, wall(NOW_MS)).unwrap();
     assert_eq!(late.answers, [ForwardedAnswer::Unavailable]);
-    assert_eq!(answered(&shared), Some(at(1)), "no lease was renewed");
+    assert_eq!(
+        last_answered(&shared),
+        Some(at(1)),
+        "the lease is not renewed"
+    );
 }
 
-/// A batch that comes twice: its reports are no newer, so the second time no orders go out.
+/// The heartbeats of a batch that arrives twice are no newer the second time, so their responses carry no
+/// commands.
 #[test]
-fn a_batch_that_arrives_twice_gets_no_commands_the_second_time() {
+fn repeated_batch_gets_no_commands() {
     let now = Instant::now();
     let shared = leader(now);
-    // A task of a job that is not known is killed, in the answer to a newer report only.
+    // A task of an unknown job is killed, but only in the response to a newer heartbeat.
     let mut first = heartbeat(1);
     first.token = FencingToken::first(Term(3)).0;
-    let twice = batch(3, NOW_MS, vec![first]);
+    let repeated = batch(3, NOW_MS, vec![first]);
     let commands = |answer: BatchAnswer| answer.answers[0].clone().accepted().unwrap().commands;
-    let before = commands(answer(&shared, &twice, now).unwrap());
-    assert_eq!(before.len(), 1, "{before:?}");
-    assert!(commands(answer(&shared, &twice, now).unwrap()).is_empty());
+    let first_commands = commands(answer(&shared, &repeated, now).unwrap());
+    assert_eq!(first_commands.len(), 1, "{first_commands:?}");
+    assert!(commands(answer(&shared, &repeated, now).unwrap()).is_empty());
 }
--- a/src/peer/links.rs
+++ b/src/peer/links.rs
@@ -1,5 +1,5 @@
-//! Rows of the connectivity matrix between the nodes. A node on which links are not turned on, or of an
-//! earlier version, answers 404.
+//! Receives rows of the connectivity matrix from peers. A node responds with 404 if links are not turned
+//! on there, or if its version does not support them.
 
 use std::time::{Instant, SystemTime};
 
@@ -12,10 +12,10 @@
 use crate::service::Shared;
 use crate::time::unix_ms;
 
-/// Path of rows.
+/// Path of rows of the connectivity matrix.
 pub const LINKS: &str = "/peer/links";
 
-/// Decodes a row; what follows an unknown version is not decoded.
+/// Decodes a row; after an unknown version the rest is not decoded.
 pub fn decode_row(bytes: &[u8]) -> Result<RowMessage, RowRejection> {
     let version = decode_prefix::<u16>(bytes).ok_or(RowRejection::Malformed)?;
     if version != ROW_VERSION {
@@ -24,7 +24,8 @@
     decode(bytes).ok_or(RowRejection::Malformed)
 }
 
-/// Decodes a row and applies it. The sender of one that can't be decoded is unknown.
+/// Decodes a row and applies it to the matrix. A row that can't be decoded is counted as rejected, without
+/// a sender.
 pub fn take_bytes(
     active: &ActiveLinks,
     bytes: &[u8],
@@ -33,15 +34,15 @@
 ) -> Result<RowReply, RowRejection> {
     match decode_row(bytes) {
         Ok(message) => active.take_row(message, now, unix_ms(wall)),
-        Err(why) => {
-            active.refuse_row("", why);
-            Err(why)
+        Err(rejection) => {
+            active.refuse_row("", rejection);
+            Err(rejection)
         }
     }
 }
 
-fn status_of(why: RowRejection) -> StatusCode {
-    match why {
+fn rejection_status(rejection: RowRejection) -> StatusCode {
+    match rejection {
         RowRejection::Body | RowRejection::Malformed | RowRejection::UnknownVersion(_) => {
             StatusCode::BAD_REQUEST
         }
@@ -52,7 +53,7 @@
     }
 }
 
-/// `POST /peer/links`
+/// `POST /peer/links`: a row of the connectivity matrix.
 pub async fn receive_row(
     shared: web::Data<Shared>,
     body: Result<web::Bytes, actix_web::Error>,
@@ -60,19 +61,19 @@
     let Some(active) = shared.links.active() else {
         return HttpResponse::NotFound().finish();
     };
-    let taken = match body {
+    let result = match body {
         Ok(bytes) => take_bytes(active, &bytes, Instant::now(), SystemTime::now()),
         Err(_) => {
             active.refuse_row("", RowRejection::Body);
             Err(RowRejection::Body)
         }
     };
-    match taken {
+    match result {
         Ok(reply) => {
             let bytes = encode(&reply).unwrap_or_default();
             HttpResponse::Ok().content_type(BINCODE).body(bytes)
         }
-        Err(why) => HttpResponse::build(status_of(why)).finish(),
+        Err(rejection) => HttpResponse::build(rejection_status(rejection)).finish(),
     }
 }
 
--- a/src/peer/links/tests.rs
+++ b/src/peer/links/tests.rs
@@ -28,7 +28,7 @@
 }
 
 fn message(sequence: u64) -> RowMessage {
-    let nobody = WorkerSet::default().to_bytes();
+    let no_workers = WorkerSet::default().to_bytes();
     RowMessage {
         version: ROW_VERSION,
         member: "knot-1".to_owned(),
@@ -39,12 +39,12 @@
         store_read: LinkStatus::UNKNOWN,
         store_write: LinkStatus::UNKNOWN,
         peers: Vec::new(),
-        workers_heard: nobody.clone(),
-        workers_reached: nobody,
+        workers_heard: no_workers.clone(),
+        workers_reached: no_workers,
     }
 }
 
-fn take(shared: &Shared, bytes: &[u8]) -> Result<RowReply, RowRejection> {
+fn accept(shared: &Shared, bytes: &[u8]) -> Result<RowReply, RowRejection> {
     take_bytes(
         shared.links.active().unwrap(),
         bytes,
@@ -54,60 +54,70 @@
 }
 
 #[test]
-fn a_row_is_taken_once_and_whatever_is_wrong_changes_nothing() {
+fn row_is_accepted_once_and_invalid_rows_change_nothing() {
     let shared = shared();
     let active = shared.links.active().unwrap();
     let good = encode(&message(2)).unwrap();
     assert_eq!(
-        take(&shared, &good),
+        accept(&shared, &good),
         Ok(RowReply {
             newest_incarnation: 5
         })
     );
-    assert_eq!(take(&shared, &good), Err(RowRejection::NotNewer));
+    assert_eq!(accept(&shared, &good), Err(RowRejection::NotNewer));
     let earlier = encode(&message(1)).unwrap();
-    assert_eq!(take(&shared, &earlier), Err(RowRejection::NotNewer));
+    assert_eq!(accept(&shared, &earlier), Err(RowRejection::NotNewer));
     let next = encode(&message(3)).unwrap();
     for end in 0..next.len() {
         assert_eq!(
-            take(&shared, &next[..end]),
+            accept(&shared, &next[..end]),
             Err(RowRejection::Malformed),
             "{end}"
         );
     }
     let longer = [&next[..], &[0]].concat();
-    assert_eq!(take(&shared, &longer), Err(RowRejection::Malformed));
-    let mut other = message(4);
-    other.version = 9;
-    let other = encode(&other).unwrap();
-    assert_eq!(take(&shared, &other), Err(RowRejection::UnknownVersion(9)));
-    let mut stranger = message(5);
-    stranger.member = "knot-7".to_owned();
-    let stranger = encode(&stranger).unwrap();
-    assert_eq!(take(&shared, &stranger), Err(RowRejection::UnknownMember));
+    assert_eq!(accept(&shared, &longer), Err(RowRejection::Malformed));
+    let mut newer_version = message(4);
+    newer_version.version = 9;
+    let newer_version = encode(&newer_version).unwrap();
+    assert_eq!(
+        accept(&shared, &newer_version),
+        Err(RowRejection::UnknownVersion(9))
+    );
+    let mut from_unknown_member = message(5);
+    from_unknown_member.member = "knot-7".to_owned();
+    let from_unknown_member = encode(&from_unknown_member).unwrap();
+    assert_eq!(
+        accept(&shared, &from_unknown_member),
+        Err(RowRejection::UnknownMember)
+    );
     let mut old = message(6);
     old.sent_at_ms -= 60_000;
     let old = encode(&old).unwrap();
-    assert_eq!(take(&shared, &old), Err(RowRejection::TooOld));
+    assert_eq!(accept(&shared, &old), Err(RowRejection::TooOld));
     let matrix = active.matrix.lock();
-    let kept = matrix.row("knot-1", Instant::now()).unwrap();
-    assert_eq!(kept.message.sequence, 2);
+    let current = matrix.row("knot-1", Instant::now()).unwrap();
+    assert_eq!(current.message.sequence, 2);
     drop(matrix);
     assert_eq!(active.rows_taken.load(Ordering::Relaxed), 1);
     assert!(next.len() < ROW_BYTES_MAX);
 }
 
-/// The clock of the host went back between two lives of a process: without being told, its rows would be
-/// refused until the clock has caught up.
+/// The host's clock is set back between two runs of a process, so the restarted process has a lower
+/// incarnation. Without the newest incarnation in the reply, its rows would be rejected until the clock has
+/// passed the former value.
 #[test]
-fn a_process_whose_clock_went_back_takes_an_incarnation_above_its_former_one() {
+fn process_with_clock_set_back_raises_its_incarnation_above_the_former_one() {
     let shared = shared();
     let active = shared.links.active().unwrap();
-    take(&shared, &encode(&message(2)).unwrap()).unwrap();
-    let mut reborn = message(1);
-    reborn.incarnation = 3;
-    let reply = take(&shared, &encode(&reborn).unwrap()).unwrap();
-    assert_eq!(reply.newest_incarnation, 5, "refused, and told why");
+    accept(&shared, &encode(&message(2)).unwrap()).unwrap();
+    let mut restarted = message(1);
+    restarted.incarnation = 3;
+    let reply = accept(&shared, &encode(&restarted).unwrap()).unwrap();
+    assert_eq!(
+        reply.newest_incarnation, 5,
+        "the reply names the newest incarnation"
+    );
     let now = Instant::now();
     let incarnation = active.next_row(None, now, wall()).message.incarnation;
     active.row_answered(RowReply {
@@ -116,7 +126,7 @@
     assert_eq!(
         active.next_row(None, now, wall()).message.incarnation,
         incarnation,
-        "its own"
+        "the reply with the current incarnation does not change it"
     );
     active.row_answered(RowReply {
         newest_incarnation: incarnation + 7,
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -1,7 +1,7 @@
-//! Messages between the nodes, as `bincode` over HTTP on `peer_bind`. Operators reach
-//! [`crate::api::admin`] on the same address.
+//! Handlers of messages between the controllers: `bincode` over HTTP on `peer_bind`. The address also
+//! serves operators, see [`crate::api::admin`].
 //!
-//! [`summary`] takes the state summaries of the leader, [`cancelled`] notifications of cancellations,
+//! [`summary`] receives the leader's state summaries, [`cancelled`] notifications of cancellations,
 //! [`contact`] queries about the key-value store, [`heartbeats`] the heartbeats that followers forward
 //! (see also [`crate::forwarding`]), and [`links`] rows of the connectivity matrix.
 
@@ -16,35 +16,36 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
-/// Content type between the nodes.
+/// Content type of the bodies between the controllers.
 pub const BINCODE: &str = "application/x-bincode";
-/// Most memory that a decoded message may take. `bincode` counts a list by the size of its items in
-/// memory, which is several times that of the message: with the limit of the body itself, a summary of
-/// 4,000 machines arrived complete and could not be decoded.
-const MESSAGE_LIMIT: usize = 8 * crate::state_summary::SUMMARY_BYTES_MAX;
+/// Maximum memory of a decoded message in bytes. `bincode` counts a list by the size of its items in
+/// memory, which is several times their encoded size: with the limit of the body itself, a state summary
+/// of 4,000 machines arrived complete but could not be decoded.
+const DECODED_BYTES_MAX: usize = 8 * crate::state_summary::SUMMARY_BYTES_MAX;
 
-/// Encodes for a peer.
+/// Encodes a message for a peer; `None` if encoding fails.
 pub fn encode<T: Serialize>(value: &T) -> Option<Vec<u8>> {
     bincode::serde::encode_to_vec(value, bincode::config::standard()).ok()
 }
 
-/// Decodes a message of a peer, which must fill the body.
+/// Decodes a message from a peer; `None` if it is malformed or bytes follow it in the body.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Option<T> {
-    let (value, read) = decode_front(bytes)?;
-    (read == bytes.len()).then_some(value)
+    let (value, bytes_read) = decode_counted(bytes)?;
+    (bytes_read == bytes.len()).then_some(value)
 }
 
-/// Decodes the beginning of a message, such as its version.
+/// Decodes the first field of a message, such as its version, and ignores the bytes after it.
 pub fn decode_prefix<T: DeserializeOwned>(bytes: &[u8]) -> Option<T> {
-    decode_front(bytes).map(|(value, _)| value)
+    decode_counted(bytes).map(|(value, _)| value)
 }
 
-fn decode_front<T: DeserializeOwned>(bytes: &[u8]) -> Option<(T, usize)> {
-    let config = bincode::config::standard().with_limit::<MESSAGE_LIMIT>();
+/// Decodes a value from the start of `bytes` and returns it with the number of bytes that it takes.
+fn decode_counted<T: DeserializeOwned>(bytes: &[u8]) -> Option<(T, usize)> {
+    let config = bincode::config::standard().with_limit::<DECODED_BYTES_MAX>();
     bincode::serde::decode_from_slice(bytes, config).ok()
 }
 
-/// The routes between nodes.
+/// Registers the routes for the other controllers.
 pub fn routes(config: &mut web::ServiceConfig) {
     config
         .service(
@@ -56,7 +57,7 @@
         )
         .service(
             web::resource(cancelled::CANCELLED)
-                .app_data(web::PayloadConfig::new(cancelled::CANCELLED_LIMIT))
+                .app_data(web::PayloadConfig::new(cancelled::CANCELLED_BYTES_MAX))
                 .route(web::post().to(cancelled::receive_cancelled)),
         )
         .service(
--- a/src/peer/summary.rs
+++ b/src/peer/summary.rs
@@ -1,4 +1,4 @@
-//! Receives the leader's state summaries.
+//! Receives state summaries from the leader.
 
 use std::time::Instant;
 
@@ -8,10 +8,10 @@
 use crate::service::Shared;
 use crate::state_summary::{StateSummary, SummaryReply};
 
-/// Path of state summaries. The name on the wire stays.
+/// Path of state summaries; the name is part of the wire format.
 pub const SUMMARY: &str = "/peer/digest";
 
-/// `POST /peer/digest`
+/// `POST /peer/digest`: a state summary; 409 if it can't be applied and the leader must send a full one.
 pub async fn receive_summary(shared: web::Data<Shared>, body: web::Bytes) -> HttpResponse {
     let Some(summary) = decode::<StateSummary>(&body) else {
         return HttpResponse::BadRequest().finish();
--- a/src/run.rs
+++ b/src/run.rs
@@ -1,4 +1,4 @@
-//! Assembles a process from its parts.
+//! Starts the HTTP servers and actors of a controller process.
 
 use std::io;
 use std::sync::Arc;
@@ -25,12 +25,12 @@
 use crate::store::client::StoreClient;
 use crate::{api, peer};
 
-/// How long idle connections between the nodes and to the external systems stay open.
+/// Time after which idle connections between the nodes and to the external systems are closed.
 const KEEP_ALIVE: Duration = Duration::from_secs(75);
-/// Time to establish a connection.
+/// Time limit for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A client with at most so many connections.
+/// Creates an HTTP client with at most `connections_max` open connections.
 fn http_client(connections_max: usize) -> Client {
     let connector = Connector::new()
         .timeout(CONNECT_TIMEOUT)
@@ -42,17 +42,18 @@
         .finish()
 }
 
-/// Serves until the process is ended.
+/// Serves until a server fails or the process is terminated.
 pub async fn serve(settings: Settings, features: Features) -> io::Result<()> {
     let shared = Shared::with_features(settings, features);
-    // Lease and replica have a thread and a client of their own: on a small machine a scheduling cycle,
-    // a state summary or a burst of heartbeats takes seconds, and neither may be lost for slowness.
-    let records = Arbiter::new();
-    let store = start_store(&records, &shared);
+    // The leader lease and the replica have a separate thread and separate HTTP clients: on a small machine
+    // a scheduling cycle, a state summary or a burst of heartbeats takes seconds, and such a delay must not
+    // make the lease expire or the replica stale.
+    let store_arbiter = Arbiter::new();
+    let store = start_store(&store_arbiter, &shared);
     let public = public_server(&shared, &store)?;
     let peers = peer_server(&shared, &store)?;
-    start_election(&records, &shared, &store);
-    start_loops(&shared, &store);
+    start_election(&store_arbiter, &shared, &store);
+    start_main_thread_actors(&shared, &store);
 
     let settings = &shared.settings;
     let (public_addr, peer_bind) = (settings.public_addr, settings.peer_bind);
@@ -61,24 +62,24 @@
     Ok(())
 }
 
-fn start_store(records: &Arbiter, shared: &Arc<Shared>) -> Addr<StoreActor> {
+fn start_store(arbiter: &Arbiter, shared: &Arc<Shared>) -> Addr<StoreActor> {
     let shared = shared.clone();
-    StoreActor::start_in_arbiter(&records.handle(), move |_| {
+    StoreActor::start_in_arbiter(&arbiter.handle(), move |_| {
         let client = StoreClient::new(&shared.settings, http_client(shared.sockets.store));
         let replica = shared.replica.clone();
         StoreActor::new(&shared.settings.clone(), client, replica, shared)
     })
 }
 
-fn start_election(records: &Arbiter, shared: &Arc<Shared>, store: &Addr<StoreActor>) {
+fn start_election(arbiter: &Arbiter, shared: &Arc<Shared>, store: &Addr<StoreActor>) {
     let (shared, store) = (shared.clone(), store.clone());
-    ElectionActor::start_in_arbiter(&records.handle(), move |_| {
+    ElectionActor::start_in_arbiter(&arbiter.handle(), move |_| {
         let client = StoreClient::new(&shared.settings, http_client(shared.sockets.election));
         ElectionActor::new(shared, client, store)
     });
 }
 
-/// The server for users, agents and the load balancer.
+/// Starts the server for users, agents and the load balancer.
 fn public_server(shared: &Arc<Shared>, store: &Addr<StoreActor>) -> io::Result<Server> {
     let data: web::Data<Shared> = web::Data::from(shared.clone());
     let store = web::Data::new(store.clone());
@@ -88,7 +89,7 @@
         App::new()
             .app_data(data.clone())
             .app_data(store.clone())
-            .configure(api::public)
+            .configure(api::public_routes)
     })
     .on_connect(move |_, extensions| {
         extensions.insert(OpenConnection::new(connections.clone()));
@@ -96,13 +97,13 @@
     .workers(1)
     .max_connections(sockets.public)
     .backlog(sockets.backlog)
-    .keep_alive(sockets.idle)
+    .keep_alive(sockets.idle_timeout)
     .disable_signals()
     .bind(shared.settings.public_addr)?;
     Ok(server.run())
 }
 
-/// The server for the other nodes and for operators.
+/// Starts the server for the other nodes and for operators.
 fn peer_server(shared: &Arc<Shared>, store: &Addr<StoreActor>) -> io::Result<Server> {
     let data: web::Data<Shared> = web::Data::from(shared.clone());
     let store = web::Data::new(store.clone());
@@ -114,28 +115,28 @@
             .configure(api::admin::routes)
     })
     .workers(1)
-    .max_connections(shared.sockets.peers_in)
+    .max_connections(shared.sockets.peers_inbound)
     .keep_alive(KEEP_ALIVE)
     .disable_signals()
     .bind(shared.settings.peer_bind)?;
     Ok(server.run())
 }
 
-/// Starts the loops that run on the main thread.
-fn start_loops(shared: &Arc<Shared>, store: &Addr<StoreActor>) {
+/// Starts the actors that run on the main thread.
+fn start_main_thread_actors(shared: &Arc<Shared>, store: &Addr<StoreActor>) {
     let sockets = &shared.sockets;
-    let http = http_client(sockets.own);
-    // Agents that don't answer must not hold the connections for queries to the external systems.
+    let http = http_client(sockets.cloud_and_peers);
+    // Unresponsive agents must not occupy the connections to the cloud and the peers.
     let direct = http_client(sockets.direct);
     let unmet_demand = SharedDemand::default();
     SchedulerActor::new(shared.clone(), store.clone(), direct, unmet_demand.clone()).start();
     let cloud = CloudClient::new(shared.settings.external.cloud, http.clone());
     FleetActor::new(shared.clone(), cloud, unmet_demand).start();
-    // A leader that is slow to answer must not hold the connections for state summaries.
+    // A slow leader must not occupy the connections for state summaries.
     ForwardActor::new(shared.clone(), http_client(sockets.forwarding)).start();
     MetricsActor::new(shared.clone()).start();
     if shared.links.active().is_some() {
-        // A peer that delays rows must not hold the connections for state summaries.
+        // A peer that is slow to accept rows must not occupy the connections for state summaries.
         let rows = http_client(sockets.rows);
         LinksActor::new(shared.clone(), store.clone(), rows).start();
     }
--- a/src/sockets.rs
+++ b/src/sockets.rs
@@ -1,9 +1,9 @@
-//! How the sockets of a process are divided among their purposes.
+//! Divides the sockets of a process among their purposes.
 //!
-//! With hundreds of machines for every hundred sockets, the kept connections of agents alone would use
-//! them all: new machines could not send heartbeats, and leases would expire on healthy machines. So each purpose has its part, all parts together stay below the limit, and
-//! connections that are cheap to open again are closed after their answer before their part is
-//! used up.
+//! With several machines per socket, the kept-alive connections of agents alone would use all sockets: new
+//! machines could not send heartbeats, and leases would expire on healthy machines. Each purpose therefore
+//! has a share, all shares together stay below the limit, and connections that are cheap to reopen are
+//! closed after the response before their share is used up.
 
 use std::time::Duration;
 
@@ -11,63 +11,67 @@
 use crate::forwarding::BATCHES_IN_FLIGHT;
 use crate::time::secs;
 
-/// Connections to the key-value store at most: transactions in flight, a read, the watch, the lease,
-/// with as many again that timed out and are still open.
-const TO_STORE: usize = 16;
-/// Of these, the election's, which has a client of its own: renewals, and one that ends a lease.
-const TO_ELECTION: usize = 4;
-/// Connections to the cloud: one request at a time, and former ones that timed out.
-const TO_CLOUD: usize = 4;
-/// Connections to each other node: a state summary and a query, and former ones.
-const TO_EACH_PEER: usize = 3;
-/// Connections from each other node: the same, and batches of heartbeats with former ones.
-const FROM_EACH_PEER: usize = TO_EACH_PEER + TO_LEADER + ROWS_EACH_PEER;
-/// Connections to and from each other node for rows: one, and one that timed out.
-const ROWS_EACH_PEER: usize = 2;
-/// Connections on which heartbeats are forwarded: batches in flight and former ones.
-const TO_LEADER: usize = 2 * BATCHES_IN_FLIGHT;
-/// Connections of operators.
-const OPERATORS: usize = 8;
-/// Part for direct commands to agents, each of which has a connection of its own.
-const DIRECT_PART: f64 = 0.05;
-/// Part left for connections that are being closed and for those not yet taken up.
-const SPARE_PART: f64 = 0.05;
-/// Part of the public connections beyond which connections are closed after the response to a
-/// heartbeat. An agent opens another for its next heartbeat; kept ones only save that.
-const HEARTBEATS_CLOSE_PART: f64 = 0.85;
-/// The same for users. They come last, since the load balancer sends new connections to where
-/// few are open.
-const USERS_CLOSE_PART: f64 = 0.92;
-/// Least share of the limit for the public address, whatever the others need.
-const PUBLIC_PART_MIN: f64 = 0.5;
-/// An idle connection stays open for this many heartbeat intervals: longer than any interval between two,
-/// and not so long that what is left of machines that died keeps their places.
-const IDLE_HEARTBEATS: f64 = 2.0;
-/// Users poll every five seconds or so; a connection kept for less would be of no use.
-const IDLE_LEAST: Duration = Duration::from_secs(12);
+/// Maximum connections to the key-value store: for transactions in flight, a read, the watch and the lease,
+/// and as many again that timed out and are still open.
+const STORE_CONNECTIONS: usize = 16;
+/// Of these, the connections of the election, which has a separate client: for renewals and for the
+/// revocation of a lease.
+const ELECTION_CONNECTIONS: usize = 4;
+/// Connections to the cloud: one request at a time, and earlier ones that timed out.
+const CLOUD_CONNECTIONS: usize = 4;
+/// Connections to each other node: for a state summary, a query, and an earlier one that timed out.
+const CONNECTIONS_TO_EACH_PEER: usize = 3;
+/// Connections from each other node: the same, and those for heartbeat batches and rows.
+const CONNECTIONS_FROM_EACH_PEER: usize =
+    CONNECTIONS_TO_EACH_PEER + FORWARDING_CONNECTIONS + ROW_CONNECTIONS_PER_PEER;
+/// Connections to and from each other node for rows of the connectivity matrix: one in use, and one that
+/// timed out.
+const ROW_CONNECTIONS_PER_PEER: usize = 2;
+/// Connections to the leader for forwarded heartbeats: batches in flight, and as many that timed out.
+const FORWARDING_CONNECTIONS: usize = 2 * BATCHES_IN_FLIGHT;
+/// Connections from operators to the peer address.
+const OPERATOR_CONNECTIONS: usize = 8;
+/// Share of the sockets for direct commands to agents, each of which opens a separate connection.
+const DIRECT_COMMANDS_SHARE: f64 = 0.05;
+/// Share of the sockets left for connections that are closing or not yet accepted.
+const SPARE_SHARE: f64 = 0.05;
+/// Share of the public connections above which a connection is closed after the response to a heartbeat.
+/// The agent reopens one for the next heartbeat; a kept-alive connection only saves that.
+const HEARTBEAT_CLOSE_SHARE: f64 = 0.85;
+/// The same share for the responses to users. It is higher than that for heartbeats, because the load
+/// balancer sends new connections to the nodes with few open ones.
+const USER_CLOSE_SHARE: f64 = 0.92;
+/// Minimum share of the sockets for the public address, whatever the other purposes need.
+const PUBLIC_SHARE_MIN: f64 = 0.5;
+/// Heartbeat intervals for which an idle connection stays open: longer than the time between any two
+/// heartbeats, but short enough that connections of terminated machines do not occupy sockets for long.
+const IDLE_TIMEOUT_HEARTBEATS: f64 = 2.0;
+/// Minimum idle timeout: users poll about every five seconds, so a connection kept for less time would not
+/// be reused.
+const IDLE_TIMEOUT_MIN: Duration = Duration::from_secs(12);
 
-/// Part of the public connections that may wait to be accepted: the agents of a node that ended
+/// The listen backlog is the public connections divided by this: the agents of a node that terminated
 /// reconnect to the next one in a burst.
-const BACKLOG_PART: usize = 8;
-/// Bounds on it. The system has a bound of its own, usually the higher one.
+const BACKLOG_DIVISOR: usize = 8;
+/// Bounds on the backlog. The operating system also limits it, usually to a higher value.
 const BACKLOG_MIN: u32 = 256;
 const BACKLOG_MAX: u32 = 4096;
 
-/// The shares of one process.
+/// The connection limits of one process by purpose.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Sockets {
-    /// Connections taken on the public address.
+    /// Maximum connections accepted on the public address.
     pub public: usize,
-    /// Open public ones beyond which connections are closed after the response to a heartbeat.
+    /// Open public connections above which a connection is closed after the response to a heartbeat.
     pub heartbeats_close: usize,
-    /// The same for users.
+    /// Open public connections above which a connection is closed after the response to a user.
     pub users_close: usize,
-    /// Public connections that may wait to be accepted.
+    /// Public connections that may wait to be accepted, not counted in `public`.
     pub backlog: u32,
-    /// Connections taken from the other nodes and from operators.
-    pub peers_in: usize,
-    /// Connections to the cloud and the other nodes.
-    pub own: usize,
+    /// Maximum connections accepted from the other nodes and from operators.
+    pub peers_inbound: usize,
+    /// Connections to the cloud and, for state summaries and queries, to the other nodes.
+    pub cloud_and_peers: usize,
     /// Connections to the key-value store, except those of the election.
     pub store: usize,
     /// Connections of the election to the key-value store.
@@ -76,40 +80,50 @@
     pub forwarding: usize,
     /// Connections to the other nodes for rows of the connectivity matrix.
     pub rows: usize,
-    /// Direct commands in flight at once.
+    /// Maximum direct commands in flight at once.
     pub direct: usize,
-    /// How long an idle public connection stays open.
-    pub idle: Duration,
+    /// Time after which an idle public connection is closed.
+    pub idle_timeout: Duration,
 }
 
 impl Sockets {
-    /// From the settings.
+    /// Divides `params.resources.max_sockets` among the purposes.
     pub fn of(settings: &Settings) -> Self {
-        let all = settings.params.resources.max_sockets;
-        let part = |part: f64, of: usize| (of as f64 * part).max(1.0) as usize;
-        let peers = settings.known.len();
-        let peers_in = OPERATORS + FROM_EACH_PEER * peers;
-        let own = TO_CLOUD + TO_EACH_PEER * peers;
-        let direct = part(DIRECT_PART, all);
-        let rows = (ROWS_EACH_PEER * peers).max(1);
-        let others = peers_in + own + rows + TO_LEADER + TO_STORE + direct + part(SPARE_PART, all);
-        let public = all.saturating_sub(others).max(part(PUBLIC_PART_MIN, all));
-        let heartbeat = secs(settings.params.workers.report_s);
+        let max_sockets = settings.params.resources.max_sockets;
+        let share_of = |share: f64, total: usize| (total as f64 * share).max(1.0) as usize;
+        let peer_count = settings.known.len();
+        let peers_inbound = OPERATOR_CONNECTIONS + CONNECTIONS_FROM_EACH_PEER * peer_count;
+        let cloud_and_peers = CLOUD_CONNECTIONS + CONNECTIONS_TO_EACH_PEER * peer_count;
+        let direct = share_of(DIRECT_COMMANDS_SHARE, max_sockets);
+        let rows = (ROW_CONNECTIONS_PER_PEER * peer_count).max(1);
+        let other_purposes = peers_inbound
+            + cloud_and_peers
+            + rows
+            + FORWARDING_CONNECTIONS
+            + STORE_CONNECTIONS
+            + direct
+            + share_of(SPARE_SHARE, max_sockets);
+        let public = max_sockets
+            .saturating_sub(other_purposes)
+            .max(share_of(PUBLIC_SHARE_MIN, max_sockets));
+        let heartbeat_interval = secs(settings.params.workers.report_s);
         Self {
             public,
-            heartbeats_close: part(HEARTBEATS_CLOSE_PART, public),
-            users_close: part(USERS_CLOSE_PART, public),
-            backlog: u32::try_from(public / BACKLOG_PART).map_or(BACKLOG_MAX, |backlog| {
+            heartbeats_close: share_of(HEARTBEAT_CLOSE_SHARE, public),
+            users_close: share_of(USER_CLOSE_SHARE, public),
+            backlog: u32::try_from(public / BACKLOG_DIVISOR).map_or(BACKLOG_MAX, |backlog| {
                 backlog.clamp(BACKLOG_MIN, BACKLOG_MAX)
             }),
-            peers_in,
-            own,
-            store: TO_STORE - TO_ELECTION,
-            election: TO_ELECTION,
-            forwarding: TO_LEADER,
+            peers_inbound,
+            cloud_and_peers,
+            store: STORE_CONNECTIONS - ELECTION_CONNECTIONS,
+            election: ELECTION_CONNECTIONS,
+            forwarding: FORWARDING_CONNECTIONS,
             rows,
             direct,
-            idle: heartbeat.mul_f64(IDLE_HEARTBEATS).max(IDLE_LEAST),
+            idle_timeout: heartbeat_interval
+                .mul_f64(IDLE_TIMEOUT_HEARTBEATS)
+                .max(IDLE_TIMEOUT_MIN),
         }
     }
 }
--- a/src/sockets/tests.rs
+++ b/src/sockets/tests.rs
@@ -12,14 +12,15 @@
     Settings::parse(&text, "a test").unwrap()
 }
 
-/// All purposes at their fullest at once must fit, or the state service gets no socket.
+/// If all purposes used their full shares at once and exceeded the limit, connections to the key-value
+/// store could no longer be opened.
 #[test]
-fn all_shares_together_fit_the_limit_with_room_for_what_is_being_closed() {
+fn sum_of_all_shares_stays_below_the_limit_with_spare_sockets() {
     for (limit, nodes) in [(500, 3), (2000, 3), (2100, 5), (3068, 7), (3500, 3)] {
         let shares = Sockets::of(&settings(limit, nodes));
         let sum = shares.public
-            + shares.peers_in
-            + shares.own
+            + shares.peers_inbound
+            + shares.cloud_and_peers
             + shares.store
             + shares.election
             + shares.forwarding
@@ -32,7 +33,7 @@
 }
 
 #[test]
-fn few_sockets_still_leave_half_for_the_public() {
+fn few_sockets_leave_at_least_half_for_the_public_address() {
     let shares = Sockets::of(&settings(60, 7));
     assert!(shares.public >= 30, "{shares:?}");
 }
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -1,4 +1,4 @@
-//! Bodies between the cloud's interface and this system.
+//! Bodies of requests to the cloud and of their responses.
 
 use serde::{Deserialize, Serialize};
 
@@ -24,11 +24,11 @@
     #[serde(rename = "localGb", deserialize_with = "number", default)]
     cache_gb: f64,
     #[serde(rename = "pullGbPerS", deserialize_with = "number", default)]
-    fetch_rate: f64,
+    pull_gb_per_s: f64,
     #[serde(rename = "rate", deserialize_with = "number", default)]
-    price: f64,
+    hourly_price: f64,
     #[serde(rename = "marketPrice", deserialize_with = "number", default)]
-    spot_price: f64,
+    hourly_spot_price: f64,
     #[serde(rename = "bootS", deserialize_with = "number", default)]
     boot_s: f64,
     #[serde(rename = "yards", default)]
@@ -36,7 +36,7 @@
 }
 
 impl MachineTypeCatalog {
-    /// The catalog in the model's terms.
+    /// Converts the entries to the types of [`crate::model`].
     pub fn machine_types(self) -> Vec<MachineType> {
         self.machine_types
             .into_iter()
@@ -47,74 +47,74 @@
                     gpus: entry.gpus,
                     memory: entry.memory,
                 },
-                price: entry.price,
-                spot_price: entry.spot_price,
+                price: entry.hourly_price,
+                spot_price: entry.hourly_spot_price,
                 boot: crate::time::secs(entry.boot_s),
                 cache_gb: entry.cache_gb,
-                fetch_rate: entry.fetch_rate,
+                fetch_rate: entry.pull_gb_per_s,
                 zones: entry.zones,
             })
             .collect()
     }
 }
 
-/// A rental request.
+/// A request to rent machines of one type in one zone.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct RentalRequest {
-    /// The idempotency key, never used twice.
+    /// The idempotency key, which is unique for each request.
     #[serde(rename = "hire")]
     pub request: String,
-    /// Machine type.
+    /// Name of the machine type in the catalog.
     #[serde(rename = "build")]
     pub machine_type: String,
-    /// Zone.
+    /// The zone in which the machines are rented.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// Spot or ordinary.
+    /// Whether the machines are spot machines.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// How many.
+    /// Number of machines requested.
     #[serde(rename = "number")]
     pub count: u32,
 }
 
-/// Machines by name: those that a rental request was granted, or those to release.
+/// Machines granted to a rental request, or machines to release.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct MachineNames {
-    /// The names.
+    /// The names in the cloud's machine list.
     #[serde(rename = "hosts")]
     pub machines: Vec<String>,
 }
 
-/// One machine in the cloud's list.
+/// One machine in the cloud's machine list.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ListedMachine {
-    /// Its name.
+    /// The machine's name, unique within the cloud.
     #[serde(rename = "nameId")]
     pub id: String,
-    /// The address that takes direct commands.
+    /// The agent's address for direct commands; empty if the cloud does not report it.
     #[serde(default)]
     pub address: String,
-    /// Its type.
+    /// The machine type; empty if the cloud does not report it.
     #[serde(rename = "build", default)]
     pub machine_type: String,
-    /// Its zone.
+    /// The machine's zone; empty if the cloud does not report it.
     #[serde(rename = "yard", default)]
     pub zone: String,
-    /// Spot or ordinary.
+    /// Whether it is a spot machine.
     #[serde(rename = "loaners", default)]
     pub spot: bool,
     /// `booting`, `running` or `failed`.
     pub status: String,
-    /// The rental age: time since the rental request.
+    /// The rental age: seconds since the rental request.
     #[serde(rename = "heldS", deserialize_with = "number", default)]
     pub age_s: f64,
 }
 
-/// A page of the cloud's list.
+/// A page of the cloud's machine list.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct MachinePage {
-    /// The machines.
+    /// The machines of this page.
     #[serde(rename = "hosts")]
     pub machines: Vec<ListedMachine>,
     /// Whether another page follows.
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -1,7 +1,7 @@
-//! The protocol's bodies: CBOR maps under the names of the protocol, and their checks.
+//! Request and response bodies of the external protocol, as CBOR maps, and their validation.
 //!
-//! The names of the protocol appear only here, as serde renames; every other module uses the terms
-//! of [`crate::model`]. There is one module for each party: [`users`], [`workers`] and [`cloud`].
+//! The protocol's field names appear only here, as serde renames; every other module uses the terms of
+//! [`crate::model`]. There is one module for each party: [`users`], [`workers`] and [`cloud`].
 
 pub mod cloud;
 pub mod codec;
--- a/src/wire/number.rs
+++ b/src/wire/number.rs
@@ -1,18 +1,18 @@
-//! Numbers, which other parties may send as integers or as decimals.
+//! Deserializers for numbers that other parties may send as integers or as floating-point values.
 
 use std::fmt;
 
 use serde::de::{Deserializer, Visitor};
 use serde::Deserialize;
 
-/// A number that may come as an integer or a decimal.
+/// A number in the body as an integer or a floating-point value.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Number(f64);
 
 impl<'de> Deserialize<'de> for Number {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        struct Any;
-        impl Visitor<'_> for Any {
+        struct NumberVisitor;
+        impl Visitor<'_> for NumberVisitor {
             type Value = Number;
             fn expecting(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
                 formatter.write_str("a number")
@@ -27,16 +27,16 @@
                 Ok(Number(value as f64))
             }
         }
-        deserializer.deserialize_any(Any)
+        deserializer.deserialize_any(NumberVisitor)
     }
 }
 
-/// Reads a number of either form.
+/// Deserializes a number of either form.
 pub(super) fn number<'de, D: Deserializer<'de>>(deserializer: D) -> Result<f64, D::Error> {
     Number::deserialize(deserializer).map(|number| number.0)
 }
 
-/// Reads a number of either form that may be absent.
+/// Deserializes a number of either form, or `None` for null.
 pub(super) fn optional_number<'de, D: Deserializer<'de>>(
     deserializer: D,
 ) -> Result<Option<f64>, D::Error> {
--- a/src/wire/users.rs
+++ b/src/wire/users.rs
@@ -1,4 +1,4 @@
-//! Bodies between users and this system.
+//! Bodies of users' requests and of their responses.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,9 +6,9 @@
 use super::WireError;
 use crate::model::{JobId, JobKind, JobSpec, Priority, Resources};
 
-/// Most tasks a job may have.
+/// Largest number of tasks in a job.
 pub const JOB_TASKS_MAX: u64 = 100_000;
-/// A job as users submit it.
+/// The body of a submission, before its values are validated.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct JobBody {
     #[serde(rename = "nameId")]
@@ -54,12 +54,12 @@
 }
 
 impl JobBody {
-    /// Checks every field.
+    /// Validates every field and converts the submission to the job's specification.
     pub fn check(self) -> Result<JobSpec, WireError> {
-        let id = JobId::parse(&self.id).ok_or(WireError::Field("nameId"))?;
+        let id = JobId::parse(&self.id).ok_or(WireError::InvalidField("nameId"))?;
         let kind = self.job_kind()?;
         let priority = self.job_priority()?;
-        let tasks = self.task_count()?;
+        let tasks = self.valid_task_count()?;
         self.check_amounts()?;
         self.check_texts()?;
         Ok(JobSpec {
@@ -92,10 +92,10 @@
         match self.kind.as_str() {
             "array" => Ok(JobKind::Array),
             "group" => Ok(JobKind::Gang),
-            // Not on the protocol's page, but the users' loopback check submits one; see
-            // docs/questions.md.
+            // The protocol's description does not list this kind, but the users' loopback check submits such
+            // a job; see docs/questions.md.
             "standing" => Ok(JobKind::Service),
-            _ => Err(WireError::Field("shape")),
+            _ => Err(WireError::InvalidField("shape")),
         }
     }
 
@@ -105,14 +105,14 @@
             "urgent" => Ok(Priority::Urgent),
             "standard" => Ok(Priority::Standard),
             "best_effort" => Ok(Priority::BestEffort),
-            _ => Err(WireError::Field("rank")),
+            _ => Err(WireError::InvalidField("rank")),
         }
     }
 
-    fn task_count(&self) -> Result<u32, WireError> {
-        let whole = self.tasks.fract() == 0.0;
-        if !whole || self.tasks < 1.0 || self.tasks > JOB_TASKS_MAX as f64 {
-            return Err(WireError::Field("strands"));
+    fn valid_task_count(&self) -> Result<u32, WireError> {
+        let is_whole = self.tasks.fract() == 0.0;
+        if !is_whole || self.tasks < 1.0 || self.tasks > JOB_TASKS_MAX as f64 {
+            return Err(WireError::InvalidField("strands"));
         }
         Ok(self.tasks as u32)
     }
@@ -132,7 +132,7 @@
             .into_iter()
             .find(|(_, amount)| !amount.is_finite() || *amount < 0.0);
         match invalid {
-            Some((field, _)) => Err(WireError::Field(field)),
+            Some((field, _)) => Err(WireError::InvalidField(field)),
             None => Ok(()),
         }
     }
@@ -144,29 +144,29 @@
             ("bundle", &self.image),
         ];
         match texts.into_iter().find(|(_, text)| text.is_empty()) {
-            Some((field, _)) => Err(WireError::Field(field)),
+            Some((field, _)) => Err(WireError::InvalidField(field)),
             None => Ok(()),
         }
     }
 }
 
-/// A job's state as users see it.
+/// A job's status as reported to its user.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct JobState {
-    /// The job.
+    /// The job's id.
     #[serde(rename = "nameId")]
     pub id: String,
     /// `pending`, `running`, `done` or `cancelled`.
     pub status: String,
-    /// Tasks completed.
+    /// Number of completed tasks.
     pub done: u32,
-    /// Tasks running.
+    /// Number of running tasks.
     pub running: u32,
 }
 
-/// An error as users and operators see it.
+/// The body of an error response, for users, agents and operators.
 #[derive(Debug, Serialize)]
 pub struct Problem {
-    /// What is wrong.
+    /// The reason for the error, in words.
     pub error: String,
 }
--- a/src/wire/workers.rs
+++ b/src/wire/workers.rs
@@ -1,4 +1,4 @@
-//! Bodies between the agents on machines and this system.
+//! Bodies between the agents on machines and the controllers.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,18 +8,18 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TaskPhase {
-    /// Its image is being pulled.
+    /// The agent is pulling the task's image.
     #[serde(rename = "pulling")]
     PullingImage,
-    /// It waits at the gang barrier.
+    /// The task waits at the gang barrier for the other members.
     #[serde(rename = "gathering")]
     AwaitingGang,
-    /// It runs.
+    /// The task's process is running.
     Running,
-    /// It writes a checkpoint.
+    /// The task is writing a checkpoint.
     #[serde(rename = "flushing")]
     Checkpointing,
-    /// It has exited.
+    /// The task has exited; the agent reports it until it is cleared.
     Exited,
 }
 
@@ -27,28 +27,29 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ExitCause {
-    /// It completed.
+    /// The task completed.
     Done,
-    /// A command stopped it.
+    /// A command terminated the task.
     Stopped,
-    /// A member of its gang was lost.
+    /// Another member of the gang was lost.
     #[serde(rename = "mates_gone")]
     GangMemberLost,
     /// The gang barrier timed out.
     #[serde(rename = "alone")]
     GangBarrierTimeout,
-    /// It failed.
+    /// The task failed.
     Error,
-    /// Refused: insufficient capacity.
+    /// The agent rejected the start: insufficient capacity.
     #[serde(rename = "no_room")]
     InsufficientCapacity,
-    /// Refused: another attempt of it is present.
+    /// The agent rejected the start: another attempt of the task is present.
     #[serde(rename = "in_use")]
     AlreadyPresent,
-    /// Refused: the task is unknown.
+    /// The agent rejected the start: the task is unknown to it.
     #[serde(rename = "unknown")]
     UnknownTask,
-    /// A cause unknown to this version; handled as a failure that is attributed to nothing.
+    /// A cause that this version does not support; handled as a failure that is attributed to neither the job
+    /// nor the machine.
     #[serde(other)]
     Other,
 }
@@ -56,19 +57,19 @@
 /// The status of one task in a heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TaskStatus {
-    /// `job/number`.
+    /// The task's id, `job/number`.
     #[serde(rename = "strand")]
     pub task: String,
-    /// The attempt.
+    /// The attempt number of the start.
     #[serde(rename = "try")]
     pub attempt: u64,
-    /// Its phase.
+    /// The phase at the time of the heartbeat.
     #[serde(rename = "status")]
     pub phase: TaskPhase,
-    /// Why it exited.
+    /// Why the task exited; absent in other phases.
     #[serde(default)]
     pub cause: Option<ExitCause>,
-    /// Whether it wrote its last checkpoint.
+    /// Whether the task wrote its last checkpoint; absent if the agent does not report it.
     #[serde(default)]
     pub saved: Option<bool>,
 }
@@ -76,34 +77,34 @@
 /// A heartbeat of the agent on a machine.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The machine.
+    /// The machine's name in the cloud's list.
     #[serde(rename = "host")]
     pub machine: String,
-    /// The address that takes direct commands.
+    /// The agent's address for direct commands; empty if not reported.
     #[serde(default)]
     pub address: String,
-    /// Its type.
+    /// The machine type; empty if not reported.
     #[serde(rename = "build", default)]
     pub machine_type: String,
-    /// Its zone.
+    /// The machine's zone; empty if not reported.
     #[serde(rename = "yard", default)]
     pub zone: String,
     /// Whether it is a spot machine.
     #[serde(rename = "loaners", default)]
     pub spot: bool,
-    /// The agent epoch.
+    /// The agent epoch; messages of a later epoch supersede those of earlier ones.
     #[serde(rename = "tenure")]
     pub epoch: u64,
-    /// The sequence number.
+    /// The heartbeat's sequence number within the epoch.
     #[serde(rename = "tally")]
     pub sequence: u64,
-    /// The highest fencing token that the agent has seen.
+    /// The highest fencing token that the agent has received.
     #[serde(rename = "baton")]
     pub token: u64,
-    /// Seconds until the cloud preempts the machine, once it has given notice.
+    /// Seconds until the cloud preempts the machine; absent without a preemption notice.
     #[serde(rename = "recallS", default, deserialize_with = "optional_number")]
     pub notice_s: Option<f64>,
-    /// All tasks on the machine.
+    /// All tasks present on the machine.
     #[serde(rename = "strands", default)]
     pub tasks: Vec<TaskStatus>,
 }
@@ -114,31 +115,31 @@
 pub enum WorkerCommand {
     /// Start a task.
     Run {
-        /// The task.
+        /// The task's id.
         #[serde(rename = "strand")]
         task: String,
-        /// The attempt.
+        /// The attempt number of the start.
         #[serde(rename = "try")]
         attempt: u64,
     },
-    /// Stop a task.
+    /// Terminate a task.
     Kill {
-        /// The task.
+        /// The task's id.
         #[serde(rename = "strand")]
         task: String,
-        /// The attempt.
+        /// The attempt number of the start.
         #[serde(rename = "try")]
         attempt: u64,
-        /// The grace period for its last checkpoint.
+        /// The grace period for the last checkpoint, in seconds.
         #[serde(rename = "windDownS")]
         grace_s: f64,
     },
-    /// Forget an exited task.
+    /// Remove an exited task from the agent's reports.
     Clear {
-        /// The task.
+        /// The task's id.
         #[serde(rename = "strand")]
         task: String,
-        /// The attempt.
+        /// The attempt number of the start.
         #[serde(rename = "try")]
         attempt: u64,
     },
@@ -150,29 +151,29 @@
     /// The fencing token of the sender.
     #[serde(rename = "baton")]
     pub token: u64,
-    /// Commands for the agent.
+    /// The commands for the agent, in order.
     #[serde(rename = "orders")]
     pub commands: Vec<WorkerCommand>,
 }
 
-/// Redirects an agent to another controller.
+/// The body of a response that redirects an agent to another controller.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Redirect {
-    /// The leader hint: the controller that takes heartbeats.
+    /// The leader hint: the name of the controller that accepts heartbeats; absent if no leader is known.
     #[serde(rename = "answerTo", skip_serializing_if = "Option::is_none")]
     pub report_to: Option<String>,
 }
 
-/// Commands that the leader sends directly to an agent.
+/// Commands that the leader sends directly to an agent instead of in a heartbeat response.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct DirectCommand {
     /// The fencing token of the sender.
     #[serde(rename = "baton")]
     pub token: u64,
-    /// The agent epoch that the commands are meant for.
+    /// The agent epoch for which the commands are intended.
     #[serde(rename = "tenure")]
     pub epoch: u64,
-    /// The commands.
+    /// The commands for the agent, in order of execution.
     #[serde(rename = "orders")]
     pub commands: Vec<WorkerCommand>,
 }
