--- a/examples/row_cost.rs
+++ b/examples/row_cost.rs
@@ -8,7 +8,7 @@
 
 use knotlanding::config::{Peer, Settings};
 use knotlanding::features::{Features, LinkFeatures};
-use knotlanding::peer::links::take_bytes;
+use knotlanding::peer::links::accept_encoded_row;
 use knotlanding::service::Shared;
 use knotlanding::wire::Heartbeat;
 
@@ -20,10 +20,10 @@
     let mut settings = Settings::parse(text, "example").unwrap();
     settings.member = format!("knot-{member}");
     let others = (0..count).filter(|other| *other != member);
-    settings.known = others
+    settings.peers = others
         .map(|other| Peer {
             member: format!("knot-{other}"),
-            area: String::new(),
+            zone: String::new(),
             peer_addr: "127.0.0.1:1".parse().unwrap(),
         })
         .collect();
@@ -76,7 +76,7 @@
         bytes = encoded.len();
         let began = Instant::now();
         let receiver = controllers[1].links.active().unwrap();
-        take_bytes(receiver, &encoded, now, SystemTime::now()).unwrap();
+        accept_encoded_row(receiver, &encoded, now, SystemTime::now()).unwrap();
         taken += began.elapsed();
     }
     for sender in &controllers[1..] {
@@ -87,7 +87,7 @@
             .next_row(None, now, SystemTime::now());
         let encoded = knotlanding::peer::encode(&row.to_message()).unwrap();
         let receiver = controllers[0].links.active().unwrap();
-        take_bytes(receiver, &encoded, now, SystemTime::now()).unwrap();
+        accept_encoded_row(receiver, &encoded, now, SystemTime::now()).unwrap();
     }
     let began = Instant::now();
     for _ in 0..ROWS {
--- a/src/actors/forward.rs
+++ b/src/actors/forward.rs
@@ -15,8 +15,8 @@
 use crate::forwarding::messages::{BatchAnswer, HeartbeatBatch, BATCH_BODY_LIMIT, BATCH_VERSION};
 use crate::forwarding::{batch_delay, QueuedHeartbeat, UpstreamFailure, BATCH_LIMIT};
 use crate::leader::{LeaderHint, Role};
-use crate::peer::heartbeats::HEARTBEATS;
-use crate::peer::{self, BINCODE};
+use crate::peer::heartbeats::HEARTBEATS_PATH;
+use crate::peer::{self, BINCODE_CONTENT_TYPE};
 use crate::service::Shared;
 use crate::time::unix_ms;
 
@@ -145,9 +145,9 @@
         }
         let sent = self
             .http
-            .post(format!("http://{address}{HEARTBEATS}"))
+            .post(format!("http://{address}{HEARTBEATS_PATH}"))
             .timeout(BATCH_LIMIT)
-            .content_type(BINCODE)
+            .content_type(BINCODE_CONTENT_TYPE)
             .send_body(body);
         let mut answer = sent.await.map_err(|error| failure_of(&error))?;
         let bytes = answer.body().limit(BATCH_BODY_LIMIT).await;
--- a/src/actors/links.rs
+++ b/src/actors/links.rs
@@ -11,8 +11,8 @@
 use knotlanding_links::row::RowReply;
 use tracing::debug;
 
-use crate::peer::links::LINKS;
-use crate::peer::{self, BINCODE};
+use crate::peer::links::ROWS_PATH;
+use crate::peer::{self, BINCODE_CONTENT_TYPE};
 use crate::service::links::ROW_INTERVAL;
 use crate::service::Shared;
 use crate::store::actor::{Commit, StoreActor};
@@ -51,7 +51,7 @@
 impl LinksActor {
     /// Sends rows through `http` and writes probes through `store`.
     pub fn new(shared: Arc<Shared>, store: Addr<StoreActor>, http: Client) -> Self {
-        let known = shared.settings.known.iter();
+        let known = shared.settings.peers.iter();
         let peers = known.map(|peer| RowPeer {
             member: peer.member.clone(),
             address: peer.peer_addr,
@@ -113,9 +113,9 @@
     fn send_row(&self, peer: &RowPeer, body: Bytes, own: Addr<Self>) {
         let request = self
             .http
-            .post(format!("http://{}{LINKS}", peer.address))
+            .post(format!("http://{}{ROWS_PATH}", peer.address))
             .timeout(RESPONSE_TIMEOUT)
-            .content_type(BINCODE)
+            .content_type(BINCODE_CONTENT_TYPE)
             .send_body(body);
         let (shared, member) = (self.shared.clone(), peer.member.clone());
         actix::spawn(async move {
--- a/src/actors/peers/store_contact.rs
+++ b/src/actors/peers/store_contact.rs
@@ -18,9 +18,13 @@
         return;
     }
     shared.links.peers_asked(Instant::now());
-    for peer in &shared.settings.known {
+    for peer in &shared.settings.peers {
         let sent = http
-            .get(format!("http://{}{}", peer.peer_addr, contact::CONTACT))
+            .get(format!(
+                "http://{}{}",
+                peer.peer_addr,
+                contact::STORE_CONTACT_PATH
+            ))
             .timeout(RESPONSE_TIMEOUT)
             .send();
         let shared = shared.clone();
--- a/src/actors/peers/summaries.rs
+++ b/src/actors/peers/summaries.rs
@@ -12,8 +12,8 @@
 
 use super::RESPONSE_TIMEOUT;
 use crate::model::Term;
-use crate::peer::summary::SUMMARY;
-use crate::peer::{self, BINCODE};
+use crate::peer::summary::SUMMARY_PATH;
+use crate::peer::{self, BINCODE_CONTENT_TYPE};
 use crate::service::Shared;
 use crate::state_summary::{
     StateSummary, SummaryContents, SummaryRecipient, SummaryReply, SUMMARY_BYTES_MAX,
@@ -44,7 +44,7 @@
 
 impl SummaryPublisher {
     pub(super) fn new(shared: Arc<Shared>, http: Client) -> Self {
-        let known = shared.settings.known.iter();
+        let known = shared.settings.peers.iter();
         let peers = known.map(|peer| SummaryPeer {
             member: peer.member.clone(),
             address: peer.peer_addr,
@@ -132,9 +132,9 @@
     fn send(&self, peer: &SummaryPeer, body: Bytes) {
         let sent = self
             .http
-            .post(format!("http://{}{}", peer.address, SUMMARY))
+            .post(format!("http://{}{}", peer.address, SUMMARY_PATH))
             .timeout(RESPONSE_TIMEOUT)
-            .content_type(BINCODE)
+            .content_type(BINCODE_CONTENT_TYPE)
             .send_body(body);
         let (recipient, number) = (peer.recipient.clone(), self.number);
         let (shared, member) = (self.shared.clone(), peer.member.clone());
--- a/src/actors/scheduler.rs
+++ b/src/actors/scheduler.rs
@@ -77,7 +77,7 @@
             http: self.http.clone(),
             unmet_demand: self.unmet_demand.clone(),
             writes_backoff_until: Mutex::default(),
-            direct_commands: Semaphore::new(self.shared.sockets.direct),
+            direct_commands: Semaphore::new(self.shared.sockets.direct_commands),
         };
         actix::spawn(Rc::new(scheduler).run());
     }
@@ -159,7 +159,7 @@
             actix::spawn(self.clone().command(command));
         }
         let mut metrics = self.shared.metrics.lock();
-        metrics.add_round(now.elapsed());
+        metrics.add_scheduling_cycle(now.elapsed());
         metrics.counts.direct_commands += commands_sent;
         metrics.counts.records_written += records_written;
         if let Some(reconciled_after) = outcome.reconciled_after {
@@ -283,7 +283,7 @@
             .timeout(DIRECT_COMMAND_TIMEOUT)
             // Kept open, these would take a second socket for each machine.
             .force_close()
-            .content_type(wire::CBOR)
+            .content_type(wire::CBOR_CONTENT_TYPE)
             .send_body(wire::encode(&body))
             .await;
         let Ok(mut answer) = sent else {
@@ -293,7 +293,7 @@
             }
             return;
         };
-        let Ok(bytes) = answer.body().limit(wire::BODY_LIMIT).await else {
+        let Ok(bytes) = answer.body().limit(wire::BODY_BYTES_MAX).await else {
             return;
         };
         let Ok(heartbeat) = wire::decode::<Heartbeat>(&bytes) else {
--- a/src/api/admin/mod.rs
+++ b/src/api/admin/mod.rs
@@ -18,7 +18,7 @@
 use crate::leader::Role;
 use crate::service::Shared;
 use crate::store::actor::StoreActor;
-use crate::wire::Problem;
+use crate::wire::ErrorBody;
 
 /// Largest request body accepted from an operator.
 const BODY_BYTES_MAX: usize = 64 * 1024;
@@ -68,7 +68,7 @@
 }
 
 fn error_response(mut response: actix_web::HttpResponseBuilder, error: String) -> HttpResponse {
-    response.json(Problem { error })
+    response.json(ErrorBody { error })
 }
 
 fn store_unavailable() -> HttpResponse {
--- a/src/api/admin/settings.rs
+++ b/src/api/admin/settings.rs
@@ -61,7 +61,7 @@
     store: &Addr<StoreActor>,
     requested: VersionedSettings,
 ) -> HttpResponse {
-    let value_kb = shared.settings.params.state.value_kb;
+    let value_kb = shared.settings.params.store.value_kb;
     if let Err(error) = requested.settings.validate(value_kb) {
         return error_response(HttpResponse::BadRequest(), error.to_string());
     }
--- a/src/api/links.rs
+++ b/src/api/links.rs
@@ -13,7 +13,7 @@
 
 use crate::service::links::ActiveLinks;
 use crate::service::Shared;
-use crate::wire::Problem;
+use crate::wire::ErrorBody;
 
 #[derive(Debug, Serialize)]
 struct PeerLinksView {
@@ -148,7 +148,7 @@
 pub async fn links(shared: web::Data<Shared>) -> HttpResponse {
     match shared.links.active() {
         Some(active) => HttpResponse::Ok().json(links_view(&shared, active, Instant::now())),
-        None => HttpResponse::NotFound().json(Problem {
+        None => HttpResponse::NotFound().json(ErrorBody {
             error: "links are not turned on here; see deploy/features.toml".to_owned(),
         }),
     }
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -16,7 +16,7 @@
 use serde::Serialize;
 
 use crate::service::Shared;
-use crate::wire::{self, Problem};
+use crate::wire::{self, ErrorBody};
 
 /// `Retry-After` of a temporarily rejected request, in seconds.
 pub const RETRY_AFTER_S: u32 = 1;
@@ -24,14 +24,14 @@
 /// Builds a response with a CBOR body.
 pub fn cbor_response<T: Serialize>(status: StatusCode, body: &T) -> HttpResponse {
     HttpResponse::build(status)
-        .content_type(wire::CBOR)
+        .content_type(wire::CBOR_CONTENT_TYPE)
         .body(wire::encode(body))
 }
 
 /// Builds an error response whose CBOR body gives the reason.
 pub fn error_response(status: StatusCode, error: impl Into<String>) -> HttpResponse {
     let error = error.into();
-    cbor_response(status, &Problem { error })
+    cbor_response(status, &ErrorBody { error })
 }
 
 /// Builds an error response with a `Retry-After` header, for a request that may be repeated later.
@@ -51,7 +51,8 @@
 ) -> Result<ServiceResponse<impl MessageBody>, actix_web::Error> {
     let shared = request.app_data::<web::Data<Shared>>().cloned();
     let mut response = next.call(request).await?;
-    if shared.is_some_and(|shared| shared.connections.open() > shared.sockets.users_close) {
+    if shared.is_some_and(|shared| shared.connections.open() > shared.sockets.user_close_threshold)
+    {
         let head = response.response_mut().head_mut();
         head.set_connection_type(ConnectionType::Close);
     }
@@ -61,7 +62,7 @@
 /// Registers the routes of the public address.
 pub fn public_routes(config: &mut web::ServiceConfig) {
     config
-        .app_data(web::PayloadConfig::new(wire::BODY_LIMIT))
+        .app_data(web::PayloadConfig::new(wire::BODY_BYTES_MAX))
         .route("/hello", web::post().to(workers::heartbeat))
         .route("/up", web::get().to(users::health))
         .service(
--- a/src/api/users/submit.rs
+++ b/src/api/users/submit.rs
@@ -20,7 +20,7 @@
     to_value, Change, Condition, StoreError, Transaction, TransactionOutcome, WritePriority,
 };
 use crate::time::unix_ms;
-use crate::wire::{self, JobBody};
+use crate::wire::{self, JobSubmission};
 
 /// `POST /api/jobs`: records a new job; for a job already on record, responds with its status.
 pub async fn submit(
@@ -33,7 +33,7 @@
     let Ok(body) = body else {
         return error_response(StatusCode::BAD_REQUEST, "body too large or cut off");
     };
-    let decoded = wire::decode::<JobBody>(&body).and_then(JobBody::check);
+    let decoded = wire::decode::<JobSubmission>(&body).and_then(JobSubmission::into_spec);
     let spec = match decoded {
         Ok(spec) => spec,
         Err(error) => return error_response(StatusCode::BAD_REQUEST, error.to_string()),
--- a/src/api/workers.rs
+++ b/src/api/workers.rs
@@ -36,7 +36,7 @@
     let first_request = request
         .conn_data::<OpenConnection>()
         .is_some_and(OpenConnection::first_request);
-    let mut response = match receive(&shared, body, &Instant::now) {
+    let mut response = match receive_heartbeat(&shared, body, &Instant::now) {
         HeartbeatOutcome::Answered(response) => response,
         HeartbeatOutcome::Queued(pending) => relay_from_leader(&shared, pending).await,
     };
@@ -50,7 +50,7 @@
     if !agent_stays {
         shared.forwarding.count_misdirected();
     }
-    if !agent_stays || shared.connections.open() > shared.sockets.heartbeats_close {
+    if !agent_stays || shared.connections.open() > shared.sockets.heartbeat_close_threshold {
         let head = response.head_mut();
         head.set_connection_type(ConnectionType::Close);
     }
@@ -59,7 +59,7 @@
 
 /// Responds to a heartbeat, or queues it for the leader. `clock` is read again right before the response is
 /// built, because the process may have been paused since the first reading.
-pub fn receive(
+pub fn receive_heartbeat(
     shared: &Shared,
     body: Result<web::Bytes, actix_web::Error>,
     clock: &dyn Fn() -> Instant,
--- a/src/cluster/machine.rs
+++ b/src/cluster/machine.rs
@@ -12,14 +12,14 @@
 use super::termination::TerminationEvidence;
 use super::{ImageId, MessageOrder, PoolId};
 use crate::model::{Attempt, FencingToken, JobId, JobSpec, MachineId, Resources, TaskId};
-use crate::wire::{ExitCause, BODY_LIMIT};
+use crate::wire::{ExitCause, BODY_BYTES_MAX};
 
 /// Bytes that a task takes in a heartbeat, in the form by which its size is measured.
 const TASK_STATUS_BYTES: usize = 80;
 /// Tasks on a machine, results that wait to be recorded included, above which it gets no more:
 /// half of what a heartbeat may hold. While the records take no progress, results of short tasks
 /// would otherwise pile up until the machine could send no heartbeat.
-const TASKS_PER_MACHINE_MAX: usize = BODY_LIMIT / TASK_STATUS_BYTES / 2;
+const TASKS_PER_MACHINE_MAX: usize = BODY_BYTES_MAX / TASK_STATUS_BYTES / 2;
 
 /// One start of a task.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/src/cluster/recovery.rs
+++ b/src/cluster/recovery.rs
@@ -28,10 +28,10 @@
         wall: SystemTime,
     ) -> Self {
         let inventory =
-            records::MachineInventory::load(&replica.inventory, settings.params.state.value_kb);
+            records::MachineInventory::load(&replica.inventory, settings.params.store.value_kb);
         let unreconciled: BTreeSet<MachineId> = inventory.machines().cloned().collect();
         let (dispatch_log, recovered_targets) =
-            DispatchLog::load(term, &replica.sent, settings.params.state.value_kb);
+            DispatchLog::load(term, &replica.sent, settings.params.store.value_kb);
         let mut cluster = Self {
             term,
             since: now,
@@ -54,7 +54,7 @@
             attempts_issued: 0,
             command_budget: commands::CommandBudget::new(settings.params.resources.cores, now),
             written_versions: HashMap::new(),
-            chunk: done::chunk_size(settings.params.state.value_kb),
+            chunk: done::chunk_size(settings.params.store.value_kb),
             inventory,
             dispatch_log,
             dispatch_recorded_at: None,
--- a/src/config.rs
+++ b/src/config.rs
@@ -43,8 +43,8 @@
     /// The name under which it sends messages to its peers and leads.
     pub member: String,
     /// The zone in which it runs; empty if not given.
-    #[serde(default)]
-    pub area: String,
+    #[serde(default, rename = "area")]
+    pub zone: String,
     /// The address at which its `peer_bind` is reachable from this node.
     pub peer_addr: SocketAddrV4,
 }
@@ -55,7 +55,8 @@
     /// The API of the cloud that rents out machines.
     pub cloud: SocketAddrV4,
     /// The key-value store that all controllers share.
-    pub state: SocketAddrV4,
+    #[serde(rename = "state")]
+    pub store: SocketAddrV4,
 }
 
 /// A team's guarantee and limit. A limit of 0 means that the resource is not managed for the team.
@@ -108,7 +109,7 @@
 
 /// Limits that the key-value store enforces.
 #[derive(Debug, Clone, Deserialize)]
-pub struct StateSettings {
+pub struct StoreSettings {
     /// Requests per second, for all nodes together.
     pub rps: f64,
     /// Puts and deletes per second, for all nodes together.
@@ -159,7 +160,8 @@
     /// Timing of the agents on machines.
     pub workers: WorkerSettings,
     /// Limits that the key-value store enforces.
-    pub state: StateSettings,
+    #[serde(rename = "state")]
+    pub store: StoreSettings,
     /// Limits of the cloud's API.
     pub cloud: CloudSettings,
     /// Resource limits of this process.
@@ -172,15 +174,15 @@
     /// This controller's name, which is not empty and differs from those of its peers.
     pub member: String,
     /// The zone in which this controller runs; empty if not given.
-    #[serde(default)]
-    pub area: String,
+    #[serde(default, rename = "area")]
+    pub zone: String,
     /// The address that serves users, agents and health checks.
     pub public_addr: SocketAddrV4,
     /// The address that serves the other controllers and operators.
     pub peer_bind: SocketAddrV4,
     /// The other controllers of the deployment; without any this node has no peers.
-    #[serde(default)]
-    pub known: Vec<Peer>,
+    #[serde(default, rename = "known")]
+    pub peers: Vec<Peer>,
     /// Addresses of the external systems.
     pub external: External,
     /// Parameters of the deployment.
@@ -217,7 +219,7 @@
         if self.member.is_empty() {
             return Err(invalid_field("member", "must not be empty"));
         }
-        if self.knows(&self.member) {
+        if self.has_peer(&self.member) {
             return Err(invalid_field("known", "names this node itself"));
         }
         self.params
@@ -228,7 +230,7 @@
 
     fn positive_numbers(&self) -> [(&'static str, f64); 14] {
         let params = &self.params;
-        let (workers, state) = (&params.workers, &params.state);
+        let (workers, store) = (&params.workers, &params.store);
         let resources = &params.resources;
         [
             ("params.workers.report_s", workers.report_s),
@@ -236,10 +238,10 @@
             ("params.workers.gang_wait_s", workers.gang_wait_s),
             ("params.workers.gang_peer_s", workers.gang_peer_s),
             ("params.workers.cancel_s", workers.cancel_s),
-            ("params.state.rps", state.rps),
-            ("params.state.write_rps", state.write_rps),
-            ("params.state.value_kb", state.value_kb),
-            ("params.state.txn_ops", state.txn_ops as f64),
+            ("params.state.rps", store.rps),
+            ("params.state.write_rps", store.write_rps),
+            ("params.state.value_kb", store.value_kb),
+            ("params.state.txn_ops", store.txn_ops as f64),
             ("params.cloud.rps", params.cloud.rps),
             ("params.count", params.count as f64),
             ("params.resources.cores", resources.cores),
@@ -249,13 +251,13 @@
     }
 
     /// Whether another controller has this name.
-    pub fn knows(&self, member: &str) -> bool {
-        self.known.iter().any(|peer| peer.member == member)
+    pub fn has_peer(&self, member: &str) -> bool {
+        self.peers.iter().any(|peer| peer.member == member)
     }
 
     /// The peer address of another controller, if the settings name it.
     pub fn peer_address(&self, member: &str) -> Option<SocketAddrV4> {
-        let peer = self.known.iter().find(|peer| peer.member == member);
+        let peer = self.peers.iter().find(|peer| peer.member == member);
         peer.map(|peer| peer.peer_addr)
     }
 
--- a/src/fleet/client.rs
+++ b/src/fleet/client.rs
@@ -7,7 +7,7 @@
 use awc::Client;
 use thiserror::Error;
 
-use crate::http::{OutgoingRequest, Remote};
+use crate::http::{HttpEndpoint, OutgoingRequest};
 use crate::model::{MachineId, MachineType};
 use crate::wire::{self, MachineNames, MachinePage, MachineTypeCatalog, RentalRequest};
 
@@ -38,14 +38,14 @@
 /// The client.
 #[derive(Clone)]
 pub struct CloudClient {
-    remote: Remote,
+    remote: HttpEndpoint,
 }
 
 impl CloudClient {
     /// A client of the cloud at `address`.
     pub fn new(address: SocketAddrV4, http: Client) -> Self {
         Self {
-            remote: Remote::new(address, http, BODY_SIZE_MAX),
+            remote: HttpEndpoint::new(address, http, BODY_SIZE_MAX),
         }
     }
 
@@ -59,7 +59,7 @@
             method,
             path,
             body,
-            limit: REQUEST_TIMEOUT,
+            timeout: REQUEST_TIMEOUT,
         };
         let answer = self.remote.send(request).await;
         let (status, body) = answer.map_err(|_| CloudError::Unknown)?;
--- a/src/forwarding/mod.rs
+++ b/src/forwarding/mod.rs
@@ -16,7 +16,7 @@
 use crate::config::Settings;
 use crate::leader::LeaderHint;
 use crate::model::FencingToken;
-use crate::wire::{Heartbeat, HeartbeatResponse, BODY_LIMIT};
+use crate::wire::{Heartbeat, HeartbeatResponse, BODY_BYTES_MAX};
 
 /// An agent drops a response 4 s after it sent the heartbeat. No response is relayed later than this
 /// after the heartbeat arrived: the rest is for its way here and back.
@@ -28,11 +28,11 @@
 /// Heartbeats in a batch.
 pub const BATCH_HEARTBEATS_MAX: usize = 128;
 /// Bytes of the agents' bodies in a batch. The largest single body always fits.
-pub const BATCH_BYTES_MAX: usize = 4 * BODY_LIMIT;
+pub const BATCH_BYTES_MAX: usize = 4 * BODY_BYTES_MAX;
 /// Part of the memory for the bodies of queued heartbeats.
 const QUEUE_MEMORY_PART: f64 = 1.0 / 64.0;
 /// The queue may always hold this many bytes.
-const QUEUED_BYTES_MIN: usize = 16 * BODY_LIMIT;
+const QUEUED_BYTES_MIN: usize = 16 * BODY_BYTES_MAX;
 
 /// Limits of the queue. Beyond them an agent is rejected at once, and tries the next node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/src/forwarding/tests.rs
+++ b/src/forwarding/tests.rs
@@ -111,13 +111,13 @@
         let queued =
             follower
                 .forwarding
-                .enqueue(heartbeat(*sequence, FencingToken(0)), BODY_LIMIT, now);
+                .enqueue(heartbeat(*sequence, FencingToken(0)), BODY_BYTES_MAX, now);
         queued.map(|heartbeat| pending.push(heartbeat)).is_err()
     });
-    let taken = refused.unwrap() as usize * BODY_LIMIT;
+    let taken = refused.unwrap() as usize * BODY_BYTES_MAX;
     assert!(taken <= LIMITS.bytes && taken * 2 > LIMITS.bytes);
     let batch = follower.forwarding.next_batch(&leader(3), now).unwrap();
-    assert!(!batch.is_empty() && batch.len() * BODY_LIMIT <= BATCH_BYTES_MAX);
+    assert!(!batch.is_empty() && batch.len() * BODY_BYTES_MAX <= BATCH_BYTES_MAX);
 }
 
 /// A batch is never sent again, and what waits behind it is given up with it.
--- a/src/http.rs
+++ b/src/http.rs
@@ -12,18 +12,18 @@
 
 /// Why a request got no usable response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-pub enum RequestFailure {
+pub enum RequestError {
     /// No complete response arrived in time.
     #[error("no complete response in time")]
-    NoAnswer,
+    NoResponse,
     /// The response body exceeds the size limit.
     #[error("the response body is too large")]
-    AnswerTooLarge,
+    ResponseTooLarge,
 }
 
 /// The address of a server and the HTTP client with its pooled connections.
 #[derive(Clone)]
-pub struct Remote {
+pub struct HttpEndpoint {
     base_url: String,
     http: Client,
     body_bytes_max: usize,
@@ -38,10 +38,10 @@
     /// The CBOR body, if the request has one.
     pub body: Option<Vec<u8>>,
     /// Time limit for the response.
-    pub limit: Duration,
+    pub timeout: Duration,
 }
 
-impl Remote {
+impl HttpEndpoint {
     /// Creates the endpoint for the server at `address`. Response bodies larger than `body_bytes_max` are
     /// rejected.
     pub fn new(address: SocketAddrV4, http: Client, body_bytes_max: usize) -> Self {
@@ -57,24 +57,26 @@
     pub async fn send(
         &self,
         outgoing: OutgoingRequest<'_>,
-    ) -> Result<(u16, Vec<u8>), RequestFailure> {
+    ) -> Result<(u16, Vec<u8>), RequestError> {
         let request = self
             .http
             .request(
                 outgoing.method,
                 format!("{}{}", self.base_url, outgoing.path),
             )
-            .timeout(outgoing.limit);
+            .timeout(outgoing.timeout);
         let sent = match outgoing.body {
-            Some(body) => request.content_type(wire::CBOR).send_body(body),
+            Some(body) => request
+                .content_type(wire::CBOR_CONTENT_TYPE)
+                .send_body(body),
             None => request.send(),
         };
-        let mut response = sent.await.map_err(|_| RequestFailure::NoAnswer)?;
+        let mut response = sent.await.map_err(|_| RequestError::NoResponse)?;
         let status = response.status().as_u16();
         match response.body().limit(self.body_bytes_max).await {
             Ok(body) => Ok((status, body.to_vec())),
-            Err(PayloadError::Overflow) => Err(RequestFailure::AnswerTooLarge),
-            Err(_) => Err(RequestFailure::NoAnswer),
+            Err(PayloadError::Overflow) => Err(RequestError::ResponseTooLarge),
+            Err(_) => Err(RequestError::NoResponse),
         }
     }
 }
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -196,7 +196,7 @@
 
 impl Metrics {
     /// Records a scheduling cycle of this duration.
-    pub fn add_round(&mut self, duration: Duration) {
+    pub fn add_scheduling_cycle(&mut self, duration: Duration) {
         self.cycle_durations.add(duration);
         self.cycles_total += duration;
     }
--- a/src/peer/cancelled.rs
+++ b/src/peer/cancelled.rs
@@ -8,7 +8,7 @@
 use crate::service::Shared;
 
 /// Path of notifications of cancelled jobs.
-pub const CANCELLED: &str = "/peer/cancelled";
+pub const CANCELLED_PATH: &str = "/peer/cancelled";
 /// Largest body accepted, which holds more jobs than a peer queues at once, see
 /// [`crate::service::UnpublishedCancellations`].
 pub const CANCELLED_BYTES_MAX: usize = 64 * 1024;
@@ -18,7 +18,7 @@
 /// notification only makes tasks stop earlier; [`crate::leader::ReplicaFreshness`] ensures that they stop
 /// by the cancellation deadline.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Cancelled {
+pub struct CancellationNotice {
     /// Name of the sending controller; notifications from unknown ones are rejected.
     pub member: String,
     /// The cancelled jobs, at most as many as the sender queues.
@@ -27,10 +27,10 @@
 
 /// `POST /peer/cancelled`: stops the tasks of the cancelled jobs.
 pub async fn receive_cancelled(shared: web::Data<Shared>, body: web::Bytes) -> HttpResponse {
-    let Some(notification) = decode::<Cancelled>(&body) else {
+    let Some(notification) = decode::<CancellationNotice>(&body) else {
         return HttpResponse::BadRequest().finish();
     };
-    if !shared.settings.knows(&notification.member) {
+    if !shared.settings.has_peer(&notification.member) {
         return HttpResponse::Forbidden().finish();
     }
     shared.cancel_tasks(&notification.jobs);
--- a/src/peer/contact.rs
+++ b/src/peer/contact.rs
@@ -6,7 +6,7 @@
 use crate::timing::{FOLLOWER_WATCH_TIMEOUT, WATCH_GRACE};
 
 /// Path of the query. The name dates from version 0.1.0 and stays for compatibility with older nodes.
-pub const CONTACT: &str = "/peer/pulse";
+pub const STORE_CONTACT_PATH: &str = "/peer/pulse";
 
 /// `GET /peer/pulse`: 204 if this node has recent contact with the key-value store, otherwise 503.
 pub async fn store_contact(shared: web::Data<Shared>) -> HttpResponse {
--- a/src/peer/heartbeats.rs
+++ b/src/peer/heartbeats.rs
@@ -11,7 +11,7 @@
 use thiserror::Error;
 use tracing::{debug, warn};
 
-use super::BINCODE;
+use super::BINCODE_CONTENT_TYPE;
 use crate::forwarding::messages::{BatchAnswer, ForwardedAnswer, HeartbeatBatch, BATCH_VERSION};
 use crate::leader::Role;
 use crate::service::heartbeats::{decide, HeartbeatDecision};
@@ -20,7 +20,7 @@
 use crate::wire::Heartbeat;
 
 /// Path of forwarded heartbeats; the name is part of the wire format.
-pub const HEARTBEATS: &str = "/peer/reports";
+pub const HEARTBEATS_PATH: &str = "/peer/reports";
 /// Maximum age of a batch by the time of day. No agent still waits for the responses to an older one.
 pub const BATCH_AGE_MAX: Duration = Duration::from_secs(4);
 
@@ -90,7 +90,7 @@
     wall: SystemTime,
 ) -> Result<BatchAnswer, BatchError> {
     let batch = decode_batch(bytes)?;
-    if !shared.settings.knows(&batch.member) {
+    if !shared.settings.has_peer(&batch.member) {
         return Err(BatchError::UnknownMember(batch.member));
     }
     check_age(shared, &batch, wall)?;
@@ -143,7 +143,9 @@
         .and_then(|bytes| answer_batch(&shared, &bytes, &Instant::now, SystemTime::now()));
     match result {
         Ok(answer) => match super::encode(&answer) {
-            Some(bytes) => HttpResponse::Ok().content_type(BINCODE).body(bytes),
+            Some(bytes) => HttpResponse::Ok()
+                .content_type(BINCODE_CONTENT_TYPE)
+                .body(bytes),
             None => HttpResponse::InternalServerError().finish(),
         },
         Err(error) => reject(&error),
--- a/src/peer/links.rs
+++ b/src/peer/links.rs
@@ -7,13 +7,13 @@
 use actix_web::{web, HttpResponse};
 use knotlanding_links::row::{RowMessage, RowRejection, RowReply, ROW_VERSION};
 
-use super::{decode, decode_prefix, encode, BINCODE};
+use super::{decode, decode_prefix, encode, BINCODE_CONTENT_TYPE};
 use crate::service::links::ActiveLinks;
 use crate::service::Shared;
 use crate::time::unix_ms;
 
 /// Path of rows of the connectivity matrix.
-pub const LINKS: &str = "/peer/links";
+pub const ROWS_PATH: &str = "/peer/links";
 
 /// Decodes a row; after an unknown version the rest is not decoded.
 pub fn decode_row(bytes: &[u8]) -> Result<RowMessage, RowRejection> {
@@ -26,7 +26,7 @@
 
 /// Decodes a row and applies it to the matrix. A row that can't be decoded is counted as rejected, without
 /// a sender.
-pub fn take_bytes(
+pub fn accept_encoded_row(
     active: &ActiveLinks,
     bytes: &[u8],
     now: Instant,
@@ -62,7 +62,7 @@
         return HttpResponse::NotFound().finish();
     };
     let result = match body {
-        Ok(bytes) => take_bytes(active, &bytes, Instant::now(), SystemTime::now()),
+        Ok(bytes) => accept_encoded_row(active, &bytes, Instant::now(), SystemTime::now()),
         Err(_) => {
             active.refuse_row("", RowRejection::Body);
             Err(RowRejection::Body)
@@ -71,7 +71,9 @@
     match result {
         Ok(reply) => {
             let bytes = encode(&reply).unwrap_or_default();
-            HttpResponse::Ok().content_type(BINCODE).body(bytes)
+            HttpResponse::Ok()
+                .content_type(BINCODE_CONTENT_TYPE)
+                .body(bytes)
         }
         Err(rejection) => HttpResponse::build(rejection_status(rejection)).finish(),
     }
--- a/src/peer/links/tests.rs
+++ b/src/peer/links/tests.rs
@@ -14,9 +14,9 @@
 fn shared() -> std::sync::Arc<Shared> {
     let text = include_str!("../../../deploy/example.toml");
     let mut settings = Settings::parse(text, "example").unwrap();
-    settings.known = vec![Peer {
+    settings.peers = vec![Peer {
         member: "knot-1".to_owned(),
-        area: String::new(),
+        zone: String::new(),
         peer_addr: "127.0.0.1:1".parse().unwrap(),
     }];
     let links = Some(LinkFeatures::default());
@@ -45,7 +45,7 @@
 }
 
 fn accept(shared: &Shared, bytes: &[u8]) -> Result<RowReply, RowRejection> {
-    take_bytes(
+    accept_encoded_row(
         shared.links.active().unwrap(),
         bytes,
         Instant::now(),
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -17,7 +17,7 @@
 use serde::Serialize;
 
 /// Content type of the bodies between the controllers.
-pub const BINCODE: &str = "application/x-bincode";
+pub const BINCODE_CONTENT_TYPE: &str = "application/x-bincode";
 /// Maximum memory of a decoded message in bytes. `bincode` counts a list by the size of its items in
 /// memory, which is several times their encoded size: with the limit of the body itself, a state summary
 /// of 4,000 machines arrived complete but could not be decoded.
@@ -49,28 +49,31 @@
 pub fn routes(config: &mut web::ServiceConfig) {
     config
         .service(
-            web::resource(summary::SUMMARY)
+            web::resource(summary::SUMMARY_PATH)
                 .app_data(web::PayloadConfig::new(
                     crate::state_summary::SUMMARY_BYTES_MAX,
                 ))
                 .route(web::post().to(summary::receive_summary)),
         )
         .service(
-            web::resource(cancelled::CANCELLED)
+            web::resource(cancelled::CANCELLED_PATH)
                 .app_data(web::PayloadConfig::new(cancelled::CANCELLED_BYTES_MAX))
                 .route(web::post().to(cancelled::receive_cancelled)),
         )
         .service(
-            web::resource(heartbeats::HEARTBEATS)
+            web::resource(heartbeats::HEARTBEATS_PATH)
                 .app_data(web::PayloadConfig::new(
                     crate::forwarding::messages::BATCH_BODY_LIMIT,
                 ))
                 .route(web::post().to(heartbeats::receive_batch)),
         )
         .service(
-            web::resource(links::LINKS)
+            web::resource(links::ROWS_PATH)
                 .app_data(web::PayloadConfig::new(ROW_BYTES_MAX))
                 .route(web::post().to(links::receive_row)),
         )
-        .route(contact::CONTACT, web::get().to(contact::store_contact));
+        .route(
+            contact::STORE_CONTACT_PATH,
+            web::get().to(contact::store_contact),
+        );
 }
--- a/src/peer/summary.rs
+++ b/src/peer/summary.rs
@@ -4,19 +4,19 @@
 
 use actix_web::{web, HttpResponse};
 
-use super::{decode, encode, BINCODE};
+use super::{decode, encode, BINCODE_CONTENT_TYPE};
 use crate::service::Shared;
 use crate::state_summary::{StateSummary, SummaryReply};
 
 /// Path of state summaries; the name is part of the wire format.
-pub const SUMMARY: &str = "/peer/digest";
+pub const SUMMARY_PATH: &str = "/peer/digest";
 
 /// `POST /peer/digest`: a state summary; 409 if it can't be applied and the leader must send a full one.
 pub async fn receive_summary(shared: web::Data<Shared>, body: web::Bytes) -> HttpResponse {
     let Some(summary) = decode::<StateSummary>(&body) else {
         return HttpResponse::BadRequest().finish();
     };
-    if !shared.settings.knows(&summary.member) {
+    if !shared.settings.has_peer(&summary.member) {
         return HttpResponse::Forbidden().finish();
     }
     shared
@@ -31,5 +31,5 @@
     } else {
         HttpResponse::Conflict()
     };
-    response.content_type(BINCODE).body(reply)
+    response.content_type(BINCODE_CONTENT_TYPE).body(reply)
 }
--- a/src/run.rs
+++ b/src/run.rs
@@ -127,7 +127,7 @@
     let sockets = &shared.sockets;
     let http = http_client(sockets.cloud_and_peers);
     // Unresponsive agents must not occupy the connections to the cloud and the peers.
-    let direct = http_client(sockets.direct);
+    let direct = http_client(sockets.direct_commands);
     let unmet_demand = SharedDemand::default();
     SchedulerActor::new(shared.clone(), store.clone(), direct, unmet_demand.clone()).start();
     let cloud = CloudClient::new(shared.settings.external.cloud, http.clone());
--- a/src/service/links/active.rs
+++ b/src/service/links/active.rs
@@ -46,7 +46,7 @@
             phi_down: features.detector_phi,
             damping: features.damping,
         };
-        let others = || settings.known.iter().map(|peer| peer.member.clone());
+        let others = || settings.peers.iter().map(|peer| peer.member.clone());
         let table = LinkTable::new(&settings.member, others(), judgement, timing, now);
         let snapshot = PublishedSnapshot::new(table.gate());
         Self {
--- a/src/service/mod.rs
+++ b/src/service/mod.rs
@@ -32,7 +32,7 @@
 use crate::metrics::{resident_bytes, Metrics, MetricsView};
 use crate::model::{JobId, MachineId};
 use crate::policy::SchedulingPolicy;
-use crate::sockets::Sockets;
+use crate::sockets::SocketLimits;
 use crate::state_summary::SummaryCache;
 use crate::store::replica::Replica;
 use crate::store::shared_replica::SharedReplica;
@@ -42,7 +42,7 @@
     /// The settings of the platform.
     pub settings: Settings,
     /// How the sockets are divided among their purposes.
-    pub sockets: Sockets,
+    pub sockets: SocketLimits,
     /// The scheduling policy that follows from the settings.
     pub policy: SchedulingPolicy,
     /// The replica of the records in the key-value store.
@@ -79,7 +79,7 @@
 
     /// The state of a process that has just started.
     pub fn with_features(settings: Settings, features: Features) -> Arc<Self> {
-        let sockets = Sockets::of(&settings);
+        let sockets = SocketLimits::from_settings(&settings);
         let mem_mb = settings.params.resources.mem_mb;
         let queue_limits = QueueLimits::new(sockets.public, mem_mb);
         let replica = Replica::with_final_verdicts_max(replica_size::verdicts_max(mem_mb));
@@ -116,7 +116,7 @@
     /// than another, and all go on.
     pub fn fit_for_requests(&self, now: Instant) -> bool {
         let loaded = self.replica.lock().loaded;
-        let has_peers = !self.settings.known.is_empty();
+        let has_peers = !self.settings.peers.is_empty();
         self.links.fit_for_requests(loaded, has_peers, now)
     }
 
--- a/src/sockets.rs
+++ b/src/sockets.rs
@@ -59,13 +59,13 @@
 
 /// The connection limits of one process by purpose.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Sockets {
+pub struct SocketLimits {
     /// Maximum connections accepted on the public address.
     pub public: usize,
     /// Open public connections above which a connection is closed after the response to a heartbeat.
-    pub heartbeats_close: usize,
+    pub heartbeat_close_threshold: usize,
     /// Open public connections above which a connection is closed after the response to a user.
-    pub users_close: usize,
+    pub user_close_threshold: usize,
     /// Public connections that may wait to be accepted, not counted in `public`.
     pub backlog: u32,
     /// Maximum connections accepted from the other nodes and from operators.
@@ -81,27 +81,27 @@
     /// Connections to the other nodes for rows of the connectivity matrix.
     pub rows: usize,
     /// Maximum direct commands in flight at once.
-    pub direct: usize,
+    pub direct_commands: usize,
     /// Time after which an idle public connection is closed.
     pub idle_timeout: Duration,
 }
 
-impl Sockets {
+impl SocketLimits {
     /// Divides `params.resources.max_sockets` among the purposes.
-    pub fn of(settings: &Settings) -> Self {
+    pub fn from_settings(settings: &Settings) -> Self {
         let max_sockets = settings.params.resources.max_sockets;
         let share_of = |share: f64, total: usize| (total as f64 * share).max(1.0) as usize;
-        let peer_count = settings.known.len();
+        let peer_count = settings.peers.len();
         let peers_inbound = OPERATOR_CONNECTIONS + CONNECTIONS_FROM_EACH_PEER * peer_count;
         let cloud_and_peers = CLOUD_CONNECTIONS + CONNECTIONS_TO_EACH_PEER * peer_count;
-        let direct = share_of(DIRECT_COMMANDS_SHARE, max_sockets);
+        let direct_commands = share_of(DIRECT_COMMANDS_SHARE, max_sockets);
         let rows = (ROW_CONNECTIONS_PER_PEER * peer_count).max(1);
         let other_purposes = peers_inbound
             + cloud_and_peers
             + rows
             + FORWARDING_CONNECTIONS
             + STORE_CONNECTIONS
-            + direct
+            + direct_commands
             + share_of(SPARE_SHARE, max_sockets);
         let public = max_sockets
             .saturating_sub(other_purposes)
@@ -109,8 +109,8 @@
         let heartbeat_interval = secs(settings.params.workers.report_s);
         Self {
             public,
-            heartbeats_close: share_of(HEARTBEAT_CLOSE_SHARE, public),
-            users_close: share_of(USER_CLOSE_SHARE, public),
+            heartbeat_close_threshold: share_of(HEARTBEAT_CLOSE_SHARE, public),
+            user_close_threshold: share_of(USER_CLOSE_SHARE, public),
             backlog: u32::try_from(public / BACKLOG_DIVISOR).map_or(BACKLOG_MAX, |backlog| {
                 backlog.clamp(BACKLOG_MIN, BACKLOG_MAX)
             }),
@@ -120,7 +120,7 @@
             election: ELECTION_CONNECTIONS,
             forwarding: FORWARDING_CONNECTIONS,
             rows,
-            direct,
+            direct_commands,
             idle_timeout: heartbeat_interval
                 .mul_f64(IDLE_TIMEOUT_HEARTBEATS)
                 .max(IDLE_TIMEOUT_MIN),
--- a/src/sockets/tests.rs
+++ b/src/sockets/tests.rs
@@ -17,23 +17,23 @@
 #[test]
 fn sum_of_all_shares_stays_below_the_limit_with_spare_sockets() {
     for (limit, nodes) in [(500, 3), (2000, 3), (2100, 5), (3068, 7), (3500, 3)] {
-        let shares = Sockets::of(&settings(limit, nodes));
+        let shares = SocketLimits::from_settings(&settings(limit, nodes));
         let sum = shares.public
             + shares.peers_inbound
             + shares.cloud_and_peers
             + shares.store
             + shares.election
             + shares.forwarding
-            + shares.direct;
+            + shares.direct_commands;
         assert!(sum * 100 <= limit * 96, "{limit}: {shares:?}");
         assert!(shares.public * 100 >= limit * 70, "{limit}: {shares:?}");
-        assert!(shares.heartbeats_close < shares.users_close);
-        assert!(shares.users_close < shares.public);
+        assert!(shares.heartbeat_close_threshold < shares.user_close_threshold);
+        assert!(shares.user_close_threshold < shares.public);
     }
 }
 
 #[test]
 fn few_sockets_leave_at_least_half_for_the_public_address() {
-    let shares = Sockets::of(&settings(60, 7));
+    let shares = SocketLimits::from_settings(&settings(60, 7));
     assert!(shares.public >= 30, "{shares:?}");
 }
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -12,7 +12,7 @@
     STATUS_RATE_LIMITED,
 };
 use crate::config::Settings;
-use crate::http::{OutgoingRequest, Remote, RequestFailure};
+use crate::http::{HttpEndpoint, OutgoingRequest, RequestError};
 use crate::timing::slowness;
 use crate::wire;
 
@@ -38,7 +38,7 @@
 /// A client of the key-value store.
 #[derive(Clone)]
 pub struct StoreClient {
-    remote: Remote,
+    remote: HttpEndpoint,
     response_timeout: Duration,
 }
 
@@ -76,7 +76,7 @@
     pub fn new(settings: &Settings, http: Client) -> Self {
         let largest = response_bytes_max(settings.params.resources.mem_mb);
         Self {
-            remote: Remote::new(settings.external.state, http, largest),
+            remote: HttpEndpoint::new(settings.external.store, http, largest),
             response_timeout: RESPONSE_TIMEOUT.mul_f64(slowness(settings)),
         }
     }
@@ -92,12 +92,12 @@
             method,
             path,
             body,
-            limit,
+            timeout: limit,
         };
         let sent = self.remote.send(request).await;
         sent.map_err(|failure| match failure {
-            RequestFailure::NoAnswer => StoreError::OutcomeUnknown,
-            RequestFailure::AnswerTooLarge => StoreError::ResponseTooLarge,
+            RequestError::NoResponse => StoreError::OutcomeUnknown,
+            RequestError::ResponseTooLarge => StoreError::ResponseTooLarge,
         })
     }
 
--- a/src/store/commit_queue.rs
+++ b/src/store/commit_queue.rs
@@ -5,7 +5,7 @@
 use tokio::sync::oneshot;
 
 use super::{Change, Transaction, TransactionOutcome, WritePriority};
-use crate::config::StateSettings;
+use crate::config::StoreSettings;
 
 /// Conditions allowed in a transaction for every change allowed.
 pub(super) const CONDITIONS_PER_CHANGE: usize = 4;
@@ -79,7 +79,7 @@
     /// whatever the limits are.
     pub(super) fn next_batch(
         &mut self,
-        limits: &StateSettings,
+        limits: &StoreSettings,
         changes_max: f64,
     ) -> Vec<QueuedCommit> {
         let mut batch = Batch::new(limits, changes_max);
@@ -100,7 +100,7 @@
 
 /// A batch while it is filled.
 struct Batch<'a> {
-    limits: &'a StateSettings,
+    limits: &'a StoreSettings,
     changes_max: f64,
     commits: Vec<QueuedCommit>,
     changes: usize,
@@ -110,7 +110,7 @@
 }
 
 impl<'a> Batch<'a> {
-    fn new(limits: &'a StateSettings, changes_max: f64) -> Self {
+    fn new(limits: &'a StoreSettings, changes_max: f64) -> Self {
         Self {
             limits,
             changes_max,
--- a/src/store/commit_queue/tests.rs
+++ b/src/store/commit_queue/tests.rs
@@ -19,7 +19,7 @@
 /// Many jobs of low priority used up the rate limits, and urgent submissions came too late.
 #[test]
 fn a_batch_takes_the_highest_priority_first_and_no_more_than_the_limits_allow() {
-    let limits = StateSettings {
+    let limits = StoreSettings {
         rps: 80.0,
         write_rps: 30.0,
         value_kb: 32.0,
--- a/src/store/context.rs
+++ b/src/store/context.rs
@@ -14,7 +14,7 @@
 use super::pending_reads::PendingReads;
 use super::shared_replica::SharedReplica;
 use super::{StoreError, Transaction, TransactionOutcome, WritePriority};
-use crate::config::{Settings, StateSettings};
+use crate::config::{Settings, StoreSettings};
 use crate::timing::slowness;
 
 /// Commits that may be queued, as a bound on memory.
@@ -26,7 +26,7 @@
 /// The state of the store's actor.
 pub(super) struct StoreContext {
     pub(super) client: StoreClient,
-    pub(super) limits: StateSettings,
+    pub(super) limits: StoreSettings,
     pub(super) replica: Arc<SharedReplica>,
     pub(super) observer: Arc<dyn StoreObserver>,
     pub(super) pending_reads: PendingReads,
@@ -47,7 +47,7 @@
         replica: Arc<SharedReplica>,
         observer: Arc<dyn StoreObserver>,
     ) -> Self {
-        let limits = settings.params.state.clone();
+        let limits = settings.params.store.clone();
         let controllers = settings.params.count;
         let limiter = Limiter::new(limits.rps, limits.write_rps, controllers, Instant::now());
         Self {
--- a/src/wire/codec.rs
+++ b/src/wire/codec.rs
@@ -5,9 +5,9 @@
 use thiserror::Error;
 
 /// Largest body in either direction, in bytes.
-pub const BODY_LIMIT: usize = 64 * 1024;
+pub const BODY_BYTES_MAX: usize = 64 * 1024;
 /// Content type of every body of the external protocol.
-pub const CBOR: &str = "application/cbor";
+pub const CBOR_CONTENT_TYPE: &str = "application/cbor";
 
 /// Why a body is rejected.
 #[derive(Debug, Error)]
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -10,8 +10,8 @@
 pub mod workers;
 
 pub use cloud::{ListedMachine, MachineNames, MachinePage, MachineTypeCatalog, RentalRequest};
-pub use codec::{decode, encode, WireError, BODY_LIMIT, CBOR};
-pub use users::{JobBody, JobState, Problem, JOB_TASKS_MAX};
+pub use codec::{decode, encode, WireError, BODY_BYTES_MAX, CBOR_CONTENT_TYPE};
+pub use users::{ErrorBody, JobState, JobSubmission, JOB_TASKS_MAX};
 pub use workers::{
     DirectCommand, ExitCause, Heartbeat, HeartbeatResponse, Redirect, TaskPhase, TaskStatus,
     WorkerCommand,
--- a/src/wire/users.rs
+++ b/src/wire/users.rs
@@ -10,7 +10,7 @@
 pub const JOB_TASKS_MAX: u64 = 100_000;
 /// The body of a submission, before its values are validated.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct JobBody {
+pub struct JobSubmission {
     #[serde(rename = "nameId")]
     id: String,
     #[serde(rename = "lane")]
@@ -53,9 +53,9 @@
     deadline_s: Option<f64>,
 }
 
-impl JobBody {
+impl JobSubmission {
     /// Validates every field and converts the submission to the job's specification.
-    pub fn check(self) -> Result<JobSpec, WireError> {
+    pub fn into_spec(self) -> Result<JobSpec, WireError> {
         let id = JobId::parse(&self.id).ok_or(WireError::InvalidField("nameId"))?;
         let kind = self.job_kind()?;
         let priority = self.job_priority()?;
@@ -166,7 +166,7 @@
 
 /// The body of an error response, for users, agents and operators.
 #[derive(Debug, Serialize)]
-pub struct Problem {
+pub struct ErrorBody {
     /// The reason for the error, in words.
     pub error: String,
 }
--- a/tests/common/world.rs
+++ b/tests/common/world.rs
@@ -35,7 +35,7 @@
 
 use actix_web::HttpResponse;
 use futures_util::FutureExt;
-use knotlanding::api::workers::{receive, HeartbeatOutcome};
+use knotlanding::api::workers::{receive_heartbeat, HeartbeatOutcome};
 use knotlanding::cluster::{
     AddressedCommand, Cluster, HeartbeatOrdering, HeartbeatSource, Machine, RecordKind,
 };
--- a/tests/common/world/controllers.rs
+++ b/tests/common/world/controllers.rs
@@ -31,10 +31,10 @@
         let mut settings = self.settings.clone();
         settings.member = format!("knot-{number}");
         let others = (0..3).filter(|other| *other != number);
-        settings.known = others
+        settings.peers = others
             .map(|other| Peer {
                 member: format!("knot-{other}"),
-                area: "north".to_owned(),
+                zone: "north".to_owned(),
                 peer_addr: "127.0.0.1:9".parse().unwrap(),
             })
             .collect();
--- a/tests/common/world/delivery.rs
+++ b/tests/common/world/delivery.rs
@@ -166,7 +166,7 @@
         }
         let now = self.instant();
         let body = wire::encode(&*heartbeat);
-        let received = receive(&self.nodes[n].shared, Ok(body.into()), &|| now);
+        let received = receive_heartbeat(&self.nodes[n].shared, Ok(body.into()), &|| now);
         let (name, epoch) = (heartbeat.machine.clone(), heartbeat.epoch);
         let answers = cut.mode.responses == Flow::Pass;
         match (received, number.filter(|_| answers)) {
--- a/tests/common/world/links.rs
+++ b/tests/common/world/links.rs
@@ -5,7 +5,7 @@
 
 use knotlanding::features::{Features, LinkFeatures};
 use knotlanding::peer::encode;
-use knotlanding::peer::links::take_bytes;
+use knotlanding::peer::links::accept_encoded_row;
 use knotlanding::store::keys::{self, ProbeRecord};
 use knotlanding::store::{to_value, Change, StoreError, Transaction};
 use knotlanding::time::unix_ms;
@@ -196,7 +196,7 @@
         let Some(active) = shared.links.active() else {
             return;
         };
-        let taken = take_bytes(active, bytes, now, wall);
+        let taken = accept_encoded_row(active, bytes, now, wall);
         assert!(!matches!(
             taken,
             Err(RowRejection::Malformed | RowRejection::UnknownMember)
--- a/tests/formats/files.rs
+++ b/tests/formats/files.rs
@@ -15,19 +15,19 @@
 fn the_settings_file_is_read_as_before() {
     let settings = Settings::parse(&fixture::text("settings.toml"), "settings.toml").unwrap();
     assert_eq!(
-        (settings.member.as_str(), settings.area.as_str()),
+        (settings.member.as_str(), settings.zone.as_str()),
         ("knot-0", "north")
     );
     assert_eq!(settings.public_addr.to_string(), "10.0.0.1:8080");
     assert_eq!(settings.peer_bind.to_string(), "10.0.0.1:8081");
-    let peer = &settings.known[0];
+    let peer = &settings.peers[0];
     assert_eq!(
-        (peer.member.as_str(), peer.area.as_str()),
+        (peer.member.as_str(), peer.zone.as_str()),
         ("knot-1", "south")
     );
     assert_eq!(peer.peer_addr.to_string(), "10.0.0.2:8081");
     assert_eq!(settings.external.cloud.to_string(), "10.2.0.2:8443");
-    assert_eq!(settings.external.state.to_string(), "10.2.0.1:2379");
+    assert_eq!(settings.external.store.to_string(), "10.2.0.1:2379");
     let params = &settings.params;
     assert_eq!((params.count, params.clock_off_ms), (2, 25.0));
     assert_eq!(params.zones, ["north", "south"]);
@@ -48,7 +48,7 @@
     assert_eq!((workers.report_s, workers.lease_s), (3.0, 22.0));
     assert_eq!((workers.gang_wait_s, workers.gang_peer_s), (35.0, 4.0));
     assert_eq!(workers.cancel_s, 42.0);
-    let state = &params.state;
+    let state = &params.store;
     assert_eq!(
         (state.rps, state.write_rps, state.value_kb),
         (80.0, 30.0, 32.0)
--- a/tests/formats/peers.rs
+++ b/tests/formats/peers.rs
@@ -4,12 +4,12 @@
     BatchAnswer, ForwardedAction, ForwardedAnswer, ForwardedCommand, HeartbeatBatch, BATCH_VERSION,
 };
 use knotlanding::model::{JobId, MachineId, Term};
-use knotlanding::peer::cancelled::{Cancelled, CANCELLED};
-use knotlanding::peer::contact::CONTACT;
-use knotlanding::peer::heartbeats::HEARTBEATS;
-use knotlanding::peer::links::LINKS;
-use knotlanding::peer::summary::SUMMARY;
-use knotlanding::peer::{decode, encode, BINCODE};
+use knotlanding::peer::cancelled::{CancellationNotice, CANCELLED_PATH};
+use knotlanding::peer::contact::STORE_CONTACT_PATH;
+use knotlanding::peer::heartbeats::HEARTBEATS_PATH;
+use knotlanding::peer::links::ROWS_PATH;
+use knotlanding::peer::summary::SUMMARY_PATH;
+use knotlanding::peer::{decode, encode, BINCODE_CONTENT_TYPE};
 use knotlanding::state_summary::{
     Counts, MachineSummary, StateSummary, SummaryContents, SummaryReply,
 };
@@ -33,12 +33,12 @@
 
 #[test]
 fn paths_and_versions_stay() {
-    assert_eq!(BINCODE, "application/x-bincode");
-    assert_eq!(SUMMARY, "/peer/digest");
-    assert_eq!(CANCELLED, "/peer/cancelled");
-    assert_eq!(HEARTBEATS, "/peer/reports");
-    assert_eq!(LINKS, "/peer/links");
-    assert_eq!(CONTACT, "/peer/pulse");
+    assert_eq!(BINCODE_CONTENT_TYPE, "application/x-bincode");
+    assert_eq!(SUMMARY_PATH, "/peer/digest");
+    assert_eq!(CANCELLED_PATH, "/peer/cancelled");
+    assert_eq!(HEARTBEATS_PATH, "/peer/reports");
+    assert_eq!(ROWS_PATH, "/peer/links");
+    assert_eq!(STORE_CONTACT_PATH, "/peer/pulse");
     assert_eq!((BATCH_VERSION, ROW_VERSION), (1, 1));
 }
 
@@ -74,7 +74,7 @@
 
 #[test]
 fn cancellations_keep_their_form() {
-    let cancelled = Cancelled {
+    let cancelled = CancellationNotice {
         member: "knot-1".to_owned(),
         jobs: vec![JobId::parse("wk-000412").unwrap()],
     };
--- a/tests/formats/requests.rs
+++ b/tests/formats/requests.rs
@@ -65,7 +65,7 @@
     let (status, body) = recorder.answer.lock().unwrap().clone();
     let status = actix_web::http::StatusCode::from_u16(status).unwrap();
     HttpResponse::build(status)
-        .content_type(wire::CBOR)
+        .content_type(wire::CBOR_CONTENT_TYPE)
         .body(body)
 }
 
@@ -81,7 +81,7 @@
 async fn requests_to_the_state_service_keep_their_form() {
     let recorder = Recorder::default();
     let mut settings = Settings::parse(&common::settings_of_nobody(), "a test").unwrap();
-    settings.external.state = recorder.start();
+    settings.external.store = recorder.start();
     let client = StoreClient::new(&settings, http());
 
     let group = Transaction {
--- a/tests/formats/wire.rs
+++ b/tests/formats/wire.rs
@@ -2,8 +2,8 @@
 
 use ciborium::cbor;
 use knotlanding::wire::{
-    self, DirectCommand, Heartbeat, HeartbeatResponse, JobBody, JobState, Problem, Redirect,
-    WorkerCommand,
+    self, DirectCommand, ErrorBody, Heartbeat, HeartbeatResponse, JobState, JobSubmission,
+    Redirect, WorkerCommand,
 };
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -28,9 +28,9 @@
         "markEveryS" => 30.0, "markCostS" => 4, "dueS" => 900.0
     });
     fixture::assert_bytes("body-submission.hex", &wire::encode(&body.unwrap()));
-    let read: JobBody = wire::decode(&fixture::bytes("body-submission.hex")).unwrap();
+    let read: JobSubmission = wire::decode(&fixture::bytes("body-submission.hex")).unwrap();
     fixture::assert_bytes("body-submission-again.hex", &wire::encode(&read));
-    assert_eq!(read.check().unwrap(), full_spec());
+    assert_eq!(read.into_spec().unwrap(), full_spec());
 }
 
 #[test]
@@ -42,7 +42,7 @@
         running: 13,
     };
     assert_body("body-job-state.hex", &state);
-    let problem = Problem {
+    let problem = ErrorBody {
         error: "no such job".to_owned(),
     };
     fixture::assert_bytes("body-problem.hex", &wire::encode(&problem));
--- a/tests/forwarding_service.rs
+++ b/tests/forwarding_service.rs
@@ -19,7 +19,7 @@
     HeartbeatBatch, BATCH_VERSION,
 };
 use knotlanding::model::{FencingToken, Term};
-use knotlanding::peer::heartbeats::HEARTBEATS;
+use knotlanding::peer::heartbeats::HEARTBEATS_PATH;
 use knotlanding::peer::{decode, encode as encode_for_peer};
 use knotlanding::time::unix_ms;
 use knotlanding::wire::Heartbeat;
@@ -62,7 +62,7 @@
         let server = HttpServer::new(move || {
             App::new()
                 .app_data(data.clone())
-                .route(HEARTBEATS, web::post().to(take_batch))
+                .route(HEARTBEATS_PATH, web::post().to(take_batch))
         });
         let server = server.workers(1).disable_signals();
         actix::spawn(server.listen(listener).unwrap().run());
@@ -218,7 +218,7 @@
     let body = until(&node, 0, 200).await;
     let term = FencingToken(number(&body, "baton")).term();
     let http = awc::Client::default();
-    let url = format!("http://{}{HEARTBEATS}", node.peer);
+    let url = format!("http://{}{HEARTBEATS_PATH}", node.peer);
     let send = |body: Vec<u8>| http.post(&url).send_body(body);
     let forwarded: Heartbeat = knotlanding::wire::decode(&heartbeat(1000, 0)).unwrap();
     let batch = HeartbeatBatch {
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -43,7 +43,7 @@
 #[test]
 fn a_roster_of_4000_machines_is_written_within_the_limits_and_read_back() {
     let mut scene = reported(MACHINES);
-    let limits = scene.settings.params.state.clone();
+    let limits = scene.settings.params.store.clone();
     let replica = scene.replica();
     let writes = scene.cluster.due_writes(&replica, scene.now);
     let mut written = BTreeSet::new();
@@ -214,7 +214,7 @@
 fn rounds_fill_4000_machines_with_whole_gangs_and_lists_within_the_limits() {
     let mut scene = reported(MACHINES);
     scene.write(true);
-    let limits = scene.settings.params.state.clone();
+    let limits = scene.settings.params.store.clone();
     // Some room is left: gangs bound to a zone can't use what is over in both.
     let gangs = 120;
     for number in 0..gangs {
--- a/tests/meetings.rs
+++ b/tests/meetings.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant, SystemTime};
 
 use ciborium::{cbor, Value};
-use knotlanding::api::workers::{receive, HeartbeatOutcome};
+use knotlanding::api::workers::{receive_heartbeat, HeartbeatOutcome};
 use knotlanding::cluster::Cluster;
 use knotlanding::config::Settings;
 use knotlanding::leader::Leadership;
@@ -172,7 +172,7 @@
         let mut body = Vec::new();
         ciborium::into_writer(&heartbeat.unwrap(), &mut body).unwrap();
         let now = self.now;
-        let answer = answered_here(receive(&self.shared, Ok(body.into()), &|| now));
+        let answer = answered_here(receive_heartbeat(&self.shared, Ok(body.into()), &|| now));
         let status = answer.status().as_u16();
         let body =
             futures_util::FutureExt::now_or_never(actix_web::body::to_bytes(answer.into_body()));
@@ -341,7 +341,8 @@
         for s in 0..2 {
             let now = start + Duration::from_secs(s);
             for _ in 0..400 {
-                let answer = answered_here(receive(&shared, Ok(body.clone().into()), &|| now));
+                let answer =
+                    answered_here(receive_heartbeat(&shared, Ok(body.clone().into()), &|| now));
                 match answer.status().as_u16() {
                     421 => sent_on[s as usize] += 1,
                     status => assert_eq!(status, 503, "to be tried at the next node"),
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -15,7 +15,7 @@
 
 use ciborium::{cbor, Value};
 use knotlanding::config::Settings;
-use knotlanding::sockets::Sockets;
+use knotlanding::sockets::SocketLimits;
 use knotlanding::store::client::response_bytes_max;
 use knotlanding_testbed::message::{encode, number, text};
 use node::{job, with, without, Bench, Node, PROGRAM, TEST_TIMEOUT};
@@ -484,9 +484,9 @@
         .contains("connection: close"));
     // Users are asked to close theirs a little below what is taken at most.
     let settings = Settings::load(&bench.file).unwrap();
-    let sockets = Sockets::of(&settings);
-    let few = (sockets.public - sockets.users_close) / 2;
-    let crowd: Vec<TcpStream> = (0..sockets.users_close + few)
+    let sockets = SocketLimits::from_settings(&settings);
+    let few = (sockets.public - sockets.user_close_threshold) / 2;
+    let crowd: Vec<TcpStream> = (0..sockets.user_close_threshold + few)
         .map(|_| TcpStream::connect(&bench.public).unwrap())
         .collect();
     let began = Instant::now();
@@ -557,7 +557,7 @@
 /// with what, is judged on the clock as it is when the answer is given.
 #[test]
 fn a_report_is_answered_by_what_holds_after_a_pause_and_not_by_what_held_before() {
-    use knotlanding::api::workers::{receive, HeartbeatOutcome};
+    use knotlanding::api::workers::{receive_heartbeat, HeartbeatOutcome};
     use knotlanding::leader::Leadership;
     use knotlanding::model::Term;
     use knotlanding::timing::LEADER_LEASE_MIN;
@@ -598,7 +598,8 @@
             "loaners" => false, "tenure" => 1, "tally" => 1, "baton" => 0, "strands" => [],
         });
         let body = encode(&heartbeat.unwrap()).into();
-        let HeartbeatOutcome::Answered(answer) = receive(&shared, Ok(body), &clock) else {
+        let HeartbeatOutcome::Answered(answer) = receive_heartbeat(&shared, Ok(body), &clock)
+        else {
             panic!("there is nobody to forward it to");
         };
         assert!(looks.get() > 1, "the clock is looked at again");
