--- a/src/actors/scheduler.rs
+++ b/src/actors/scheduler.rs
@@ -163,10 +163,10 @@
         metrics.counts.direct_commands += commands_sent;
         metrics.counts.records_written += records_written;
         if let Some(reconciled_after) = outcome.reconciled_after {
-            metrics.failovers.add(reconciled_after);
+            metrics.failovers.record(reconciled_after);
         }
         for wait in outcome.start_waits {
-            metrics.waits.add(wait);
+            metrics.job_waits.record(wait);
         }
     }
 
--- a/src/api/admin/mod.rs
+++ b/src/api/admin/mod.rs
@@ -42,7 +42,7 @@
 }
 
 /// Responds with the result of `find` on the leader's cluster state. A node that does not lead responds
-/// with 503 and the leader's name, if it has one.
+/// with 503 and the name of the leader, if one is known.
 fn cluster_response<T: Serialize>(
     shared: &Shared,
     what: &str,
--- a/src/api/admin/views.rs
+++ b/src/api/admin/views.rs
@@ -155,9 +155,12 @@
     status.unsettled_machines = cluster.unreconciled.len();
     let judge = cluster.health_judge(now);
     for (id, machine) in &cluster.machines {
-        let shown = MachineStatus::of(cluster, machine, &judge);
-        *status.worker_health.entry(shown.health.state).or_default() += 1;
-        status.machines.insert(id.to_string(), shown);
+        let machine_status = MachineStatus::of(cluster, machine, &judge);
+        *status
+            .worker_health
+            .entry(machine_status.health.state)
+            .or_default() += 1;
+        status.machines.insert(id.to_string(), machine_status);
     }
     for (id, job) in &cluster.jobs {
         status.jobs.insert(id.to_string(), JobStatus::of(job, now));
--- a/src/api/users/submit.rs
+++ b/src/api/users/submit.rs
@@ -44,7 +44,7 @@
         _ => store_failure(&StoreError::OutcomeUnknown),
     };
     let mut metrics = shared.metrics.lock();
-    metrics.submissions.add(started_at.elapsed());
+    metrics.submissions.record(started_at.elapsed());
     match response.status() {
         StatusCode::CREATED => metrics.counts.accepted += 1,
         status if status.is_server_error() || status == StatusCode::TOO_MANY_REQUESTS => {
--- a/src/api/workers.rs
+++ b/src/api/workers.rs
@@ -45,7 +45,7 @@
         .metrics
         .lock()
         .heartbeats
-        .answered(first_request, status);
+        .record_response(first_request, status);
     let agent_stays = response.status() == StatusCode::OK;
     if !agent_stays {
         shared.forwarding.count_misdirected();
--- a/src/config.rs
+++ b/src/config.rs
@@ -40,7 +40,7 @@
 /// Another controller of the deployment.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Peer {
-    /// The name under which it sends messages to its peers and leads.
+    /// The controller's name, unique in the deployment.
     pub member: String,
     /// The zone in which it runs; empty if not given.
     #[serde(default, rename = "area")]
@@ -59,7 +59,7 @@
     pub store: SocketAddrV4,
 }
 
-/// A team's guarantee and limit. A limit of 0 means that the resource is not managed for the team.
+/// A team's guarantee and limit; an amount of 0 means that the resource is not managed for the team.
 #[derive(Debug, Clone, Deserialize)]
 pub struct TeamSettings {
     /// The name by which jobs refer to the team.
--- a/src/http.rs
+++ b/src/http.rs
@@ -13,8 +13,8 @@
 /// Why a request got no usable response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum RequestError {
-    /// No complete response arrived in time.
-    #[error("no complete response in time")]
+    /// No complete response arrived in time, or the connection failed.
+    #[error("no complete response")]
     NoResponse,
     /// The response body exceeds the size limit.
     #[error("the response body is too large")]
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -37,7 +37,7 @@
 
 impl DurationHistogram {
     /// Records a duration, rounded down to milliseconds but at least 1.
-    pub fn add(&mut self, duration: Duration) {
+    pub fn record(&mut self, duration: Duration) {
         if let Some(histogram) = &mut self.0 {
             let ms = u64::try_from(duration.as_millis()).unwrap_or(HISTOGRAM_MAX_MS);
             histogram.saturating_record(ms.clamp(1, HISTOGRAM_MAX_MS));
@@ -89,7 +89,7 @@
 impl HeartbeatMetrics {
     /// Counts a response with this HTTP status. `first_request` says whether the heartbeat was the first
     /// request on its connection.
-    pub fn answered(&mut self, first_request: bool, status: u16) {
+    pub fn record_response(&mut self, first_request: bool, status: u16) {
         if first_request {
             self.new_connection += 1;
         } else {
@@ -162,7 +162,7 @@
     /// Sum of the durations of all scheduling cycles.
     pub cycles_total: Duration,
     /// Times from a job's submission to its first running task.
-    pub waits: DurationHistogram,
+    pub job_waits: DurationHistogram,
     /// Times that this node took to respond to a submission.
     pub submissions: DurationHistogram,
     /// Times from becoming leader until all machines were reconciled.
@@ -183,7 +183,7 @@
             started_at: Instant::now(),
             cycle_durations: DurationHistogram::default(),
             cycles_total: Duration::ZERO,
-            waits: DurationHistogram::default(),
+            job_waits: DurationHistogram::default(),
             submissions: DurationHistogram::default(),
             failovers: DurationHistogram::default(),
             counts: EventCounts::default(),
@@ -197,7 +197,7 @@
 impl Metrics {
     /// Records a scheduling cycle of this duration.
     pub fn add_scheduling_cycle(&mut self, duration: Duration) {
-        self.cycle_durations.add(duration);
+        self.cycle_durations.record(duration);
         self.cycles_total += duration;
     }
 
@@ -205,7 +205,7 @@
     pub fn view(&self, now: Instant) -> MetricsView {
         MetricsView {
             round_time: self.cycle_durations.summary(),
-            waiting: self.waits.summary(),
+            waiting: self.job_waits.summary(),
             submission: self.submissions.summary(),
             rounds_part: self.cycle_time_share(now),
             failover: self.failovers.summary(),
--- a/src/metrics/tests.rs
+++ b/src/metrics/tests.rs
@@ -6,9 +6,9 @@
 fn summary_covers_all_durations_and_caps_the_longest() {
     let mut histogram = DurationHistogram::default();
     for ms in 1..=100 {
-        histogram.add(Duration::from_millis(ms));
+        histogram.record(Duration::from_millis(ms));
     }
-    histogram.add(Duration::from_secs(1_000_000));
+    histogram.record(Duration::from_secs(1_000_000));
     let summary = histogram.summary();
     assert_eq!(summary.count, 101);
     assert_eq!(summary.p50_ms, 51);
--- a/src/wire/users.rs
+++ b/src/wire/users.rs
@@ -8,6 +8,7 @@
 
 /// Largest number of tasks in a job.
 pub const JOB_TASKS_MAX: u64 = 100_000;
+
 /// The body of a submission, before its values are validated.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct JobSubmission {
