--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -35,7 +35,7 @@
 }
 
 /// Builds an error response with a `Retry-After` header, for a request that may be repeated later.
-pub fn retry_later_response(status: StatusCode, error: &str) -> HttpResponse {
+pub fn retry_later(status: StatusCode, error: &str) -> HttpResponse {
     let mut response = error_response(status, error);
     response
         .headers_mut()
--- a/src/api/users/status.rs
+++ b/src/api/users/status.rs
@@ -6,7 +6,7 @@
 use actix_web::http::StatusCode;
 use actix_web::HttpResponse;
 
-use super::super::{cbor_response, retry_later_response};
+use super::super::{cbor_response, retry_later};
 use crate::model::{JobId, Verdict};
 use crate::service::Shared;
 use crate::store::actor::{ReadVerdict, StoreActor};
@@ -105,10 +105,8 @@
 /// Builds the error response for an operation on the key-value store that failed or has no known outcome.
 pub(super) fn store_failure(error: &StoreError) -> HttpResponse {
     match error {
-        StoreError::Refused(429) => {
-            retry_later_response(StatusCode::TOO_MANY_REQUESTS, "too many requests")
-        }
-        _ => retry_later_response(
+        StoreError::Refused(429) => retry_later(StatusCode::TOO_MANY_REQUESTS, "too many requests"),
+        _ => retry_later(
             StatusCode::SERVICE_UNAVAILABLE,
             "the state service does not answer",
         ),
--- a/src/api/users/submit.rs
+++ b/src/api/users/submit.rs
@@ -7,7 +7,7 @@
 use actix_web::{web, HttpResponse};
 use tracing::{debug, info};
 
-use super::super::{cbor_response, error_response, retry_later_response};
+use super::super::{cbor_response, error_response, retry_later};
 use super::status::{job_state, read_verdict, store_failure, verdict_response};
 use super::{StoreAddr, WRITE_TIMEOUT};
 use crate::cluster::Catalog;
@@ -86,7 +86,7 @@
         return existing_job(shared, store, &id).await;
     }
     let Some(catalog) = shared.catalog.lock().clone() else {
-        return retry_later_response(
+        return retry_later(
             StatusCode::SERVICE_UNAVAILABLE,
             "the machine types are not known yet",
         );
--- a/src/features.rs
+++ b/src/features.rs
@@ -127,7 +127,7 @@
                 table: "links",
                 values,
             })?,
-            Some(other) => return Err(fields.invalid_value("links", other, "a table")),
+            Some(other) => return Err(fields.invalid("links", other, "a table")),
         };
         Ok(Self { links })
     }
@@ -178,7 +178,7 @@
         }
     }
 
-    fn invalid_value(&self, field: &str, value: &Value, allowed: &str) -> FeaturesError {
+    fn invalid(&self, field: &str, value: &Value, allowed: &str) -> FeaturesError {
         FeaturesError::InvalidValue {
             path: self.path.to_owned(),
             field: self.qualified_name(field),
@@ -191,7 +191,7 @@
         match self.values.get(field) {
             None => Ok(default),
             Some(Value::Boolean(flag)) => Ok(*flag),
-            Some(other) => Err(self.invalid_value(field, other, "true or false")),
+            Some(other) => Err(self.invalid(field, other, "true or false")),
         }
     }
 
@@ -206,9 +206,7 @@
         };
         number
             .filter(|number| (min..=max).contains(number))
-            .ok_or_else(|| {
-                self.invalid_value(field, value, &format!("a number from {min} to {max}"))
-            })
+            .ok_or_else(|| self.invalid(field, value, &format!("a number from {min} to {max}")))
     }
 
     fn count(
@@ -225,7 +223,7 @@
         count
             .filter(|count| (min..=max).contains(count))
             .ok_or_else(|| {
-                self.invalid_value(field, value, &format!("a whole number from {min} to {max}"))
+                self.invalid(field, value, &format!("a whole number from {min} to {max}"))
             })
     }
 }
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -46,11 +46,7 @@
 
     /// Summarizes the durations recorded so far.
     pub fn summary(&self) -> HistogramSummary {
-        let value_at = |quantile: f64| {
-            self.0
-                .as_ref()
-                .map_or(0, |histogram| histogram.value_at_quantile(quantile))
-        };
+        let value_at = |q: f64| self.0.as_ref().map_or(0, |h| h.value_at_quantile(q));
         HistogramSummary {
             count: self.0.as_ref().map_or(0, Histogram::len),
             p50_ms: value_at(0.5),
--- a/src/peer/heartbeats.rs
+++ b/src/peer/heartbeats.rs
@@ -41,7 +41,7 @@
 pub enum BatchError {
     /// The body exceeds the size limit or was truncated.
     #[error("the body is too large or truncated")]
-    UnreadableBody,
+    Unreadable,
     /// The batch has a format version that this node does not support.
     #[error("unsupported version {0} of forwarded heartbeats")]
     UnknownVersion(u16),
@@ -64,9 +64,7 @@
     /// 409 concerns this batch only.
     pub fn status(&self) -> StatusCode {
         match self {
-            Self::UnreadableBody | Self::UnknownVersion(_) | Self::Malformed => {
-                StatusCode::BAD_REQUEST
-            }
+            Self::Unreadable | Self::UnknownVersion(_) | Self::Malformed => StatusCode::BAD_REQUEST,
             Self::UnknownMember(_) => StatusCode::FORBIDDEN,
             Self::OtherTerm(_) | Self::Stale(_) => StatusCode::CONFLICT,
         }
@@ -139,7 +137,7 @@
     body: Result<web::Bytes, actix_web::Error>,
 ) -> HttpResponse {
     let result = body
-        .map_err(|_| BatchError::UnreadableBody)
+        .map_err(|_| BatchError::Unreadable)
         .and_then(|bytes| answer_batch(&shared, &bytes, &Instant::now, SystemTime::now()));
     match result {
         Ok(answer) => match super::encode(&answer) {
