--- a/src/api/users/mod.rs
+++ b/src/api/users/mod.rs
@@ -19,7 +19,7 @@
 use crate::service::Shared;
 use crate::store::actor::StoreActor;
 
-/// Time limit for the response to a submission or cancellation: the user still waits for it by then.
+/// Time limit for the response to a submission or cancellation, short enough that the user still waits.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
 
 type StoreAddr = web::Data<Addr<StoreActor>>;
--- a/src/api/users/status.rs
+++ b/src/api/users/status.rs
@@ -14,7 +14,7 @@
 use crate::store::StoreError;
 use crate::wire::JobState;
 
-/// Time limit for the read of a verdict.
+/// Time limit for reading a verdict from the key-value store.
 const READ_TIMEOUT: Duration = Duration::from_millis(1700);
 
 /// The status of a job as reported to its user. A verdict that is final in the replica by now replaces the
