--- a/src/cluster/reconcile/task_status.rs
+++ b/src/cluster/reconcile/task_status.rs
@@ -1,4 +1,4 @@
-//! What a heartbeat says of the tasks on its machine.
+//! The part of a heartbeat about the tasks on its machine.
 
 use std::time::Instant;
 
@@ -10,14 +10,14 @@
 use crate::model::{Attempt, MachineId, TaskId};
 use crate::wire::{ExitCause, Heartbeat, TaskPhase, TaskStatus};
 
-/// What a task status changes about its instance.
+/// The change of an instance by a task status.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Observation {
     /// The instance was not known on the machine.
     FirstSeen,
-    /// It is in another phase.
+    /// The instance is in another phase.
     PhaseChanged,
-    /// Nothing.
+    /// The instance is in the same phase.
     Unchanged,
 }
 
@@ -32,7 +32,7 @@
     }
 }
 
-/// Whether a task in this phase shows that its machine has fetched the image.
+/// Whether a task in this phase shows that its machine has pulled the image.
 fn implies_image(phase: InstancePhase) -> bool {
     matches!(
         phase,
@@ -43,14 +43,14 @@
 }
 
 impl Cluster {
-    /// Applies the task statuses of a heartbeat; all instances that could be read.
+    /// Applies the task statuses of a heartbeat, and returns all instances with a valid task id.
     pub(super) fn apply_task_statuses(
         &mut self,
         id: &MachineId,
         heartbeat: &Heartbeat,
         now: Instant,
     ) -> Vec<InstanceId> {
-        let mut listed = Vec::with_capacity(heartbeat.tasks.len());
+        let mut reported = Vec::with_capacity(heartbeat.tasks.len());
         for status in &heartbeat.tasks {
             let Some(task) = TaskId::parse(&status.task) else {
                 continue;
@@ -60,12 +60,11 @@
                 attempt: Attempt(status.attempt),
             };
             self.apply_task_status(id, &instance, phase_of(status), now);
-            listed.push(instance);
+            reported.push(instance);
         }
-        listed
+        reported
     }
 
-    /// Applies one task status.
     fn apply_task_status(
         &mut self,
         id: &MachineId,
@@ -88,14 +87,14 @@
             return;
         }
         if observation == Observation::FirstSeen {
-            self.adopt(id, instance);
+            self.add_reported_placement(id, instance);
         }
         if phase == InstancePhase::Running {
             self.note_running(instance, now);
         }
     }
 
-    /// Records the phase of an instance, which is added if it is not known.
+    /// Records the phase of an instance, and adds the instance if it is not known.
     fn record_phase(
         &mut self,
         id: &MachineId,
@@ -132,7 +131,7 @@
         }
     }
 
-    /// Notes that a machine has just used the image of an instance.
+    /// Records that a machine has just used the image of an instance.
     fn note_image_use(&mut self, id: &MachineId, instance: &InstanceId) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
@@ -148,14 +147,14 @@
         let machine_type = find_machine_type(&self.catalog, &machine.machine_type);
         let cache_gb = machine_type.map_or(0.0, |machine_type| machine_type.cache_gb);
         let known = machine.has_image(image);
-        machine.used_image(image, gb, cache_gb);
+        machine.record_image_use(image, gb, cache_gb);
         if !known {
             self.unpublished.machines.insert(id.clone());
         }
     }
 
     /// Adds the placement of a task that an earlier leader started.
-    fn adopt(&mut self, id: &MachineId, instance: &InstanceId) {
+    fn add_reported_placement(&mut self, id: &MachineId, instance: &InstanceId) {
         let Some(job) = self.jobs.get_mut(&instance.task.job) else {
             return;
         };
@@ -170,12 +169,12 @@
         if !placements.contains(&placement) {
             placements.push(placement);
         }
-        if job.gang() && job.attempt.is_none_or(|attempt| attempt < instance.attempt) {
+        if job.is_gang() && job.attempt.is_none_or(|attempt| attempt < instance.attempt) {
             job.attempt = Some(instance.attempt);
         }
     }
 
-    /// A task of the job is running.
+    /// Records that a task of the job is running.
     fn note_running(&mut self, instance: &InstanceId, now: Instant) {
         let Some(job) = self.jobs.get_mut(&instance.task.job) else {
             return;
@@ -185,7 +184,7 @@
         }
         if job.first_running_at.is_none() {
             job.first_running_at = Some(now);
-            let wait = now.saturating_duration_since(job.submitted);
+            let wait = now.saturating_duration_since(job.submitted_at);
             self.start_delays.push(wait);
         }
     }
--- a/src/cluster/sync.rs
+++ b/src/cluster/sync.rs
@@ -1,21 +1,23 @@
-//! What the records and the cloud say of jobs and machines.
+//! Updates of jobs and machines from the records and from the cloud.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime};
 
 use super::done::DoneSet;
-use super::{Cluster, DispatchTargets, Job, Listed, Machine, Persistence, TerminationEvidence};
+use super::{
+    CloudStatus, Cluster, DispatchTargets, Job, Machine, Persistence, TerminationEvidence,
+};
 use crate::model::{JobId, MachineId, MachinePool, Verdict};
 use crate::pending_reason::PendingReason;
-use crate::state_summary::GONE_MACHINES_KEPT;
-use crate::store::keys::{self, LiveRecord};
+use crate::state_summary::REMOVED_MACHINES_MAX;
+use crate::store::keys::{self, JobDescription};
 use crate::store::replica::Replica;
 use crate::time::{secs, unix_ms};
 use crate::wire::ListedMachine;
 
-/// Where starts may have been sent by a job's own record.
-fn targets_of(record: &LiveRecord) -> DispatchTargets {
+/// Machines to which starts may have been sent, according to the job's own record.
+fn targets_of(record: &JobDescription) -> DispatchTargets {
     match &record.hosts {
         Some(names) => DispatchTargets::Machines(
             names
@@ -29,7 +31,7 @@
 }
 
 impl Cluster {
-    /// Takes what the records now say of a job.
+    /// Applies the current records of a job. `recovering` marks jobs that are not new submissions.
     pub fn sync_job(
         &mut self,
         id: &JobId,
@@ -53,7 +55,7 @@
         self.scheduling_needed = true;
     }
 
-    /// Takes a newer verdict of a known job.
+    /// Applies a newer verdict of a known job.
     fn update_job(&mut self, id: &JobId, replica: &Replica) {
         let (Some(verdict), Some(job)) = (replica.jobs.get(id), self.jobs.get_mut(id)) else {
             return;
@@ -66,15 +68,18 @@
                 self.stop_job(id, 0.0);
             }
         }
-        // Our own retirement of the job: the records are deleted, and no task of it is left. A
-        // controller of 0.3.0 that cancels deletes the description sooner.
-        let gone = !self.jobs.get(id).is_some_and(Job::has_placements);
-        if gone && !replica.live.contains_key(id) && verdict.record.verdict != Verdict::Accepted {
+        // This leader has retired the job: its records are deleted, and no task of it is left. A
+        // controller of version 0.3.0 deletes the description earlier, with the cancellation.
+        let no_placements = !self.jobs.get(id).is_some_and(Job::has_placements);
+        if no_placements
+            && !replica.descriptions.contains_key(id)
+            && verdict.record.verdict != Verdict::Accepted
+        {
             self.forget_job(id);
         }
     }
 
-    /// A job as its records have it, unless it is over.
+    /// The job by its records, unless it is over.
     fn job_from_records(
         &mut self,
         id: &JobId,
@@ -83,7 +88,7 @@
         wall: SystemTime,
     ) -> Option<Job> {
         let verdict = replica.jobs.get(id)?;
-        let live = replica.live.get(id)?;
+        let live = replica.descriptions.get(id)?;
         let record = &live.record;
         let recovered = self.recovered_targets.remove(id);
         let started = record.started || recovered.is_some();
@@ -92,14 +97,14 @@
             dispatch_targets.add(recovered);
         }
         let age = Duration::from_millis(unix_ms(wall).saturating_sub(record.submitted_ms));
-        let mut done = DoneSet::new(record.spec.tasks, self.chunk);
-        for (chunk, digits) in replica.done_chunks(id) {
+        let mut done = DoneSet::new(record.spec.tasks, self.tasks_per_chunk);
+        for (chunk, digits) in replica.completed_task_chunks(id) {
             done.mark_durable(chunk, &digits.bits);
         }
         Some(Job {
             spec: Arc::new(record.spec.clone()),
             image: self.images.id(&record.spec.image),
-            submitted: now.checked_sub(age).unwrap_or(now),
+            submitted_at: now.checked_sub(age).unwrap_or(now),
             version: verdict.version,
             verdict: verdict.record.verdict,
             cancellation_requested: false,
@@ -134,16 +139,17 @@
             return;
         };
         for chunk in 0..job.done.chunks() {
-            self.written_versions.remove(&keys::done(id, chunk));
+            self.written_versions
+                .remove(&keys::completed_tasks(id, chunk));
         }
-        self.dispatch_log.over(id);
+        self.dispatch_log.remove_job(id);
         for machine in self.machines.values_mut().filter(|m| m.commands_pending()) {
             machine.drop_plans_of(id);
         }
     }
 
-    /// The machine is confirmed terminated, and all tasks that were on it.
-    pub fn machine_gone(&mut self, id: &MachineId) {
+    /// Removes a machine that is confirmed terminated, and all tasks that were on it.
+    pub fn remove_terminated_machine(&mut self, id: &MachineId) {
         if let Some(machine) = self.machines.remove(id) {
             for instance in machine.instances.keys() {
                 self.remove_placement(id, instance, TerminationEvidence::ReleaseConfirmed);
@@ -152,16 +158,16 @@
         self.mark_reconciled(id);
         self.unpublished.machines.insert(id.clone());
         self.inventory.remove(id);
-        // Heartbeats of it may still be on their way; they must not bring it back.
+        // Late heartbeats may still arrive and must not add the machine again.
         self.terminated_machines.insert(id.clone());
-        if self.terminated_machines.len() > GONE_MACHINES_KEPT {
+        if self.terminated_machines.len() > REMOVED_MACHINES_MAX {
             self.terminated_machines.pop_first();
         }
         self.scheduling_needed = true;
     }
 
-    /// Adds machines that the cloud has rented to us.
-    pub fn machines_rented(&mut self, names: &[String], pool: &MachinePool, now: Instant) {
+    /// Adds machines that the cloud has rented to this deployment.
+    pub fn add_rented_machines(&mut self, names: &[String], pool: &MachinePool, now: Instant) {
         for name in names {
             let id = MachineId(name.as_str().into());
             if self.terminated_machines.contains(&id) {
@@ -177,8 +183,8 @@
         }
     }
 
-    /// Takes the cloud's list. It lags, so absence from it is no evidence.
-    pub fn listed(&mut self, list: &[ListedMachine], now: Instant) {
+    /// Applies the cloud's list of machines. The list lags, so absence from it is no evidence.
+    pub fn apply_machine_list(&mut self, list: &[ListedMachine], now: Instant) {
         for entry in list {
             let id = MachineId(entry.id.as_str().into());
             if self.terminated_machines.contains(&id) {
@@ -186,7 +192,7 @@
             }
             let machine = self.machines.entry(id.clone());
             let machine = machine.or_insert_with(|| Machine::new(id, now));
-            if machine.last_heartbeat.is_none() {
+            if machine.last_heartbeat_at.is_none() {
                 machine.machine_type.clone_from(&entry.machine_type);
                 machine.zone.clone_from(&entry.zone);
                 machine.spot = entry.spot;
@@ -198,14 +204,14 @@
                 machine.rented_at = rented.min(machine.rented_at);
             }
             machine.known_to_cloud = true;
-            let listed = match entry.status.as_str() {
-                "booting" => Listed::Booting,
-                "failed" => Listed::Failed,
-                _ => Listed::Running,
+            let cloud_status = match entry.status.as_str() {
+                "booting" => CloudStatus::Booting,
+                "failed" => CloudStatus::Failed,
+                _ => CloudStatus::Running,
             };
-            if machine.listed != listed {
-                machine.listed = listed;
-                machine.listed_since = now;
+            if machine.cloud_status != cloud_status {
+                machine.cloud_status = cloud_status;
+                machine.cloud_status_since = now;
             }
         }
     }
--- a/src/state_summary/cache.rs
+++ b/src/state_summary/cache.rs
@@ -5,49 +5,51 @@
 use super::{MachineSummary, StateSummary};
 use crate::model::{JobId, MachineId, Term};
 
-/// Released machines that are remembered: late copies of their heartbeats arrive within minutes, in
-/// which a fleet of 4,000 may have been replaced more than once. Each takes some 60 bytes.
-pub const GONE_MACHINES_KEPT: usize = 12_288;
+/// Largest number of removed machines kept, so that delayed copies of their heartbeats do not add them
+/// again. Such copies arrive within minutes, in which a fleet of 4,000 machines may be replaced more than
+/// once. Each entry takes about 60 bytes.
+pub const REMOVED_MACHINES_MAX: usize = 12_288;
 
 /// A follower's cache of the leader's state summary.
 #[derive(Debug, Default)]
 pub struct SummaryCache {
     term: Term,
     number: u64,
-    /// Completed and running tasks of unfinished jobs.
-    pub counts: HashMap<JobId, (u32, u32)>,
-    /// Machines.
-    pub hints: HashMap<MachineId, MachineSummary>,
-    /// Machines that were released or terminated, newest last.
-    pub gone: VecDeque<MachineId>,
+    /// Numbers of completed and of running tasks of jobs that have not ended.
+    pub task_counts: HashMap<JobId, (u32, u32)>,
+    /// Hints on the machines, for use if this controller becomes leader.
+    pub machines: HashMap<MachineId, MachineSummary>,
+    /// At most [`REMOVED_MACHINES_MAX`] machines that were released or terminated, the newest last.
+    pub removed_machines: VecDeque<MachineId>,
 }
 
 impl SummaryCache {
-    /// Applies a summary; whether that was possible. Changes apply only on top of the summary before.
+    /// Applies a summary unless it is of an older term, or holds changes and does not directly follow the
+    /// last applied summary. Returns whether it was applied.
     pub fn apply(&mut self, summary: StateSummary) -> bool {
-        let follows = summary.term == self.term && summary.number == self.number + 1;
-        if summary.term < self.term || !(summary.full || follows) {
+        let follows_last = summary.term == self.term && summary.number == self.number + 1;
+        if summary.term < self.term || !(summary.full || follows_last) {
             return false;
         }
         if summary.full {
-            self.counts.clear();
-            self.hints.clear();
+            self.task_counts.clear();
+            self.machines.clear();
         }
         self.term = summary.term;
         self.number = summary.number;
-        let counts = summary.contents.counts.into_iter();
-        self.counts
+        let counts = summary.contents.task_counts.into_iter();
+        self.task_counts
             .extend(counts.map(|c| (c.id, (c.done, c.running))));
-        for id in &summary.contents.over {
-            self.counts.remove(id);
+        for id in &summary.contents.ended_jobs {
+            self.task_counts.remove(id);
         }
-        self.hints.extend(summary.contents.hints);
-        for id in summary.contents.gone {
-            self.hints.remove(&id);
-            self.gone.push_back(id);
+        self.machines.extend(summary.contents.machines);
+        for id in summary.contents.removed_machines {
+            self.machines.remove(&id);
+            self.removed_machines.push_back(id);
         }
-        while self.gone.len() > GONE_MACHINES_KEPT {
-            self.gone.pop_front();
+        while self.removed_machines.len() > REMOVED_MACHINES_MAX {
+            self.removed_machines.pop_front();
         }
         true
     }
--- a/tests/common/scene.rs
+++ b/tests/common/scene.rs
@@ -10,14 +10,16 @@
     AddressedCommand, Cluster, DispatchTargets, HeartbeatOrdering, HeartbeatSource, RecordKind,
 };
 use knotlanding::config::Settings;
-use knotlanding::fleet::{self, Action, CapacityBackoff, FleetView, IdlePolicy};
+use knotlanding::fleet::{self, CapacityBackoff, FleetView, IdlePolicy, ScalingAction};
 use knotlanding::model::{
     FencingToken, JobId, JobKind, JobSpec, MachineId, MachineType, Priority, Resources, Term,
     Verdict,
 };
 use knotlanding::policy::SchedulingPolicy;
 use knotlanding::sched::{self, Decisions};
-use knotlanding::store::keys::{self, InventoryRecord, JobRecord, LiveRecord, SentRecord};
+use knotlanding::store::keys::{
+    self, DispatchedJobsRecord, InventoryRecord, JobDescription, JobRecord,
+};
 use knotlanding::store::replica::Replica;
 use knotlanding::store::{to_value, KeyValue, StoreError, TransactionOutcome};
 use knotlanding::wire::{
@@ -55,11 +57,11 @@
             gpus,
             memory: 64.0,
         },
-        price,
-        spot_price: price / 3.0,
-        boot: Duration::from_secs(40),
+        hourly_price: price,
+        hourly_spot_price: price / 3.0,
+        boot_time: Duration::from_secs(40),
         cache_gb: 50.0,
-        fetch_rate: 0.5,
+        pull_gb_per_s: 0.5,
         zones: vec!["north".to_owned(), "south".to_owned()],
     };
     vec![
@@ -198,11 +200,15 @@
     pub fn cancel(&mut self, id: &str) {
         self.note(&format!("cancelled by its user: {id}"));
         let id = JobId::parse(id).unwrap();
-        let live = self.replica().live.get(&id).map(|live| live.record.clone());
+        let live = self
+            .replica()
+            .descriptions
+            .get(&id)
+            .map(|live| live.record.clone());
         let record = JobRecord {
             verdict: Verdict::Cancelled,
             tasks: 1,
-            live,
+            description: live,
         };
         self.record(keys::job(&id), to_value(&record));
         self.sync(&id);
@@ -225,7 +231,7 @@
 
     pub fn round_with(&mut self, writes_work: bool) -> Decisions {
         for machine in self.cluster.machines.values() {
-            assert_eq!(*machine.load(), machine.counted(), "{}", machine.id);
+            assert_eq!(*machine.load(), machine.computed_load(), "{}", machine.id);
         }
         self.cluster.expire(self.now);
         let decisions = sched::run_cycle(&self.cluster, &self.policy, self.now);
@@ -248,7 +254,7 @@
                 termination.task, termination.machine
             ));
         }
-        for pending in &decisions.pending {
+        for pending in &decisions.pending_jobs {
             let (job, reason) = (&pending.job, pending.reason);
             self.note(&format!("round: {job} waits for {reason}"));
         }
@@ -297,7 +303,7 @@
                 "write {}: {what}",
                 if works { "ok" } else { "refused" }
             ));
-            self.cluster.written(&write.kind, &outcome);
+            self.cluster.apply_write_outcome(&write.kind, &outcome);
         }
     }
 
@@ -389,7 +395,7 @@
                 age_s: 100.0,
             })
             .collect();
-        self.cluster.listed(&list, self.now);
+        self.cluster.apply_machine_list(&list, self.now);
     }
 
     /// Machines that have reported and are on the roster.
@@ -414,8 +420,10 @@
         });
         for action in actions {
             let shown = match action {
-                Action::Rent(pool, count) => format!("Rent({pool:?}, {count})"),
-                Action::Release(ids, reason) => format!("Return({ids:?}, {:?})", reason.as_str()),
+                ScalingAction::Rent(pool, count) => format!("Rent({pool:?}, {count})"),
+                ScalingAction::Release(ids, reason) => {
+                    format!("Return({ids:?}, {:?})", reason.as_str())
+                }
             };
             self.note(&format!("fleet: {shown}"));
         }
@@ -437,7 +445,7 @@
 
 pub fn accepted(spec: &JobSpec, started: bool) -> Vec<(String, knotlanding::store::Value)> {
     let submitted = wall().duration_since(SystemTime::UNIX_EPOCH);
-    let live = LiveRecord {
+    let live = JobDescription {
         spec: spec.clone(),
         submitted_ms: submitted.unwrap().as_millis() as u64,
         started: false,
@@ -446,7 +454,7 @@
     let job = JobRecord {
         verdict: Verdict::Accepted,
         tasks: spec.tasks,
-        live: Some(live),
+        description: Some(live),
     };
     let mut records = vec![(keys::job(&spec.id), to_value(&job))];
     if started {
@@ -458,25 +466,25 @@
 /// A list that says where starts of a job may have been sent.
 pub fn sent(id: &JobId, hosts: Option<&[&str]>) -> (String, knotlanding::store::Value) {
     let hosts = hosts.map(|hosts| hosts.iter().map(|host| (*host).to_owned()).collect());
-    let record = SentRecord {
+    let record = DispatchedJobsRecord {
         jobs: vec![(id.clone(), hosts)],
     };
     let number: u32 = id.as_str()[3..].parse().unwrap();
-    (keys::sent(Term(0), number), to_value(&record))
+    (keys::dispatch(Term(0), number), to_value(&record))
 }
 
 /// The same job as version 0.3.0 wrote it down.
 pub fn accepted_apart(spec: &JobSpec, hosts: &[&str]) -> Vec<(String, knotlanding::store::Value)> {
-    let live = LiveRecord {
+    let live = JobDescription {
         spec: spec.clone(),
         submitted_ms: 0,
         started: true,
         hosts: Some(hosts.iter().map(|host| (*host).to_owned()).collect()),
     };
-    let job = JobRecord::bare(Verdict::Accepted, spec.tasks);
+    let job = JobRecord::without_description(Verdict::Accepted, spec.tasks);
     vec![
         (keys::job(&spec.id), to_value(&job)),
-        (keys::live(&spec.id), to_value(&live)),
+        (keys::description(&spec.id), to_value(&live)),
     ]
 }
 
--- a/tests/common/world.rs
+++ b/tests/common/world.rs
@@ -35,13 +35,13 @@
 
 use actix_web::HttpResponse;
 use futures_util::FutureExt;
-use knotlanding::api::workers::{receive, HeartbeatOutcome};
+use knotlanding::api::workers::{receive_heartbeat, HeartbeatOutcome};
 use knotlanding::cluster::{
     AddressedCommand, Cluster, HeartbeatOrdering, HeartbeatSource, Machine, RecordKind,
 };
 use knotlanding::config::{Peer, Settings, WorkerSettings};
 use knotlanding::demand::UnmetDemand;
-use knotlanding::fleet::{self, Action, CapacityBackoff, FleetView, IdlePolicy};
+use knotlanding::fleet::{self, CapacityBackoff, FleetView, IdlePolicy, ScalingAction};
 use knotlanding::leader::Leadership;
 use knotlanding::model::{
     FencingToken, JobId, JobKind, JobSpec, MachineId, MachinePool, Resources, Term, Verdict,
@@ -49,7 +49,7 @@
 use knotlanding::policy::SchedulingPolicy;
 use knotlanding::sched::{self, Decisions};
 use knotlanding::service::Shared;
-use knotlanding::store::keys::{self, JobRecord, LeaderRecord, LiveRecord, TermRecord};
+use knotlanding::store::keys::{self, JobDescription, JobRecord, LeaderRecord, TermRecord};
 use knotlanding::store::replica::VerdictState;
 use knotlanding::store::{
     to_value, Change, Condition, KeyValue, StoreError, Transaction, TransactionOutcome, Value,
--- a/tests/common/world/controllers.rs
+++ b/tests/common/world/controllers.rs
@@ -31,10 +31,10 @@
         let mut settings = self.settings.clone();
         settings.member = format!("knot-{number}");
         let others = (0..3).filter(|other| *other != number);
-        settings.known = others
+        settings.peers = others
             .map(|other| Peer {
                 member: format!("knot-{other}"),
-                area: "north".to_owned(),
+                zone: "north".to_owned(),
                 peer_addr: "127.0.0.1:9".parse().unwrap(),
             })
             .collect();
@@ -76,7 +76,7 @@
         let sent_at = self.start + Duration::from_secs_f64(sent);
         let shared = self.nodes[n].shared.clone();
         let failed = answered.failure().cloned();
-        if failed.as_ref().is_some_and(StoreError::contact_lost) {
+        if failed.as_ref().is_some_and(StoreError::shows_outage) {
             shared.election.lock().freshness().invalidate(now);
         }
         self.note_store(n, &why, failed.as_ref(), sent);
@@ -170,7 +170,10 @@
         let shared = self.nodes[n].shared.clone();
         let (verdict, version, live) = {
             let replica = shared.replica.lock();
-            let live = replica.live.get(&job).map(|live| live.record.clone());
+            let live = replica
+                .descriptions
+                .get(&job)
+                .map(|live| live.record.clone());
             let verdict = known_verdict(replica.verdict(&job));
             (verdict, replica.job_version(&job), live)
         };
@@ -181,7 +184,7 @@
         let record = JobRecord {
             verdict: Verdict::Cancelled,
             tasks: self.jobs[id].spec.tasks,
-            live,
+            description: live,
         };
         let group = Transaction {
             conditions: vec![Condition::new(keys::job(&job), version)],
@@ -269,7 +272,7 @@
             }
             let lease = shared.election.lock().lease().unwrap();
             if !self.nodes[n].renewing
-                && now >= lease.renewed_at() + lease_renewal_interval(LEADER_LEASE_MIN)
+                && now >= lease.renewal_sent_at() + lease_renewal_interval(LEADER_LEASE_MIN)
             {
                 self.nodes[n].renewing = true;
                 self.ask(
@@ -335,7 +338,7 @@
         let shared = self.nodes[n].shared.clone();
         let mut guard = shared.cluster.lock();
         if let Some(cluster) = guard.as_mut().filter(|c| c.term == term) {
-            cluster.written(kind, outcome);
+            cluster.apply_write_outcome(kind, outcome);
         }
     }
 
@@ -356,7 +359,7 @@
             };
             if let Some((_, due)) = due.filter(|(term, _)| *term == leadership.term) {
                 if self.t - due > 1.5 {
-                    cluster.resume(Duration::from_secs_f64(self.t - due), now);
+                    cluster.resume_after_pause(Duration::from_secs_f64(self.t - due), now);
                 }
             }
             cluster.expire(now);
@@ -389,9 +392,9 @@
         };
         for mut write in writes {
             let condition = Condition::new(keys::LEADER, leadership.version);
-            write.group.conditions.push(condition);
+            write.transaction.conditions.push(condition);
             let why = RequestPurpose::Write(write.kind, leadership.term);
-            self.ask(n, StoreRequest::Multi(write.group), why);
+            self.ask(n, StoreRequest::Multi(write.transaction), why);
         }
     }
 
@@ -433,9 +436,14 @@
             let Some(cluster) = guard.as_mut() else {
                 return;
             };
-            cluster.listed(&list, now);
-            let unheard = cluster.machines.values().any(Machine::expected);
-            if unheard && now.saturating_duration_since(cluster.since) < Duration::from_secs(5) {
+            cluster.apply_machine_list(&list, now);
+            let unheard = cluster
+                .machines
+                .values()
+                .any(Machine::awaits_first_heartbeat);
+            if unheard
+                && now.saturating_duration_since(cluster.observing_since) < Duration::from_secs(5)
+            {
                 return;
             }
             fleet::detect_partitions(cluster, now);
@@ -448,7 +456,7 @@
                 now,
             });
             for action in &actions {
-                if let Action::Release(ids, _) = action {
+                if let ScalingAction::Release(ids, _) = action {
                     for id in ids {
                         if let Some(machine) = cluster.machines.get_mut(id) {
                             machine.releasing = true;
@@ -460,8 +468,10 @@
         };
         for action in actions {
             match action {
-                Action::Rent(pool, count) => self.send(Mail::Rent(n, incarnation, pool, count)),
-                Action::Release(ids, _) => self.send(Mail::Return(n, incarnation, ids)),
+                ScalingAction::Rent(pool, count) => {
+                    self.send(Mail::Rent(n, incarnation, pool, count))
+                }
+                ScalingAction::Release(ids, _) => self.send(Mail::Return(n, incarnation, ids)),
             }
         }
     }
--- a/tests/common/world/delivery.rs
+++ b/tests/common/world/delivery.rs
@@ -166,7 +166,7 @@
         }
         let now = self.instant();
         let body = wire::encode(&*heartbeat);
-        let received = receive(&self.nodes[n].shared, Ok(body.into()), &|| now);
+        let received = receive_heartbeat(&self.nodes[n].shared, Ok(body.into()), &|| now);
         let (name, epoch) = (heartbeat.machine.clone(), heartbeat.epoch);
         let answers = cut.mode.responses == Flow::Pass;
         match (received, number.filter(|_| answers)) {
@@ -230,10 +230,10 @@
         let now = self.instant();
         let shared = self.nodes[n].shared.clone();
         if let Some(cluster) = shared.cluster.lock().as_mut() {
-            cluster.machines_rented(&names, &pool, now);
+            cluster.add_rented_machines(&names, &pool, now);
         }
         if names.is_empty() {
-            self.nodes[n].market.exhausted(&pool, now);
+            self.nodes[n].market.record_exhausted(&pool, now);
         }
     }
 
--- a/tests/common/world/links.rs
+++ b/tests/common/world/links.rs
@@ -5,7 +5,7 @@
 
 use knotlanding::features::{Features, LinkFeatures};
 use knotlanding::peer::encode;
-use knotlanding::peer::links::take_bytes;
+use knotlanding::peer::links::accept_encoded_row;
 use knotlanding::store::keys::{self, ProbeRecord};
 use knotlanding::store::{to_value, Change, StoreError, Transaction};
 use knotlanding::time::unix_ms;
@@ -110,7 +110,7 @@
         };
         let sent = self.start + Duration::from_secs_f64(sent);
         let links = &self.nodes[n].shared.links;
-        if failed.is_some_and(StoreError::contact_lost) {
+        if failed.is_some_and(StoreError::shows_outage) {
             links.store_failed(operation, sent, self.instant());
         } else {
             links.store_answered(operation, sent, self.instant());
@@ -130,7 +130,7 @@
         self.nodes[n].links.looked_at = self.t;
         let now = self.instant();
         if last > 0.0 && self.t - last > STOOD_STILL {
-            active.stood_still(now);
+            active.resume_after_pause(now);
         }
         active.evaluate(now);
         let leads = shared.election.lock().leadership(now);
@@ -196,7 +196,7 @@
         let Some(active) = shared.links.active() else {
             return;
         };
-        let taken = take_bytes(active, bytes, now, wall);
+        let taken = accept_encoded_row(active, bytes, now, wall);
         assert!(!matches!(
             taken,
             Err(RowRejection::Malformed | RowRejection::UnknownMember)
@@ -233,13 +233,13 @@
                 drop(links);
                 drop(table);
                 if !answered {
-                    active.peer_asked(&member, sent, false, now);
+                    active.record_peer_request(&member, sent, false, now);
                 }
             }
             Some(reply) if self.t - answer.sent <= ROW_LIMIT => {
-                active.peer_asked(&member, sent, true, now);
+                active.record_peer_request(&member, sent, true, now);
                 if let Some(reply) = reply {
-                    active.row_answered(reply);
+                    active.handle_row_reply(reply);
                 }
             }
             Some(_) => {}
@@ -300,7 +300,7 @@
     pub(super) fn number_incarnation(&self, n: usize, incarnation: u64) {
         let base = unix_ms(std::time::SystemTime::now());
         if let Some(active) = self.nodes[n].shared.links.active() {
-            active.row_answered(RowReply {
+            active.handle_row_reply(RowReply {
                 newest_incarnation: base + incarnation * 1_000,
             });
         }
--- a/tests/formats/requests.rs
+++ b/tests/formats/requests.rs
@@ -65,7 +65,7 @@
     let (status, body) = recorder.answer.lock().unwrap().clone();
     let status = actix_web::http::StatusCode::from_u16(status).unwrap();
     HttpResponse::build(status)
-        .content_type(wire::CBOR)
+        .content_type(wire::CBOR_CONTENT_TYPE)
         .body(body)
 }
 
@@ -81,7 +81,7 @@
 async fn requests_to_the_state_service_keep_their_form() {
     let recorder = Recorder::default();
     let mut settings = Settings::parse(&common::settings_of_nobody(), "a test").unwrap();
-    settings.external.state = recorder.start();
+    settings.external.store = recorder.start();
     let client = StoreClient::new(&settings, http());
 
     let group = Transaction {
@@ -125,12 +125,12 @@
 
     let page = cbor!({"rows" => [row], "more" => true, "epoch" => 431});
     recorder.answer(200, page.unwrap());
-    let read = client.page("kl/", None).await.unwrap();
+    let read = client.read_page("kl/", None).await.unwrap();
     assert_eq!(
         (read.key_values.len(), read.more, read.revision),
         (1, true, 431)
     );
-    client.page("kl/", Some("kl/term")).await.unwrap();
+    client.read_page("kl/", Some("kl/term")).await.unwrap();
 
     let followed = cbor!({"epoch" => 433, "events" => [
         {"set" => "c/9", "v" => 5, "stamp" => 433}, {"drop" => "c/d", "stamp" => 432}
@@ -139,9 +139,9 @@
     let hold = Duration::from_millis(1500);
     let read = client.watch("kl/", 431, hold, LIMIT).await.unwrap();
     assert_eq!(read.revision, 433);
-    assert_eq!(read.events[0].put.as_deref(), Some("c/9"));
+    assert_eq!(read.events[0].put_key.as_deref(), Some("c/9"));
     assert_eq!(read.events[0].value, Some(Value::from(5)));
-    assert_eq!(read.events[1].delete.as_deref(), Some("c/d"));
+    assert_eq!(read.events[1].deleted_key.as_deref(), Some("c/d"));
     assert_eq!(read.events[1].version, 432);
     recorder.answer(410, cbor!({"error" => "gone"}).unwrap());
     let read = client.watch("kl/", 1, hold, LIMIT).await;
@@ -176,9 +176,9 @@
         memory: 768.0,
     };
     assert_eq!((read.name.as_str(), read.capacity), ("g8", whole));
-    assert_eq!((read.price, read.spot_price), (12.0, 4.5));
-    assert_eq!(read.boot, Duration::from_secs(45));
-    assert_eq!((read.cache_gb, read.fetch_rate), (200.0, 1.0));
+    assert_eq!((read.hourly_price, read.hourly_spot_price), (12.0, 4.5));
+    assert_eq!(read.boot_time, Duration::from_secs(45));
+    assert_eq!((read.cache_gb, read.pull_gb_per_s), (200.0, 1.0));
     assert_eq!(read.zones, ["a", "b"]);
 
     let request = RentalRequest {
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -13,7 +13,7 @@
 use knotlanding::cluster::RecordKind;
 use knotlanding::model::{JobId, MachineId, Term};
 use knotlanding::state_summary::{
-    StateSummary, SummaryCache, GONE_MACHINES_KEPT, SUMMARY_BYTES_MAX,
+    StateSummary, SummaryCache, REMOVED_MACHINES_MAX, SUMMARY_BYTES_MAX,
 };
 use knotlanding::store::{Change, TransactionOutcome};
 use knotlanding::wire;
@@ -43,18 +43,18 @@
 #[test]
 fn a_roster_of_4000_machines_is_written_within_the_limits_and_read_back() {
     let mut scene = reported(MACHINES);
-    let limits = scene.settings.params.state.clone();
+    let limits = scene.settings.params.store.clone();
     let replica = scene.replica();
     let writes = scene.cluster.due_writes(&replica, scene.now);
     let mut written = BTreeSet::new();
     for write in &writes {
-        assert!(write.group.changes.len() <= limits.txn_ops);
+        assert!(write.transaction.changes.len() <= limits.txn_ops);
         let RecordKind::Inventory { machines, .. } = &write.kind else {
             panic!("{:?}", write.kind);
         };
         written.extend(machines.iter().cloned());
-        let Change::Put { key, value, .. } = &write.group.changes[0] else {
-            panic!("{:?}", write.group.changes);
+        let Change::Put { key, value, .. } = &write.transaction.changes[0] else {
+            panic!("{:?}", write.transaction.changes);
         };
         // The service measures values as JSON.
         let json = serde_json::to_string(value).unwrap();
@@ -63,7 +63,7 @@
     }
     for (revision, write) in writes.iter().enumerate() {
         let outcome = TransactionOutcome::Committed(1_000 + revision as u64);
-        scene.cluster.written(&write.kind, &outcome);
+        scene.cluster.apply_write_outcome(&write.kind, &outcome);
     }
     assert_eq!(written.len(), MACHINES);
     // All shards go in two seconds' worth of changes.
@@ -79,7 +79,7 @@
     assert_eq!(scene.cluster.unreconciled, written);
     // One machine that goes costs one shard, not all of them.
     let gone = MachineId("m-c000000n".into());
-    scene.cluster.machine_gone(&gone);
+    scene.cluster.remove_terminated_machine(&gone);
     let replica = scene.replica();
     assert_eq!(scene.cluster.due_writes(&replica, scene.now).len(), 1);
 }
@@ -94,7 +94,7 @@
         for at in 0..60 {
             let known = scene.cluster.images.id(&image(number, at));
             let machine = scene.cluster.machines.get_mut(id).unwrap();
-            machine.used_image(known, 3.0, 200.0);
+            machine.record_image_use(known, 3.0, 200.0);
         }
         let machine = scene.cluster.machines.get_mut(id).unwrap();
         machine.address = format!("10.{}.{}.7:9000", number / 250, number % 250);
@@ -106,18 +106,18 @@
         }
     }
     let replica = scene.replica();
-    for id in replica.live.keys() {
+    for id in replica.descriptions.keys() {
         let wall = scene::wall();
         scene.cluster.sync_job(id, &replica, scene.now, wall, false);
     }
     let mut contents = scene.cluster.full_summary();
     assert_eq!(
-        (contents.hints.len(), contents.counts.len()),
+        (contents.machines.len(), contents.task_counts.len()),
         (MACHINES, 20_000)
     );
     contents.shorten(SUMMARY_BYTES_MAX);
     let latest: Vec<_> = contents
-        .hints
+        .machines
         .iter()
         .map(|(_, hint)| hint.images.last())
         .collect();
@@ -140,10 +140,10 @@
     }
     let mut view = SummaryCache::default();
     assert!(view.apply(knotlanding::peer::decode(&bytes).unwrap()));
-    assert_eq!(view.hints.len(), MACHINES, "every machine is told");
-    assert_eq!(view.counts.len(), 20_000);
+    assert_eq!(view.machines.len(), MACHINES, "every machine is told");
+    assert_eq!(view.task_counts.len(), 20_000);
     assert!(view
-        .hints
+        .machines
         .values()
         .all(|hint| hint.address.starts_with("10.")));
 }
@@ -153,21 +153,23 @@
     let mut contents = knotlanding::state_summary::SummaryContents::default();
     for number in 0..200_000 {
         let id = JobId::parse(&format!("wk-{number:06}")).unwrap();
-        contents.over.push(id.clone());
+        contents.ended_jobs.push(id.clone());
         contents
-            .gone
+            .removed_machines
             .push(MachineId(format!("m-{number:06}").into()));
         let (done, running) = (u32::MAX, u32::MAX);
         contents
-            .counts
-            .push(knotlanding::state_summary::Counts { id, done, running });
+            .task_counts
+            .push(knotlanding::state_summary::TaskCounts { id, done, running });
     }
     for limit in [64 * 1024, SUMMARY_BYTES_MAX] {
         let mut contents = contents.clone();
         contents.shorten(limit);
         assert!(knotlanding::peer::encode(&contents).unwrap().len() <= limit);
         assert!(
-            !contents.counts.is_empty() && !contents.over.is_empty() && !contents.gone.is_empty()
+            !contents.task_counts.is_empty()
+                && !contents.ended_jobs.is_empty()
+                && !contents.removed_machines.is_empty()
         );
     }
 }
@@ -214,7 +216,7 @@
 fn rounds_fill_4000_machines_with_whole_gangs_and_lists_within_the_limits() {
     let mut scene = reported(MACHINES);
     scene.write(true);
-    let limits = scene.settings.params.state.clone();
+    let limits = scene.settings.params.store.clone();
     // Some room is left: gangs bound to a zone can't use what is over in both.
     let gangs = 120;
     for number in 0..gangs {
@@ -235,7 +237,7 @@
         }
         let replica = scene.replica();
         for write in scene.cluster.due_writes(&replica, now) {
-            for change in &write.group.changes {
+            for change in &write.transaction.changes {
                 let Change::Put { value, .. } = change else {
                     continue;
                 };
@@ -245,14 +247,19 @@
             }
             scene
                 .cluster
-                .written(&write.kind, &TransactionOutcome::Committed(5_000));
+                .apply_write_outcome(&write.kind, &TransactionOutcome::Committed(5_000));
         }
         scene.pass(0.2);
     }
-    let busy = scene.cluster.machines.values().filter(|m| m.busy()).count();
+    let busy = scene
+        .cluster
+        .machines
+        .values()
+        .filter(|m| m.is_busy())
+        .count();
     assert_eq!(busy, gangs * 16, "a machine takes one member");
     for machine in scene.cluster.machines.values() {
-        assert_eq!(*machine.load(), machine.counted(), "{}", machine.id);
+        assert_eq!(*machine.load(), machine.computed_load(), "{}", machine.id);
     }
 }
 
@@ -261,13 +268,13 @@
 fn machines_that_are_gone_are_remembered_while_a_fleet_of_4000_is_replaced_twice() {
     let mut scene = reported(10);
     let first = MachineId("m-c000000n".into());
-    scene.cluster.machine_gone(&first);
+    scene.cluster.remove_terminated_machine(&first);
     for number in 0..2 * MACHINES {
         scene
             .cluster
-            .machine_gone(&MachineId(format!("m-z{number:06}").into()));
+            .remove_terminated_machine(&MachineId(format!("m-z{number:06}").into()));
     }
-    const { assert!(GONE_MACHINES_KEPT > 2 * MACHINES) };
+    const { assert!(REMOVED_MACHINES_MAX > 2 * MACHINES) };
     scene.heartbeat("m-c000000n", &[]);
     assert!(!scene.cluster.machines.contains_key(&first));
 }
--- a/tests/meetings.rs
+++ b/tests/meetings.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant, SystemTime};
 
 use ciborium::{cbor, Value};
-use knotlanding::api::workers::{receive, HeartbeatOutcome};
+use knotlanding::api::workers::{receive_heartbeat, HeartbeatOutcome};
 use knotlanding::cluster::Cluster;
 use knotlanding::config::Settings;
 use knotlanding::leader::Leadership;
@@ -111,15 +111,15 @@
     fn learn_of_the_cancellation(&self) {
         let id = JobId::parse("wk-000001").unwrap();
         let event = {
-            let live = self.shared.replica.lock().live[&id].record.clone();
+            let live = self.shared.replica.lock().descriptions[&id].record.clone();
             let record = JobRecord {
                 verdict: Verdict::Cancelled,
                 tasks: 1,
-                live: Some(live),
+                description: Some(live),
             };
             knotlanding::store::WatchEvent {
-                put: Some(keys::job(&id)),
-                delete: None,
+                put_key: Some(keys::job(&id)),
+                deleted_key: None,
                 value: Some(to_value(&record)),
                 version: 20,
             }
@@ -149,7 +149,7 @@
         let mut guard = self.shared.cluster.lock();
         let cluster = guard.as_mut().unwrap();
         for write in cluster.due_writes(&replica, self.now) {
-            cluster.written(&write.kind, &TransactionOutcome::Committed(11));
+            cluster.apply_write_outcome(&write.kind, &TransactionOutcome::Committed(11));
         }
     }
 
@@ -172,7 +172,7 @@
         let mut body = Vec::new();
         ciborium::into_writer(&heartbeat.unwrap(), &mut body).unwrap();
         let now = self.now;
-        let answer = answered_here(receive(&self.shared, Ok(body.into()), &|| now));
+        let answer = answered_here(receive_heartbeat(&self.shared, Ok(body.into()), &|| now));
         let status = answer.status().as_u16();
         let body =
             futures_util::FutureExt::now_or_never(actix_web::body::to_bytes(answer.into_body()));
@@ -341,7 +341,8 @@
         for s in 0..2 {
             let now = start + Duration::from_secs(s);
             for _ in 0..400 {
-                let answer = answered_here(receive(&shared, Ok(body.clone().into()), &|| now));
+                let answer =
+                    answered_here(receive_heartbeat(&shared, Ok(body.clone().into()), &|| now));
                 match answer.status().as_u16() {
                     421 => sent_on[s as usize] += 1,
                     status => assert_eq!(status, 503, "to be tried at the next node"),
