--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -63,7 +63,7 @@
 
 /// The same for addresses at which nobody listens.
 #[allow(dead_code)]
-pub fn settings_of_nobody() -> String {
+pub fn settings_with_unreachable_addresses() -> String {
     settings_text(
         "knot-0",
         "127.0.0.1:1",
--- a/tests/common/play.rs
+++ b/tests/common/play.rs
@@ -15,7 +15,7 @@
 pub const SETTLE_TIME_S: f64 = 260.0;
 
 pub fn settings() -> String {
-    let text = common::settings_of_nobody();
+    let text = common::settings_with_unreachable_addresses();
     text.replace("count = 1", "count = 3")
         .replace("report_s = 0.5", "report_s = 3.0")
 }
--- a/tests/common/scene.rs
+++ b/tests/common/scene.rs
@@ -119,7 +119,7 @@
 impl Scene {
     /// Takes over with these records as of term 1.
     pub fn with(records: Vec<(String, knotlanding::store::Value)>) -> Self {
-        let text = super::common::settings_of_nobody();
+        let text = super::common::settings_with_unreachable_addresses();
         let settings = Settings::parse(&text, "test").unwrap();
         let start = Instant::now() + Duration::from_secs(100_000);
         let mut scene = Self {
--- a/tests/formats/files.rs
+++ b/tests/formats/files.rs
@@ -62,7 +62,8 @@
 
 #[test]
 fn errors_in_settings_name_the_field() {
-    let text = common::settings_of_nobody().replace("lease_s = 20.0", "lease_s = -1.0");
+    let text =
+        common::settings_with_unreachable_addresses().replace("lease_s = 20.0", "lease_s = -1.0");
     let error = Settings::parse(&text, "a file").unwrap_err();
     assert!(matches!(error, ConfigError::Invalid { .. }));
     assert_eq!(
--- a/tests/formats/requests.rs
+++ b/tests/formats/requests.rs
@@ -80,7 +80,8 @@
 #[actix_web::test]
 async fn requests_to_the_state_service_keep_their_form() {
     let recorder = Recorder::default();
-    let mut settings = Settings::parse(&common::settings_of_nobody(), "a test").unwrap();
+    let mut settings =
+        Settings::parse(&common::settings_with_unreachable_addresses(), "a test").unwrap();
     settings.external.store = recorder.start();
     let client = StoreClient::new(&settings, http());
 
--- a/tests/forwarding.rs
+++ b/tests/forwarding.rs
@@ -23,7 +23,7 @@
 impl Trace {
     /// Three nodes, at each of which some of six machines report, with work on all of them.
     fn new(peers_refuse: bool) -> Self {
-        let text = common::settings_of_nobody();
+        let text = common::settings_with_unreachable_addresses();
         let text = text
             .replace("count = 1", "count = 3")
             .replace("report_s = 0.5", "report_s = 8.0");
--- a/tests/meetings.rs
+++ b/tests/meetings.rs
@@ -47,7 +47,7 @@
 impl LoneLeader {
     /// A leader whose records name one job of one task, with a fresh replica.
     fn new() -> Self {
-        let text = common::settings_of_nobody();
+        let text = common::settings_with_unreachable_addresses();
         let shared = Shared::new(Settings::parse(&text, "a test").unwrap());
         let start = Instant::now();
         let rows = accepted(&array("wk-000001", 1), false).into_iter();
@@ -322,7 +322,7 @@
 /// is short of processor time went on answering those that had given up, for half a minute.
 #[test]
 fn a_follower_sends_on_no_more_workers_than_the_leader_can_take_in() {
-    let text = common::settings_of_nobody();
+    let text = common::settings_with_unreachable_addresses();
     let sent_on = |cores: f64, nodes: usize| {
         let mut settings = Settings::parse(&text, "a test").unwrap();
         settings.params.resources.cores = cores;
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -516,7 +516,7 @@
 #[test]
 fn wrong_settings_end_the_program_with_one_line_that_names_the_field() {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
-    let good = common::settings_of_nobody();
+    let good = common::settings_with_unreachable_addresses();
     let cases = [
         ("missing", good.replace("lease_s = 20.0", ""), "lease_s"),
         (
@@ -561,7 +561,7 @@
     use knotlanding::leader::Leadership;
     use knotlanding::model::Term;
     use knotlanding::timing::LEADER_LEASE_MIN;
-    let text = common::settings_of_nobody();
+    let text = common::settings_with_unreachable_addresses();
     let settings = Settings::parse(&text, "a test").unwrap();
     let shared = knotlanding::service::Shared::new(settings);
     let start = Instant::now();
