--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,8 +1,9 @@
-//! Settings shared by the tests.
+//! Settings files that the tests share.
 
-/// A settings file for the given addresses.
+/// Text of a settings file for the controller `member`, with two zones and two teams. The field
+/// `surprise` is unknown to the parser, which ignores it.
 #[allow(dead_code)]
-pub fn settings_text(member: &str, public: &str, peer: &str, state: &str, cloud: &str) -> String {
+pub fn settings_text(member: &str, public: &str, peer: &str, store: &str, cloud: &str) -> String {
     format!(
         r#"
 member = "{member}"
@@ -13,7 +14,7 @@
 
 [external]
 cloud = "{cloud}"
-state = "{state}"
+state = "{store}"
 
 [params]
 count = 1
@@ -61,7 +62,7 @@
     )
 }
 
-/// The same for addresses at which nobody listens.
+/// Text of a settings file whose addresses have no listener.
 #[allow(dead_code)]
 pub fn settings_with_unreachable_addresses() -> String {
     settings_text(
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -1,7 +1,7 @@
-//! The formats in which this version exchanges and stores data, against bytes written by 0.7.0. The
-//! files in `tests/formats/` are never written again: whatever the types are called, the bytes stay.
+//! Compatibility of the formats in which this version exchanges and stores data with those of version 0.7.0.
+//! The fixtures in `tests/formats/` were written by 0.7.0 and must not change, whatever the types are named.
 
-// A test that can't go on ends with its reason.
+// A failed `unwrap` or `expect` fails the test with its message.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 #[path = "formats/admin.rs"]
@@ -11,13 +11,13 @@
 mod files;
 #[path = "formats/fixture.rs"]
 mod fixture;
-#[path = "common/node.rs"]
-mod node;
 #[path = "formats/peers.rs"]
 mod peers;
 #[path = "formats/records.rs"]
 mod records;
 #[path = "formats/requests.rs"]
 mod requests;
+#[path = "common/test_controller.rs"]
+mod test_controller;
 #[path = "formats/wire.rs"]
 mod wire;
--- a/tests/formats/admin.rs
+++ b/tests/formats/admin.rs
@@ -1,4 +1,4 @@
-//! The operators' interface: the fields of its JSON, by their paths.
+//! The admin interface and the command line: fields and values of the JSON, pending reasons, exit codes.
 
 use std::collections::BTreeSet;
 use std::process::{Command, Stdio};
@@ -14,10 +14,12 @@
 use serde_json::Value;
 
 use crate::fixture;
-use crate::node::{job, Bench, Node, PROGRAM, TEST_TIMEOUT};
+use crate::test_controller::{
+    job, ControllerEnvironment, ControllerProcess, PROGRAM, TEST_TIMEOUT,
+};
 
-/// Maps whose keys are names of things and not fields.
-const NAMED: [&str; 6] = [
+/// Maps whose keys are names of jobs, machines or controllers and not of fields.
+const MAPS_KEYED_BY_NAME: [&str; 6] = [
     "jobs",
     "machines",
     "matrix",
@@ -29,9 +31,10 @@
 fn add_paths(value: &Value, path: &str, paths: &mut BTreeSet<String>) {
     match value {
         Value::Object(fields) => {
-            let named = NAMED.contains(&path.rsplit('.').next().unwrap_or_default());
+            let keyed_by_name =
+                MAPS_KEYED_BY_NAME.contains(&path.rsplit('.').next().unwrap_or_default());
             for (name, field) in fields {
-                let name = if named { "*" } else { name };
+                let name = if keyed_by_name { "*" } else { name };
                 add_paths(field, &format!("{path}.{name}"), paths);
             }
         }
@@ -46,27 +49,35 @@
     }
 }
 
-/// One line for each field, whatever its value.
-fn paths(root: &str, value: &Value) -> BTreeSet<String> {
+/// The path of each field, whatever its value. Keys of maps by name are replaced with `*`.
+fn field_paths(root: &str, value: &Value) -> BTreeSet<String> {
     let mut paths = BTreeSet::new();
     add_paths(value, root, &mut paths);
     paths
 }
 
-async fn start(bench: &Bench) -> Node {
+async fn start_with_features(environment: &ControllerEnvironment) -> ControllerProcess {
     let features = concat!(env!("CARGO_MANIFEST_DIR"), "/deploy/features.toml");
-    bench.start_with(&["--features", features])
+    environment.start_with_arguments(&["--features", features])
 }
 
-/// Asks until what is told is complete: machines have reported, a job waits, a row is there.
-async fn complete(node: &Node, path: &str, done: impl Fn(&Value) -> bool) -> Value {
-    let began = Instant::now();
+/// Repeats the request until the response contains all fields, some of which appear only once a machine has
+/// sent a heartbeat or a job is pending.
+async fn wait_until_complete(
+    controller: &ControllerProcess,
+    path: &str,
+    is_complete: impl Fn(&Value) -> bool,
+) -> Value {
+    let started_at = Instant::now();
     loop {
-        let (status, body) = node.admin("GET", path, "").await;
-        if status == 200 && done(&body) {
+        let (status, body) = controller.admin("GET", path, "").await;
+        if status == 200 && is_complete(&body) {
             return body;
         }
-        assert!(began.elapsed() < TEST_TIMEOUT, "{path}: {status} {body}");
+        assert!(
+            started_at.elapsed() < TEST_TIMEOUT,
+            "{path}: {status} {body}"
+        );
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
 }
@@ -77,20 +88,22 @@
 }
 
 #[actix_web::test]
-async fn fields_of_the_operators_json_stay() {
-    let bench = Bench::new("formats-admin");
-    let node = start(&bench).await;
-    node.accept(&job("wk-000001", "array", 5000, 16.0)).await;
-    let status = complete(&node, "status", |status| {
+async fn admin_json_keeps_its_fields() {
+    let environment = ControllerEnvironment::new("formats-admin");
+    let controller = start_with_features(&environment).await;
+    controller
+        .submit_until_accepted(&job("wk-000001", "array", 5000, 16.0))
+        .await;
+    let status = wait_until_complete(&controller, "status", |status| {
         let machines = status["machines"].as_object().unwrap();
-        let heard = |m: &Value| m["reported_s_ago"].is_number();
-        let waits = status["jobs"]["wk-000001"]["waits_for"].is_string();
-        waits && machines.values().any(heard)
+        let has_heartbeat = |machine: &Value| machine["reported_s_ago"].is_number();
+        let is_pending = status["jobs"]["wk-000001"]["waits_for"].is_string();
+        is_pending && machines.values().any(has_heartbeat)
     })
     .await;
     let machine = first_name(&status, "machines");
-    let mut all = BTreeSet::new();
-    let answers = [
+    let mut fields = BTreeSet::new();
+    let endpoints = [
         ("status", "status".to_owned()),
         ("job", "jobs/wk-000001".to_owned()),
         ("machine", format!("machines/{machine}")),
@@ -98,30 +111,30 @@
         ("settings", "settings".to_owned()),
         ("links", "links".to_owned()),
     ];
-    for (name, path) in answers {
-        let (code, body) = node.admin("GET", &path, "").await;
+    for (name, path) in endpoints {
+        let (code, body) = controller.admin("GET", &path, "").await;
         assert_eq!(code, 200, "{path}: {body}");
-        all.extend(paths(name, &body));
+        fields.extend(field_paths(name, &body));
     }
     for (name, path) in [("no-job", "jobs/wk-9"), ("no-machine", "machines/none")] {
-        let (code, body) = node.admin("GET", path, "").await;
+        let (code, body) = controller.admin("GET", path, "").await;
         assert_eq!(code, 404);
-        all.extend(paths(name, &body));
+        fields.extend(field_paths(name, &body));
     }
-    // These come and go with the time at which they are asked for.
-    let at_times = [
+    // These fields are present or absent depending on the time of the request.
+    let transient = [
         "status.machines.*.health.lost",
         "machine.health.lost",
         "links.decisions[].",
         "links.suppressed[]",
     ];
-    all.retain(|path| !at_times.iter().any(|prefix| path.starts_with(prefix)));
-    let lines: Vec<String> = all.into_iter().collect();
+    fields.retain(|path| !transient.iter().any(|prefix| path.starts_with(prefix)));
+    let lines: Vec<String> = fields.into_iter().collect();
     fixture::assert_text("admin-fields.txt", &(lines.join("\n") + "\n"));
 }
 
 #[test]
-fn commands_and_exit_codes_stay() {
+fn commands_keep_their_exit_codes() {
     let run = |arguments: &[&str]| {
         let mut command = Command::new(PROGRAM);
         let status = command.args(arguments).stderr(Stdio::null()).output();
@@ -154,8 +167,8 @@
     }
 }
 
-/// The line of the fixture for each reason. A new variant does not compile without one.
-fn line_number(reason: PendingReason) -> usize {
+/// The line of the fixture with the text of the reason. A new variant does not compile without one.
+fn pending_reason_position(reason: PendingReason) -> usize {
     match reason {
         PendingReason::NotConsidered => 0,
         PendingReason::StaleReplica => 1,
@@ -174,32 +187,32 @@
     }
 }
 
-/// Operators' scripts may look for these, too.
+/// Scripts of operators may match these texts.
 #[test]
-fn pending_reasons_stay() {
+fn pending_reasons_keep_their_texts() {
     let text = fixture::text("pending-reasons.txt");
     let lines: Vec<&str> = text.lines().collect();
     assert_eq!(PendingReason::ALL.len(), lines.len());
-    for (at, reason) in PendingReason::ALL.into_iter().enumerate() {
-        assert_eq!(line_number(reason), at);
-        assert_eq!(reason.to_string(), lines[at]);
+    for (position, reason) in PendingReason::ALL.into_iter().enumerate() {
+        assert_eq!(pending_reason_position(reason), position);
+        assert_eq!(reason.to_string(), lines[position]);
         let json = serde_json::to_value(reason).unwrap();
-        assert_eq!(json, Value::from(lines[at]));
+        assert_eq!(json, Value::from(lines[position]));
     }
 }
 
-/// So do these, each line from one refusal.
+/// Scripts of operators may match these texts. Each line of the fixture belongs to one refusal.
 #[test]
-fn placement_refusals_told_to_operators_stay() {
+fn placement_refusals_keep_their_texts() {
     let lines = PlacementRefusal::ALL.map(|refusal| format!("{refusal}\n"));
     fixture::assert_text("passed-over.txt", &lines.concat());
     for (position, refusal) in PlacementRefusal::ALL.into_iter().enumerate() {
-        assert_eq!(position_of(refusal), position);
+        assert_eq!(placement_refusal_position(refusal), position);
     }
 }
 
-/// Does not compile with a variant that is not listed.
-fn position_of(refusal: PlacementRefusal) -> usize {
+/// The line of the fixture with the text of the refusal. A new variant does not compile without one.
+fn placement_refusal_position(refusal: PlacementRefusal) -> usize {
     match refusal {
         PlacementRefusal::NoHeartbeat => 0,
         PlacementRefusal::NotFenced => 1,
@@ -216,7 +229,7 @@
     }
 }
 
-fn lines<T: Serialize>(values: &[T]) -> String {
+fn json_lines<T: Serialize>(values: &[T]) -> String {
     let lines = values
         .iter()
         .map(|value| serde_json::to_string(value).unwrap() + "\n");
@@ -224,7 +237,7 @@
 }
 
 #[test]
-fn words_of_the_operators_json_stay() {
+fn admin_json_keeps_its_enumeration_values() {
     let connectivity = Connectivity {
         store: true,
         store_proven: false,
@@ -245,24 +258,24 @@
             theirs: connectivity,
         },
     ];
-    let mut text = lines(&decisions);
-    text += &lines(&[
+    let mut text = json_lines(&decisions);
+    text += &json_lines(&[
         GateRefusal::Unreadable,
         GateRefusal::Unwritable,
         GateRefusal::Flapping,
     ]);
-    text += &lines(&[
+    text += &json_lines(&[
         HealthState::Healthy,
         HealthState::Suspect,
         HealthState::Unreachable,
         HealthState::Unknown,
     ]);
-    text += &lines(&[
+    text += &json_lines(&[
         LostDirection::FromWorker,
         LostDirection::ToWorker,
         LostDirection::Both,
     ]);
-    text += &lines(&[
+    text += &json_lines(&[
         LinkState::Unknown,
         LinkState::Up,
         LinkState::Suspect,
--- a/tests/formats/files.rs
+++ b/tests/formats/files.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn the_settings_file_is_read_as_before() {
+fn settings_file_keeps_its_fields() {
     let settings = Settings::parse(&fixture::text("settings.toml"), "settings.toml").unwrap();
     assert_eq!(
         (settings.member.as_str(), settings.zone.as_str()),
@@ -48,12 +48,12 @@
     assert_eq!((workers.report_s, workers.lease_s), (3.0, 22.0));
     assert_eq!((workers.gang_wait_s, workers.gang_peer_s), (35.0, 4.0));
     assert_eq!(workers.cancel_s, 42.0);
-    let state = &params.store;
+    let store = &params.store;
     assert_eq!(
-        (state.rps, state.write_rps, state.value_kb),
+        (store.rps, store.write_rps, store.value_kb),
         (80.0, 30.0, 32.0)
     );
-    assert_eq!(state.txn_ops, 12);
+    assert_eq!(store.txn_ops, 12);
     assert_eq!((params.cloud.rps, params.cloud.list_lag_s), (4.0, 5.0));
     let resources = &params.resources;
     assert_eq!((resources.cores, resources.mem_mb), (0.16, 136.0));
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn errors_in_settings_name_the_field() {
+fn error_in_settings_names_the_field() {
     let text =
         common::settings_with_unreachable_addresses().replace("lease_s = 20.0", "lease_s = -1.0");
     let error = Settings::parse(&text, "a file").unwrap_err();
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn the_features_file_is_read_as_before() {
+fn features_file_keeps_its_fields_and_defaults() {
     let text = fixture::text("features.toml");
     let features = Features::parse(&text, "features.toml").unwrap();
     let expected = LinkFeatures {
@@ -84,15 +84,15 @@
         handovers_max: 7,
     };
     assert_eq!(features.links, Some(expected));
-    let off = Features::parse("[links]\nenabled = false\n", "a file").unwrap();
-    assert_eq!(off, Features::default());
-    let unknown = Features::parse("[links]\nspeed = 1\n", "a file").unwrap_err();
-    assert!(matches!(unknown, FeaturesError::UnknownField { .. }));
+    let disabled = Features::parse("[links]\nenabled = false\n", "a file").unwrap();
+    assert_eq!(disabled, Features::default());
+    let unknown_field = Features::parse("[links]\nspeed = 1\n", "a file").unwrap_err();
+    assert!(matches!(unknown_field, FeaturesError::UnknownField { .. }));
     let shipped = Features::parse(&repository_file("deploy/features.toml"), "a file").unwrap();
     assert_eq!(shipped.links, Some(LinkFeatures::default()));
 }
 
 #[test]
-fn the_deploy_file_keeps_its_commands() {
+fn deploy_file_keeps_its_commands() {
     fixture::assert_text("service.toml", &repository_file("deploy/service.toml"));
 }
--- a/tests/formats/fixture.rs
+++ b/tests/formats/fixture.rs
@@ -1,4 +1,4 @@
-//! Files of bytes as hexadecimal digits, and text files.
+//! Fixtures in `tests/formats/`: text files, and files of bytes as hexadecimal digits.
 
 use std::path::PathBuf;
 
@@ -7,12 +7,12 @@
     root.join("tests/formats").join(name)
 }
 
-/// A text file.
+/// The content of a text fixture.
 pub fn text(name: &str) -> String {
     std::fs::read_to_string(path(name)).unwrap_or_else(|error| panic!("{name}: {error}"))
 }
 
-/// A file of hexadecimal digits.
+/// The bytes of a fixture of hexadecimal digits. Other characters are skipped.
 pub fn bytes(name: &str) -> Vec<u8> {
     let digits: Vec<u8> = text(name).bytes().filter(u8::is_ascii_hexdigit).collect();
     let pairs = digits.chunks(2);
@@ -21,17 +21,17 @@
         .collect()
 }
 
-/// The same bytes as text, for a failed comparison that can be read.
+/// The bytes as hexadecimal digits, which make the message of a failed comparison readable.
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// The file has just these bytes.
+/// Asserts that the fixture contains exactly these bytes.
 pub fn assert_bytes(name: &str, actual: &[u8]) {
     assert_eq!(hex(&bytes(name)), hex(actual), "{name}");
 }
 
-/// The file has just this text.
+/// Asserts that the fixture contains exactly this text.
 pub fn assert_text(name: &str, actual: &str) {
     assert_eq!(text(name), actual, "{name}");
 }
--- a/tests/formats/peers.rs
+++ b/tests/formats/peers.rs
@@ -1,4 +1,4 @@
-//! Messages between controllers.
+//! Messages between controllers, which are encoded with bincode.
 
 use knotlanding::forwarding::messages::{
     BatchAnswer, ForwardedAction, ForwardedAnswer, ForwardedCommand, HeartbeatBatch, BATCH_VERSION,
@@ -22,17 +22,19 @@
 
 use crate::fixture;
 
+/// Asserts that the message is encoded as the bytes of the fixture, and that they are decoded as the message.
 fn assert_message<T>(name: &str, message: &T)
 where
     T: Serialize + DeserializeOwned + PartialEq + std::fmt::Debug,
 {
     fixture::assert_bytes(name, &encode(message).unwrap());
-    let read: T = decode(&fixture::bytes(name)).unwrap_or_else(|| panic!("{name} is not read"));
+    let read: T =
+        decode(&fixture::bytes(name)).unwrap_or_else(|| panic!("{name} cannot be decoded"));
     assert_eq!(&read, message);
 }
 
 #[test]
-fn paths_and_versions_stay() {
+fn peer_paths_and_versions_are_unchanged() {
     assert_eq!(BINCODE_CONTENT_TYPE, "application/x-bincode");
     assert_eq!(SUMMARY_PATH, "/peer/digest");
     assert_eq!(CANCELLED_PATH, "/peer/cancelled");
@@ -43,8 +45,8 @@
 }
 
 #[test]
-fn digests_keep_their_form() {
-    let hint = MachineSummary {
+fn state_summaries_keep_their_encoding() {
+    let machine_summary = MachineSummary {
         address: "10.1.0.232:9000".to_owned(),
         epoch: 3,
         images: vec![("img-07".to_owned(), 6.25)],
@@ -61,7 +63,7 @@
                 running: 13,
             }],
             ended_jobs: vec![JobId::parse("wk-000411").unwrap()],
-            machines: vec![(MachineId("m-000231".into()), hint)],
+            machines: vec![(MachineId("m-000231".into()), machine_summary)],
             removed_machines: vec![MachineId("m-000230".into())],
         },
     };
@@ -73,15 +75,15 @@
 }
 
 #[test]
-fn cancellations_keep_their_form() {
-    let cancelled = CancellationNotice {
+fn cancellation_notices_keep_their_encoding() {
+    let notice = CancellationNotice {
         member: "knot-1".to_owned(),
         jobs: vec![JobId::parse("wk-000412").unwrap()],
     };
-    assert_message("peer-cancelled.hex", &cancelled);
+    assert_message("peer-cancelled.hex", &notice);
 }
 
-fn task(index: usize, phase: TaskPhase, cause: Option<ExitCause>) -> TaskStatus {
+fn task_status(index: usize, phase: TaskPhase, cause: Option<ExitCause>) -> TaskStatus {
     TaskStatus {
         task: format!("wk-000412/{index}"),
         attempt: 0x2900000002,
@@ -91,8 +93,8 @@
     }
 }
 
-/// A report with a value in every field, and every phase and cause.
-pub fn full_report() -> Heartbeat {
+/// A heartbeat with a value in every field, and with every task phase and exit cause.
+pub fn full_heartbeat() -> Heartbeat {
     let phases = [
         TaskPhase::PullingImage,
         TaskPhase::AwaitingGang,
@@ -112,10 +114,10 @@
     ];
     let mut tasks: Vec<TaskStatus> = Vec::new();
     for phase in phases {
-        tasks.push(task(tasks.len(), phase, None));
+        tasks.push(task_status(tasks.len(), phase, None));
     }
     for cause in causes {
-        tasks.push(task(tasks.len(), TaskPhase::Exited, Some(cause)));
+        tasks.push(task_status(tasks.len(), TaskPhase::Exited, Some(cause)));
     }
     Heartbeat {
         machine: "m-000231".to_owned(),
@@ -132,13 +134,13 @@
 }
 
 #[test]
-fn batches_of_reports_keep_their_form() {
+fn heartbeat_batches_keep_their_encoding() {
     let batch = HeartbeatBatch {
         version: BATCH_VERSION,
         member: "knot-1".to_owned(),
         term: Term(41),
         sent_at_ms: 1_800_000_000_123,
-        heartbeats: vec![full_report().into()],
+        heartbeats: vec![full_heartbeat().into()],
     };
     assert_message("peer-report-batch.hex", &batch);
     let command = |verb| ForwardedCommand {
@@ -162,7 +164,7 @@
 }
 
 #[test]
-fn rows_of_the_connectivity_matrix_keep_their_form() {
+fn rows_of_the_connectivity_matrix_keep_their_encoding() {
     let link = |state, suppressed, evidence_age_ms| LinkStatus {
         state,
         suppressed,
--- a/tests/formats/records.rs
+++ b/tests/formats/records.rs
@@ -1,4 +1,4 @@
-//! Records in the state service, and their keys.
+//! Keys and records in the key-value store.
 
 use knotlanding::model::{JobId, JobKind, JobSpec, Priority, Resources, Term, Verdict};
 use knotlanding::service::operator::OperatorSettings;
@@ -13,27 +13,28 @@
 
 use crate::fixture;
 
-/// The record has these bytes, and the bytes are read as a record that has them again.
+/// Asserts that the record is encoded as the bytes of the fixture, and that they are decoded and encoded
+/// again without a change.
 fn assert_record<T: Serialize + DeserializeOwned>(name: &str, record: &T) {
     fixture::assert_bytes(name, &wire::encode(&to_value(record)));
     assert_read::<T>(name);
 }
 
-/// The bytes are read, and written again the same.
+/// Asserts that the bytes of the fixture are decoded, and that the result is encoded as the same bytes.
 fn assert_read<T: Serialize + DeserializeOwned>(name: &str) {
     let value: Value = wire::decode(&fixture::bytes(name)).unwrap();
-    let read: T = from_value(&value).unwrap_or_else(|| panic!("{name} is not read"));
+    let read: T = from_value(&value).unwrap_or_else(|| panic!("{name} cannot be decoded"));
     fixture::assert_bytes(name, &wire::encode(&to_value(&read)));
 }
 
-fn id(text: &str) -> JobId {
+fn job_id(text: &str) -> JobId {
     JobId::parse(text).unwrap()
 }
 
 /// A job with a value in every field.
 pub fn full_spec() -> JobSpec {
     JobSpec {
-        id: id("wk-000412"),
+        id: job_id("wk-000412"),
         class: "train".to_owned(),
         team: "vision".to_owned(),
         kind: JobKind::Gang,
@@ -72,7 +73,7 @@
     }
 }
 
-fn live(spec: JobSpec) -> JobDescription {
+fn description_of(spec: JobSpec) -> JobDescription {
     JobDescription {
         spec,
         submitted_ms: 1_800_000_000_123,
@@ -82,8 +83,8 @@
 }
 
 #[test]
-fn keys_keep_their_form() {
-    let job = id("wk-000412");
+fn store_keys_are_unchanged() {
+    let job = job_id("wk-000412");
     assert_eq!(keys::ROOT, "kl/");
     assert_eq!(keys::LEADER, "kl/leader");
     assert_eq!(keys::TERM, "kl/term");
@@ -98,7 +99,7 @@
 }
 
 #[test]
-fn records_of_the_election_and_of_operators_keep_their_form() {
+fn election_and_operator_records_keep_their_encoding() {
     let leader = LeaderRecord {
         member: "knot-1".to_owned(),
         address: "10.0.0.1:8080".to_owned(),
@@ -118,7 +119,7 @@
 }
 
 #[test]
-fn records_of_jobs_keep_their_form() {
+fn job_records_keep_their_encoding() {
     for (name, verdict) in [
         ("record-job-accepted.hex", Verdict::Accepted),
         ("record-job-done.hex", Verdict::Done),
@@ -144,42 +145,42 @@
         let record = JobRecord {
             verdict: Verdict::Accepted,
             tasks: spec.tasks,
-            description: Some(live(spec)),
+            description: Some(description_of(spec)),
         };
         assert_record(name, &record);
     }
 }
 
 #[test]
-fn descriptions_of_older_versions_are_read() {
+fn job_descriptions_of_older_versions_are_read() {
     let started = JobDescription {
         started: true,
         hosts: Some(vec!["m-000231".to_owned(), "m-000232".to_owned()]),
-        ..live(full_spec())
+        ..description_of(full_spec())
     };
     assert_record("record-live-with-hosts.hex", &started);
     let anywhere = JobDescription {
         started: true,
-        ..live(spec(JobKind::Array, Priority::Standard))
+        ..description_of(spec(JobKind::Array, Priority::Standard))
     };
     assert_record("record-live-anywhere.hex", &anywhere);
-    assert_record("record-live-not-started.hex", &live(full_spec()));
+    assert_record("record-live-not-started.hex", &description_of(full_spec()));
 }
 
 #[test]
-fn records_of_starts_tasks_and_machines_keep_their_form() {
-    let sent = DispatchedJobsRecord {
+fn dispatch_task_and_inventory_records_keep_their_encoding() {
+    let dispatched = DispatchedJobsRecord {
         jobs: vec![
-            (id("wk-000412"), Some(vec!["m-000231".to_owned()])),
-            (id("wk-000413"), None),
-            (id("wk-000414"), Some(Vec::new())),
+            (job_id("wk-000412"), Some(vec!["m-000231".to_owned()])),
+            (job_id("wk-000413"), None),
+            (job_id("wk-000414"), Some(Vec::new())),
         ],
     };
-    assert_record("record-sent.hex", &sent);
-    let done = CompletedTasksRecord {
+    assert_record("record-sent.hex", &dispatched);
+    let completed = CompletedTasksRecord {
         bits: "f03".to_owned(),
     };
-    assert_record("record-done.hex", &done);
+    assert_record("record-done.hex", &completed);
     let inventory = InventoryRecord {
         machines: vec!["m-000231".to_owned(), "m-000232".to_owned()],
     };
--- a/tests/formats/requests.rs
+++ b/tests/formats/requests.rs
@@ -1,4 +1,4 @@
-//! Requests to the state service and to the cloud, and how their answers are read.
+//! Requests to the key-value store and to the cloud, and the decoding of the responses.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -15,28 +15,28 @@
 use crate::common;
 use crate::fixture;
 
-/// A server that notes what it is asked and gives prepared answers.
+/// A server that records all requests and sends a prepared response.
 #[derive(Clone, Default)]
-struct Recorder {
+struct RecordingServer {
     requests: Arc<Mutex<String>>,
-    answer: Arc<Mutex<(u16, Vec<u8>)>>,
+    response: Arc<Mutex<(u16, Vec<u8>)>>,
 }
 
-impl Recorder {
-    fn answer(&self, status: u16, body: Value) {
-        *self.answer.lock().unwrap() = (status, wire::encode(&body));
+impl RecordingServer {
+    fn respond_with(&self, status: u16, body: Value) {
+        *self.response.lock().unwrap() = (status, wire::encode(&body));
     }
 
     fn requests(&self) -> String {
         self.requests.lock().unwrap().clone()
     }
 
-    /// Starts on a free port; its address.
+    /// Starts the server on a free port; returns its address.
     fn start(&self) -> std::net::SocketAddrV4 {
-        let recorder = self.clone();
+        let recording_server = self.clone();
         let server = HttpServer::new(move || {
             App::new()
-                .app_data(web::Data::new(recorder.clone()))
+                .app_data(web::Data::new(recording_server.clone()))
                 .default_service(web::to(record))
         })
         .workers(1)
@@ -53,7 +53,7 @@
 }
 
 async fn record(
-    recorder: web::Data<Recorder>,
+    recording_server: web::Data<RecordingServer>,
     request: HttpRequest,
     body: web::Bytes,
 ) -> HttpResponse {
@@ -61,8 +61,8 @@
     let kind = request.headers().get("content-type");
     let kind = kind.map_or("-", |kind| kind.to_str().unwrap());
     let line = format!("{} {} {kind} {hex}\n", request.method(), request.uri());
-    recorder.requests.lock().unwrap().push_str(&line);
-    let (status, body) = recorder.answer.lock().unwrap().clone();
+    recording_server.requests.lock().unwrap().push_str(&line);
+    let (status, body) = recording_server.response.lock().unwrap().clone();
     let status = actix_web::http::StatusCode::from_u16(status).unwrap();
     HttpResponse::build(status)
         .content_type(wire::CBOR_CONTENT_TYPE)
@@ -75,17 +75,17 @@
         .finish()
 }
 
-const LIMIT: Duration = Duration::from_secs(10);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 
 #[actix_web::test]
-async fn requests_to_the_state_service_keep_their_form() {
-    let recorder = Recorder::default();
+async fn requests_to_the_store_keep_their_form() {
+    let recording_server = RecordingServer::default();
     let mut settings =
         Settings::parse(&common::settings_with_unreachable_addresses(), "a test").unwrap();
-    settings.external.store = recorder.start();
+    settings.external.store = recording_server.start();
     let client = StoreClient::new(&settings, http());
 
-    let group = Transaction {
+    let transaction = Transaction {
         conditions: vec![Condition::new("kl/leader", 0), Condition::new("kl/term", 7)],
         changes: vec![
             Change::Put {
@@ -97,19 +97,19 @@
             Change::delete("kl/done/wk-000412/0"),
         ],
     };
-    recorder.answer(200, cbor!({"epoch" => 432}).unwrap());
+    recording_server.respond_with(200, cbor!({"epoch" => 432}).unwrap());
     assert_eq!(
-        client.transact(&group).await,
+        client.transact(&transaction).await,
         TransactionOutcome::Committed(432)
     );
-    let compare = Transaction {
+    let conditions_only = Transaction {
         conditions: vec![Condition::new("kl/job/wk-000412", 0)],
         changes: Vec::new(),
     };
     let failed = cbor!({"failed" => ["kl/job/wk-000412"], "epoch" => 431}).unwrap();
-    recorder.answer(409, failed);
+    recording_server.respond_with(409, failed);
     assert_eq!(
-        client.transact(&compare).await,
+        client.transact(&conditions_only).await,
         TransactionOutcome::Conflict {
             failed: vec!["kl/job/wk-000412".to_owned()],
             revision: 431,
@@ -118,14 +118,14 @@
 
     let row =
         cbor!({"path" => "kl/term", "v" => {"term" => 41}, "stamp" => 412, "hold" => 7}).unwrap();
-    recorder.answer(200, row.clone());
+    recording_server.respond_with(200, row.clone());
     let read = client.get("kl/term").await.unwrap().unwrap();
     assert_eq!((read.key.as_str(), read.version), ("kl/term", 412));
-    recorder.answer(404, cbor!({"epoch" => 431}).unwrap());
+    recording_server.respond_with(404, cbor!({"epoch" => 431}).unwrap());
     assert!(client.get("kl/term").await.unwrap().is_none());
 
     let page = cbor!({"rows" => [row], "more" => true, "epoch" => 431});
-    recorder.answer(200, page.unwrap());
+    recording_server.respond_with(200, page.unwrap());
     let read = client.read_page("kl/", None).await.unwrap();
     assert_eq!(
         (read.key_values.len(), read.more, read.revision),
@@ -133,50 +133,56 @@
     );
     client.read_page("kl/", Some("kl/term")).await.unwrap();
 
-    let followed = cbor!({"epoch" => 433, "events" => [
+    let watch_response = cbor!({"epoch" => 433, "events" => [
         {"set" => "c/9", "v" => 5, "stamp" => 433}, {"drop" => "c/d", "stamp" => 432}
     ]});
-    recorder.answer(200, followed.unwrap());
+    recording_server.respond_with(200, watch_response.unwrap());
     let hold = Duration::from_millis(1500);
-    let read = client.watch("kl/", 431, hold, LIMIT).await.unwrap();
+    let read = client
+        .watch("kl/", 431, hold, REQUEST_TIMEOUT)
+        .await
+        .unwrap();
     assert_eq!(read.revision, 433);
     assert_eq!(read.events[0].put_key.as_deref(), Some("c/9"));
     assert_eq!(read.events[0].value, Some(Value::from(5)));
     assert_eq!(read.events[1].deleted_key.as_deref(), Some("c/d"));
     assert_eq!(read.events[1].version, 432);
-    recorder.answer(410, cbor!({"error" => "gone"}).unwrap());
-    let read = client.watch("kl/", 1, hold, LIMIT).await;
+    recording_server.respond_with(410, cbor!({"error" => "gone"}).unwrap());
+    let read = client.watch("kl/", 1, hold, REQUEST_TIMEOUT).await;
     assert_eq!(read.unwrap_err(), StoreError::HistoryCompacted);
 
-    recorder.answer(200, cbor!({"hold" => 7}).unwrap());
+    recording_server.respond_with(200, cbor!({"hold" => 7}).unwrap());
     let lease = client.grant(Duration::from_millis(3200)).await.unwrap();
     assert_eq!(lease, 7);
-    client.renew(lease, LIMIT).await.unwrap();
+    client.renew(lease, REQUEST_TIMEOUT).await.unwrap();
     client.revoke(lease).await.unwrap();
-    recorder.answer(404, cbor!({"error" => "no such lease"}).unwrap());
-    let renewed = client.renew(lease, LIMIT).await;
+    recording_server.respond_with(404, cbor!({"error" => "no such lease"}).unwrap());
+    let renewed = client.renew(lease, REQUEST_TIMEOUT).await;
     assert_eq!(renewed.unwrap_err(), StoreError::LeaseExpired);
 
-    fixture::assert_text("requests-state-service.txt", &recorder.requests());
+    fixture::assert_text("requests-state-service.txt", &recording_server.requests());
 }
 
 #[actix_web::test]
 async fn requests_to_the_cloud_keep_their_form() {
-    let recorder = Recorder::default();
-    let client = CloudClient::new(recorder.start(), http());
+    let recording_server = RecordingServer::default();
+    let client = CloudClient::new(recording_server.start(), http());
 
-    let flavor = cbor!({"name" => "g8", "cores" => 96, "cards" => 8, "ramGb" => 768,
+    let machine_type = cbor!({"name" => "g8", "cores" => 96, "cards" => 8, "ramGb" => 768,
         "localGb" => 200, "pullGbPerS" => 1.0, "rate" => 12.0, "marketPrice" => 4.5,
         "bootS" => 45, "yards" => ["a", "b"]});
-    let flavors = cbor!({"builds" => [flavor.unwrap()]});
-    recorder.answer(200, flavors.unwrap());
+    let catalog = cbor!({"builds" => [machine_type.unwrap()]});
+    recording_server.respond_with(200, catalog.unwrap());
     let read = client.catalog().await.unwrap().remove(0);
-    let whole = Resources {
+    let expected_capacity = Resources {
         cpus: 96.0,
         gpus: 8.0,
         memory: 768.0,
     };
-    assert_eq!((read.name.as_str(), read.capacity), ("g8", whole));
+    assert_eq!(
+        (read.name.as_str(), read.capacity),
+        ("g8", expected_capacity)
+    );
     assert_eq!((read.hourly_price, read.hourly_spot_price), (12.0, 4.5));
     assert_eq!(read.boot_time, Duration::from_secs(45));
     assert_eq!((read.cache_gb, read.pull_gb_per_s), (200.0, 1.0));
@@ -189,24 +195,24 @@
         spot: true,
         count: 12,
     };
-    recorder.answer(200, cbor!({"hosts" => ["m-000231"]}).unwrap());
+    recording_server.respond_with(200, cbor!({"hosts" => ["m-000231"]}).unwrap());
     assert_eq!(client.rent(&request).await.unwrap(), ["m-000231"]);
-    recorder.answer(503, cbor!({"error" => "no capacity"}).unwrap());
+    recording_server.respond_with(503, cbor!({"error" => "no capacity"}).unwrap());
     let refused = client.rent(&request).await.unwrap_err();
     assert!(matches!(refused, CloudError::NoCapacity));
 
-    recorder.answer(200, cbor!({}).unwrap());
+    recording_server.respond_with(200, cbor!({}).unwrap());
     let machines = [MachineId("m-000231".into()), MachineId("m-000232".into())];
     client.release(&machines).await.unwrap();
 
     let listed = cbor!({"nameId" => "m-000231", "address" => "10.1.0.232:9000", "build" => "g8",
         "yard" => "a", "loaners" => true, "status" => "running", "heldS" => 61.5});
     let page = cbor!({"hosts" => [listed.unwrap()], "more" => true});
-    recorder.answer(200, page.unwrap());
+    recording_server.respond_with(200, page.unwrap());
     let read = client.list_page(None).await.unwrap();
     assert!(read.more);
     fixture::assert_bytes("cloud-list-page.hex", &wire::encode(&read));
     client.list_page(Some("m-000231")).await.unwrap();
 
-    fixture::assert_text("requests-cloud.txt", &recorder.requests());
+    fixture::assert_text("requests-cloud.txt", &recording_server.requests());
 }
--- a/tests/formats/wire.rs
+++ b/tests/formats/wire.rs
@@ -1,4 +1,4 @@
-//! Bodies of users and workers.
+//! Request and response bodies of users and workers, which are encoded with CBOR.
 
 use ciborium::cbor;
 use knotlanding::wire::{
@@ -9,9 +9,11 @@
 use serde::Serialize;
 
 use crate::fixture;
-use crate::peers::full_report;
+use crate::peers::full_heartbeat;
 use crate::records::full_spec;
 
+/// Asserts that the body is encoded as the bytes of the fixture, and that they are decoded and encoded again
+/// without a change.
 fn assert_body<T: Serialize + DeserializeOwned>(name: &str, body: &T) {
     fixture::assert_bytes(name, &wire::encode(body));
     let read: T = wire::decode(&fixture::bytes(name)).unwrap();
@@ -19,7 +21,7 @@
 }
 
 #[test]
-fn submissions_are_read_as_before() {
+fn submissions_are_decoded_as_before() {
     let body = cbor!({
         "nameId" => "wk-000412", "lane" => "train", "owner" => "vision", "shape" => "group",
         "rank" => "urgent", "strands" => 16, "cores" => 8.0, "cards" => 1.5, "ramGb" => 64.25,
@@ -34,7 +36,7 @@
 }
 
 #[test]
-fn answers_to_users_keep_their_form() {
+fn responses_to_users_keep_their_encoding() {
     let state = JobState {
         id: "wk-000412".to_owned(),
         status: "running".to_owned(),
@@ -42,21 +44,21 @@
         running: 13,
     };
     assert_body("body-job-state.hex", &state);
-    let problem = ErrorBody {
+    let error_body = ErrorBody {
         error: "no such job".to_owned(),
     };
-    fixture::assert_bytes("body-problem.hex", &wire::encode(&problem));
+    fixture::assert_bytes("body-problem.hex", &wire::encode(&error_body));
 }
 
 #[test]
-fn reports_and_their_answers_keep_their_form() {
-    assert_body("body-report.hex", &full_report());
-    let bare = cbor!({
+fn heartbeats_and_their_responses_keep_their_encoding() {
+    assert_body("body-report.hex", &full_heartbeat());
+    let minimal = cbor!({
         "host" => "m-000231", "tenure" => 1, "tally" => 88, "baton" => 41,
         "strands" => [{"strand" => "wk-000412/3", "try" => 2, "status" => "exited",
             "cause" => "a cause that is not known"}]
     });
-    fixture::assert_bytes("body-report-bare.hex", &wire::encode(&bare.unwrap()));
+    fixture::assert_bytes("body-report-bare.hex", &wire::encode(&minimal.unwrap()));
     let read: Heartbeat = wire::decode(&fixture::bytes("body-report-bare.hex")).unwrap();
     fixture::assert_bytes("body-report-bare-again.hex", &wire::encode(&read));
     let (task, attempt) = ("wk-000412/3".to_owned(), 0x2900000002);
@@ -72,11 +74,11 @@
         },
         WorkerCommand::Clear { task, attempt },
     ];
-    let answer = HeartbeatResponse {
+    let response = HeartbeatResponse {
         token: 41 << 20,
         commands: commands.clone(),
     };
-    assert_body("body-report-answer.hex", &answer);
+    assert_body("body-report-answer.hex", &response);
     let direct = DirectCommand {
         token: 41 << 20,
         epoch: 2,
--- a/tests/forwarding_service.rs
+++ b/tests/forwarding_service.rs
@@ -1,12 +1,12 @@
-//! Forwarded reports over real connections: the program as a follower, and as a leader, against
-//! peers that answer as they should, as older versions do, with rubbish, or not at all.
+//! Forwarding of heartbeats over real connections, with the controller process as follower and as leader.
+//! The peer is a stand-in that answers correctly, as an older version, with an invalid body, or not at all.
 
-// A test that can't go on ends with its reason.
+// A failed `unwrap` or `expect` fails the test with its message.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 mod common;
-#[path = "common/node.rs"]
-mod node;
+#[path = "common/test_controller.rs"]
+mod test_controller;
 
 use std::net::TcpListener;
 use std::sync::{Arc, Mutex};
@@ -20,65 +20,65 @@
 };
 use knotlanding::model::{FencingToken, Term};
 use knotlanding::peer::heartbeats::HEARTBEATS_PATH;
-use knotlanding::peer::{decode, encode as encode_for_peer};
+use knotlanding::peer::{decode, encode as encode_bincode};
 use knotlanding::time::unix_ms;
 use knotlanding::wire::Heartbeat;
 use knotlanding_testbed::message::{encode, field, number, text};
-use node::{Bench, Node, TEST_TIMEOUT};
+use test_controller::{ControllerEnvironment, ControllerProcess, TEST_TIMEOUT};
 
 const LEADER_TERM: u64 = 3;
 
-/// How the stand-in for a leading peer answers batches.
+/// How the stand-in leader answers batches of heartbeats.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum PeerAnswer {
-    /// As a leader of this version.
-    Right,
-    /// As a version that has no such path.
+enum LeaderBehavior {
+    /// 200 with one answer for each heartbeat.
+    Valid,
+    /// 404, as an older version that does not support forwarding.
     NotFound,
-    /// 200 with a body that means nothing.
-    Rubbish,
-    /// 200 that answers fewer reports than were sent.
-    TooFew,
-    /// As a node that leads no more.
-    OtherTerm,
+    /// 200 with a body that cannot be decoded.
+    Undecodable,
+    /// 200 with one answer fewer than the batch has heartbeats.
+    MissingAnswer,
+    /// 409, as a controller that does not lead in the term of the batch.
+    TermConflict,
 }
 
 #[derive(Clone)]
-struct PeerStandIn {
-    answer: Arc<Mutex<PeerAnswer>>,
+struct LeaderStandIn {
+    behavior: Arc<Mutex<LeaderBehavior>>,
     batches: Arc<Mutex<Vec<HeartbeatBatch>>>,
 }
 
-impl PeerStandIn {
-    /// One at an address of its own.
+impl LeaderStandIn {
+    /// Starts the stand-in on a free port; returns it and its address.
     fn start() -> (Self, String) {
-        let peer = Self {
-            answer: Arc::new(Mutex::new(PeerAnswer::Right)),
+        let leader = Self {
+            behavior: Arc::new(Mutex::new(LeaderBehavior::Valid)),
             batches: Arc::default(),
         };
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap().to_string();
-        let data = web::Data::new(peer.clone());
+        let data = web::Data::new(leader.clone());
         let server = HttpServer::new(move || {
             App::new()
                 .app_data(data.clone())
-                .route(HEARTBEATS_PATH, web::post().to(take_batch))
+                .route(HEARTBEATS_PATH, web::post().to(answer_batch))
         });
         let server = server.workers(1).disable_signals();
         actix::spawn(server.listen(listener).unwrap().run());
-        (peer, address)
+        (leader, address)
     }
 }
 
-async fn take_batch(peer: web::Data<PeerStandIn>, body: web::Bytes) -> HttpResponse {
-    let how = *peer.answer.lock().unwrap();
-    if how == PeerAnswer::NotFound {
+async fn answer_batch(leader: web::Data<LeaderStandIn>, body: web::Bytes) -> HttpResponse {
+    let behavior = *leader.behavior.lock().unwrap();
+    if behavior == LeaderBehavior::NotFound {
         return HttpResponse::NotFound().finish();
     }
-    if how == PeerAnswer::OtherTerm {
+    if behavior == LeaderBehavior::TermConflict {
         return HttpResponse::Conflict().finish();
     }
-    if how == PeerAnswer::Rubbish {
+    if behavior == LeaderBehavior::Undecodable {
         return HttpResponse::Ok().body(vec![0xff; 40]);
     }
     let batch: HeartbeatBatch = decode(&body).unwrap();
@@ -90,13 +90,13 @@
             attempt: 9,
         }],
     };
-    let count = batch.heartbeats.len() - usize::from(how == PeerAnswer::TooFew);
-    peer.batches.lock().unwrap().push(batch);
+    let count = batch.heartbeats.len() - usize::from(behavior == LeaderBehavior::MissingAnswer);
+    leader.batches.lock().unwrap().push(batch);
     let answer = BatchAnswer {
         version: BATCH_VERSION,
         answers: vec![accepted; count],
     };
-    HttpResponse::Ok().body(encode_for_peer(&answer).unwrap())
+    HttpResponse::Ok().body(encode_bincode(&answer).unwrap())
 }
 
 fn heartbeat(sequence: u64, token: u64) -> Vec<u8> {
@@ -108,117 +108,125 @@
     encode(&heartbeat.unwrap())
 }
 
-/// A node of three that knows `knot-1`, at this address, as another one.
-fn bench_with_peer(name: &str, address: &str) -> Bench {
+/// Environment of a controller whose settings name one peer, `knot-1`, at this address.
+fn environment_with_peer(name: &str, address: &str) -> ControllerEnvironment {
     let peer = format!("[[known]]\nmember = \"knot-1\"\npeer_addr = \"{address}\"\n\n[external]");
-    Bench::with_settings(name, |text| {
+    ControllerEnvironment::with_settings(name, |text| {
         text.replace("[external]", &peer)
             .replace("count = 1", "count = 2")
     })
 }
 
-/// A follower of `knot-1`, which leads by the records.
-fn follower(bench: &Bench) -> Node {
+/// Starts a follower of `knot-1`, which is the leader according to the store.
+fn start_follower(environment: &ControllerEnvironment) -> ControllerProcess {
     let leader = cbor!({
         "member" => "knot-1", "address" => "127.0.0.1:1", "term" => LEADER_TERM, "lease" => 99
     });
-    bench.store.put("kl/leader", leader.unwrap());
-    bench.start()
+    environment.store.put("kl/leader", leader.unwrap());
+    environment.start()
 }
 
-/// Reports until the answer has this status.
-async fn until(node: &Node, token: u64, status: u16) -> Value {
-    let began = Instant::now();
+/// Sends heartbeats with the given token until one gets this status; returns the body of that response.
+async fn heartbeat_until_status(controller: &ControllerProcess, token: u64, status: u16) -> Value {
+    let started_at = Instant::now();
     let mut sequence = 0;
     loop {
         sequence += 1;
-        let (got, body, _) = node.post("/hello", heartbeat(sequence, token)).await;
-        if got == status {
+        let (received_status, body, _) =
+            controller.post("/hello", heartbeat(sequence, token)).await;
+        if received_status == status {
             return body;
         }
-        assert!(began.elapsed() < TEST_TIMEOUT, "{got} instead of {status}");
+        assert!(
+            started_at.elapsed() < TEST_TIMEOUT,
+            "the status is {received_status} instead of {status}"
+        );
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
 
 #[actix_web::test]
-async fn a_follower_passes_the_leader_s_answer_on_and_falls_back_where_it_gets_none() {
-    let (peer, address) = PeerStandIn::start();
-    let bench = bench_with_peer("forward", &address);
-    let node = follower(&bench);
-    let body = until(&node, 0, 200).await;
+async fn follower_relays_the_leader_s_response_and_responds_with_421_or_503_without_a_usable_one() {
+    let (leader, address) = LeaderStandIn::start();
+    let environment = environment_with_peer("forward", &address);
+    let controller = start_follower(&environment);
+    let response = heartbeat_until_status(&controller, 0, 200).await;
     assert_eq!(
-        number(&body, "baton"),
+        number(&response, "baton"),
         FencingToken::first(Term(LEADER_TERM)).0
     );
-    let commands = field(&body, "orders").unwrap().as_array().unwrap();
+    let commands = field(&response, "orders").unwrap().as_array().unwrap();
     assert_eq!(commands.len(), 1);
     assert_eq!(text(&commands[0], "verb"), "run");
     assert_eq!(text(&commands[0], "strand"), "wk-000001/0");
     {
-        let batches = peer.batches.lock().unwrap();
-        let last = batches.last().unwrap();
+        let batches = leader.batches.lock().unwrap();
+        let last_batch = batches.last().unwrap();
         assert_eq!(
-            (last.term, last.member.as_str()),
+            (last_batch.term, last_batch.member.as_str()),
             (Term(LEADER_TERM), "knot-0")
         );
     }
 
-    // A worker that has seen more than this leader's token is not held at this node.
-    let higher = FencingToken::first(Term(LEADER_TERM)).0 + 1;
-    until(&node, higher, 503).await;
+    // A worker whose token is higher than the leader's must be rejected, so that it tries another controller.
+    let higher_token = FencingToken::first(Term(LEADER_TERM)).0 + 1;
+    heartbeat_until_status(&controller, higher_token, 503).await;
 
-    for (answer, status) in [(PeerAnswer::OtherTerm, 503), (PeerAnswer::Rubbish, 421)] {
-        *peer.answer.lock().unwrap() = answer;
-        let body = until(&node, 0, status).await;
+    for (behavior, status) in [
+        (LeaderBehavior::TermConflict, 503),
+        (LeaderBehavior::Undecodable, 421),
+    ] {
+        *leader.behavior.lock().unwrap() = behavior;
+        let response = heartbeat_until_status(&controller, 0, status).await;
         if status == 421 {
-            assert_eq!(text(&body, "answerTo"), "knot-1", "{answer:?}");
+            assert_eq!(text(&response, "answerTo"), "knot-1", "{behavior:?}");
         }
     }
-    let (status, metrics) = node.admin("GET", "metrics", "").await;
+    let (status, metrics) = controller.admin("GET", "metrics", "").await;
     assert_eq!(status, 200);
     let heartbeats = &metrics["reports"];
     assert!(heartbeats["forwarded"].as_u64() >= heartbeats["batches_sent"].as_u64());
-    for counted in ["accepted", "redirected", "unavailable", "new_connection"] {
+    for counter in ["accepted", "redirected", "unavailable", "new_connection"] {
         assert!(
-            heartbeats[counted].as_u64() > Some(0),
-            "{counted}: {heartbeats}"
+            heartbeats[counter].as_u64() > Some(0),
+            "{counter}: {heartbeats}"
         );
     }
     assert!(metrics["resident_bytes"].as_u64() > Some(0), "{metrics}");
 }
 
-/// A rolling replacement: a leader of 0.5.0 knows no forwarded reports, and workers go to it.
+/// During a rolling update, a leader of version 0.5.0 does not support forwarded heartbeats, so that workers
+/// have to send theirs to it.
 #[actix_web::test]
-async fn workers_are_sent_to_a_leader_that_takes_no_forwarded_reports() {
-    let (peer, address) = PeerStandIn::start();
-    let bench = bench_with_peer("older-leader", &address);
-    for answer in [PeerAnswer::NotFound, PeerAnswer::TooFew] {
-        *peer.answer.lock().unwrap() = answer;
-        let node = follower(&bench);
-        let body = until(&node, 0, 421).await;
-        assert_eq!(text(&body, "answerTo"), "knot-1", "{answer:?}");
+async fn workers_are_redirected_to_a_leader_that_does_not_support_forwarded_heartbeats() {
+    let (leader, address) = LeaderStandIn::start();
+    let environment = environment_with_peer("older-leader", &address);
+    for behavior in [LeaderBehavior::NotFound, LeaderBehavior::MissingAnswer] {
+        *leader.behavior.lock().unwrap() = behavior;
+        let controller = start_follower(&environment);
+        let response = heartbeat_until_status(&controller, 0, 421).await;
+        assert_eq!(text(&response, "answerTo"), "knot-1", "{behavior:?}");
     }
 }
 
-/// Where the nodes refuse each other, the worker may still reach the leader.
+/// A worker may reach the leader although the follower cannot connect to it.
 #[actix_web::test]
-async fn workers_are_sent_to_a_leader_that_refuses_this_node_s_connections() {
-    let bench = bench_with_peer("refused", "127.0.0.1:9");
-    let node = follower(&bench);
-    let body = until(&node, 0, 421).await;
+async fn workers_are_redirected_to_a_leader_that_refuses_the_follower_s_connections() {
+    let environment = environment_with_peer("refused", "127.0.0.1:9");
+    let controller = start_follower(&environment);
+    let body = heartbeat_until_status(&controller, 0, 421).await;
     assert_eq!(text(&body, "answerTo"), "knot-1");
 }
 
-/// A leader takes batches from nodes that it knows, for its own term, and refuses all others.
+/// A leader accepts batches only from peers in its settings and for its own term.
 #[actix_web::test]
-async fn a_leader_answers_batches_and_refuses_bad_ones_without_ending() {
-    let bench = bench_with_peer("batches", "127.0.0.1:9");
-    let node = bench.start();
-    let body = until(&node, 0, 200).await;
+async fn leader_answers_valid_batches_and_rejects_invalid_ones_without_crashing() {
+    let environment = environment_with_peer("batches", "127.0.0.1:9");
+    let controller = environment.start();
+    let body = heartbeat_until_status(&controller, 0, 200).await;
     let term = FencingToken(number(&body, "baton")).term();
     let http = awc::Client::default();
-    let url = format!("http://{}{HEARTBEATS_PATH}", node.peer);
+    let url = format!("http://{}{HEARTBEATS_PATH}", controller.peer_addr);
     let send = |body: Vec<u8>| http.post(&url).send_body(body);
     let forwarded: Heartbeat = knotlanding::wire::decode(&heartbeat(1000, 0)).unwrap();
     let batch = HeartbeatBatch {
@@ -228,7 +236,7 @@
         sent_at_ms: unix_ms(std::time::SystemTime::now()),
         heartbeats: vec![ForwardedHeartbeat::from(forwarded)],
     };
-    let mut answer = send(encode_for_peer(&batch).unwrap()).await.unwrap();
+    let mut answer = send(encode_bincode(&batch).unwrap()).await.unwrap();
     assert_eq!(answer.status(), 200);
     let answer: BatchAnswer = decode(&answer.body().await.unwrap()).unwrap();
     assert_eq!(answer.answers.len(), 1);
@@ -242,25 +250,25 @@
         version: BATCH_VERSION + 1,
         ..batch.clone()
     };
-    let stranger = HeartbeatBatch {
+    let unknown_member = HeartbeatBatch {
         member: "knot-7".to_owned(),
         ..batch.clone()
     };
-    let bytes = |batch: &HeartbeatBatch| encode_for_peer(batch).unwrap();
+    let bytes = |batch: &HeartbeatBatch| encode_bincode(batch).unwrap();
     for (body, status) in [
         (bytes(&other_term), 409),
         (bytes(&other_version), 400),
-        (bytes(&stranger), 403),
+        (bytes(&unknown_member), 403),
         (b"\xff\xff\xff".to_vec(), 400),
         (Vec::new(), 400),
         (vec![0; 2 * 1024 * 1024], 400),
     ] {
         let answer = send(body).await;
-        // A body that is far too large may end the connection instead.
+        // The server may close the connection instead of responding to a body that is far too large.
         assert!(
             answer.is_err() || answer.unwrap().status() == status,
             "{status}"
         );
     }
-    until(&node, 0, 200).await;
+    heartbeat_until_status(&controller, 0, 200).await;
 }
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -1,7 +1,7 @@
-//! Sizes and work at 4,000 machines: records, digests, a take-over and rounds. Nothing here measures
-//! time.
+//! Sizes and amounts of work with 4,000 machines: records, state summaries, failover and scheduling cycles.
+//! No test here asserts a duration.
 
-// A test that can't go on ends with its reason.
+// A failed `unwrap` or `expect` fails the test with its message.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 mod common;
@@ -21,28 +21,28 @@
 
 const MACHINES: usize = 4_000;
 
-/// Half are `cpu16`, half `gpu2`, in two zones.
-fn names(count: usize) -> Vec<String> {
+/// Names of machines in two zones: half of the type `cpu16`, half `gpu2`.
+fn machine_names(count: usize) -> Vec<String> {
     let name = |number: usize| {
-        let kind = if number.is_multiple_of(2) { 'c' } else { 'g' };
-        let zone = if number % 4 < 2 { 'n' } else { 's' };
-        format!("m-{kind}{number:06}{zone}")
+        let type_letter = if number.is_multiple_of(2) { 'c' } else { 'g' };
+        let zone_letter = if number % 4 < 2 { 'n' } else { 's' };
+        format!("m-{type_letter}{number:06}{zone_letter}")
     };
     (0..count).map(name).collect()
 }
 
-/// Machines that have reported.
-fn reported(count: usize) -> Scene {
+/// A cluster with machines that have sent a heartbeat each.
+fn fleet_with_heartbeats(count: usize) -> Scene {
     let mut scene = Scene::new();
-    for name in names(count) {
+    for name in machine_names(count) {
         scene.heartbeat(&name, &[]);
     }
     scene
 }
 
 #[test]
-fn a_roster_of_4000_machines_is_written_within_the_limits_and_read_back() {
-    let mut scene = reported(MACHINES);
+fn inventory_of_4000_machines_is_written_within_the_store_limits_and_recovered() {
+    let mut scene = fleet_with_heartbeats(MACHINES);
     let limits = scene.settings.params.store.clone();
     let replica = scene.replica();
     let writes = scene.cluster.due_writes(&replica, scene.now);
@@ -56,7 +56,7 @@
         let Change::Put { key, value, .. } = &write.transaction.changes[0] else {
             panic!("{:?}", write.transaction.changes);
         };
-        // The service measures values as JSON.
+        // The store measures the size of a value in its JSON encoding.
         let json = serde_json::to_string(value).unwrap();
         assert!(json.len() as f64 <= limits.value_kb * 1024.0, "{key}");
         scene.record(key.clone(), value.clone());
@@ -66,7 +66,7 @@
         scene.cluster.apply_write_outcome(&write.kind, &outcome);
     }
     assert_eq!(written.len(), MACHINES);
-    // All shards go in two seconds' worth of changes.
+    // The rate limit allows writing all shards within two seconds.
     assert!(
         writes.len() as f64 <= 2.0 * limits.write_rps,
         "{}",
@@ -77,7 +77,7 @@
 
     scene.recover(2);
     assert_eq!(scene.cluster.unreconciled, written);
-    // One machine that goes costs one shard, not all of them.
+    // The removal of one machine rewrites one shard, not all of them.
     let gone = MachineId("m-c000000n".into());
     scene.cluster.remove_terminated_machine(&gone);
     let replica = scene.replica();
@@ -85,16 +85,17 @@
 }
 
 #[test]
-fn a_full_digest_of_4000_machines_fits_with_the_latest_images_of_each() {
-    let mut scene = reported(MACHINES);
-    // As many as a large cache holds, with long names.
-    let image = |machine: usize, at: usize| format!("registry/team-{}/image-{at:03}", machine % 9);
+fn full_state_summary_of_4000_machines_fits_the_limit_with_the_newest_image_of_each() {
+    let mut scene = fleet_with_heartbeats(MACHINES);
+    // 60 images with long names, which is as many as a large cache holds.
+    let image =
+        |machine: usize, index: usize| format!("registry/team-{}/image-{index:03}", machine % 9);
     let ids: Vec<MachineId> = scene.cluster.machines.keys().cloned().collect();
     for (number, id) in ids.iter().enumerate() {
-        for at in 0..60 {
-            let known = scene.cluster.images.id(&image(number, at));
+        for index in 0..60 {
+            let image_id = scene.cluster.images.id(&image(number, index));
             let machine = scene.cluster.machines.get_mut(id).unwrap();
-            machine.record_image_use(known, 3.0, 200.0);
+            machine.record_image_use(image_id, 3.0, 200.0);
         }
         let machine = scene.cluster.machines.get_mut(id).unwrap();
         machine.address = format!("10.{}.{}.7:9000", number / 250, number % 250);
@@ -116,7 +117,7 @@
         (MACHINES, 20_000)
     );
     contents.shorten(SUMMARY_BYTES_MAX);
-    let latest: Vec<_> = contents
+    let newest_images: Vec<_> = contents
         .machines
         .iter()
         .map(|(_, hint)| hint.images.last())
@@ -132,24 +133,28 @@
     assert!(bytes.len() <= SUMMARY_BYTES_MAX, "{}", bytes.len());
     assert!(
         bytes.len() > SUMMARY_BYTES_MAX / 2,
-        "room is used: {}",
+        "the state summary uses less than half of the limit: {} bytes",
         bytes.len()
     );
-    for image in latest {
+    for image in newest_images {
         assert!(image.is_some_and(|(name, _)| name.ends_with("image-059")));
     }
-    let mut view = SummaryCache::default();
-    assert!(view.apply(knotlanding::peer::decode(&bytes).unwrap()));
-    assert_eq!(view.machines.len(), MACHINES, "every machine is told");
-    assert_eq!(view.task_counts.len(), 20_000);
-    assert!(view
+    let mut cache = SummaryCache::default();
+    assert!(cache.apply(knotlanding::peer::decode(&bytes).unwrap()));
+    assert_eq!(
+        cache.machines.len(),
+        MACHINES,
+        "the state summary must contain every machine"
+    );
+    assert_eq!(cache.task_counts.len(), 20_000);
+    assert!(cache
         .machines
         .values()
         .all(|hint| hint.address.starts_with("10.")));
 }
 
 #[test]
-fn a_digest_of_any_size_is_shortened_to_what_peers_take() {
+fn state_summary_of_any_size_is_shortened_to_the_limit() {
     let mut contents = knotlanding::state_summary::SummaryContents::default();
     for number in 0..200_000 {
         let id = JobId::parse(&format!("wk-{number:06}")).unwrap();
@@ -175,9 +180,9 @@
 }
 
 #[test]
-fn a_take_over_of_4000_machines_asks_each_once_in_a_bounded_number_of_rounds() {
+fn new_leader_queries_each_of_4000_machines_once_in_at_most_100_cycles() {
     let mut scene = Scene::new();
-    let names = names(MACHINES);
+    let names = machine_names(MACHINES);
     for (shard, part) in names.chunks(250).enumerate() {
         let machines: Vec<String> = part.to_vec();
         let record = knotlanding::store::keys::InventoryRecord { machines };
@@ -188,19 +193,26 @@
     for machine in scene.cluster.machines.values_mut() {
         machine.address = "127.0.0.1:9".to_owned();
     }
-    let mut asked = BTreeSet::new();
-    let mut rounds = 0;
-    while asked.len() < MACHINES {
-        rounds += 1;
-        assert!(rounds <= 100, "{} asked", asked.len());
-        for direct in scene.cluster.direct_commands(scene.now) {
-            assert!(direct.body.commands.is_empty());
-            assert!(asked.insert(direct.machine), "asked twice within a moment");
+    let mut queried = BTreeSet::new();
+    let mut cycles = 0;
+    while queried.len() < MACHINES {
+        cycles += 1;
+        assert!(
+            cycles <= 100,
+            "{} machines queried after 100 cycles",
+            queried.len()
+        );
+        for command in scene.cluster.direct_commands(scene.now) {
+            assert!(command.body.commands.is_empty());
+            assert!(
+                queried.insert(command.machine),
+                "a machine is queried twice"
+            );
         }
-        // The shortest time between two rounds.
+        // The shortest time between two scheduling cycles.
         scene.pass(0.15);
     }
-    // Every machine reports by itself; each is settled by its first report.
+    // Every machine then sends a heartbeat; the first one reconciles the machine.
     for name in &names {
         scene.report_as(name, (1, 1, 2), &[], true);
     }
@@ -213,27 +225,39 @@
 }
 
 #[test]
-fn rounds_fill_4000_machines_with_whole_gangs_and_lists_within_the_limits() {
-    let mut scene = reported(MACHINES);
+fn scheduling_cycles_start_whole_gangs_on_4000_machines_with_records_within_the_limits() {
+    let mut scene = fleet_with_heartbeats(MACHINES);
     scene.write(true);
     let limits = scene.settings.params.store.clone();
-    // Some room is left: gangs bound to a zone can't use what is over in both.
+    // The gangs need less than the whole capacity: gangs bound to one zone cannot use what is left in both.
     let gangs = 120;
     for number in 0..gangs {
         let mut spec = gang(&format!("wk-{:06}", 100 + number), 16);
         spec.single_zone = number % 2 == 0;
         scene.submit(spec);
     }
-    let (mut started, mut rounds) = (BTreeSet::new(), 0);
+    let (mut started, mut cycles) = (BTreeSet::new(), 0);
     while started.len() < gangs {
-        rounds += 1;
-        assert!(rounds <= 4, "{} of {gangs} started", started.len());
+        cycles += 1;
+        assert!(
+            cycles <= 4,
+            "{} of {gangs} gangs started after 4 cycles",
+            started.len()
+        );
         let now = scene.now;
         let decisions = knotlanding::sched::run_cycle(&scene.cluster, &scene.policy, now);
         knotlanding::sched::apply(&mut scene.cluster, &decisions, now);
         for start in &decisions.starts {
-            assert_eq!(start.members.len(), 16, "whole or not at all");
-            assert!(started.insert(start.job.clone()), "{} twice", start.job);
+            assert_eq!(
+                start.members.len(),
+                16,
+                "a gang must start with all its members"
+            );
+            assert!(
+                started.insert(start.job.clone()),
+                "gang {} started twice",
+                start.job
+            );
         }
         let replica = scene.replica();
         for write in scene.cluster.due_writes(&replica, now) {
@@ -251,24 +275,29 @@
         }
         scene.pass(0.2);
     }
-    let busy = scene
+    let busy_machines = scene
         .cluster
         .machines
         .values()
         .filter(|m| m.is_busy())
         .count();
-    assert_eq!(busy, gangs * 16, "a machine takes one member");
+    assert_eq!(
+        busy_machines,
+        gangs * 16,
+        "each machine must run at most one member"
+    );
     for machine in scene.cluster.machines.values() {
         assert_eq!(*machine.load(), machine.computed_load(), "{}", machine.id);
     }
 }
 
-/// Late copies come within minutes, in which the whole fleet may have been replaced.
+/// Delayed copies of heartbeats arrive within minutes, in which the whole fleet may be replaced. They must not
+/// add a removed machine again.
 #[test]
-fn machines_that_are_gone_are_remembered_while_a_fleet_of_4000_is_replaced_twice() {
-    let mut scene = reported(10);
-    let first = MachineId("m-c000000n".into());
-    scene.cluster.remove_terminated_machine(&first);
+fn removed_machine_is_not_added_again_after_a_fleet_of_4000_is_replaced_twice() {
+    let mut scene = fleet_with_heartbeats(10);
+    let removed = MachineId("m-c000000n".into());
+    scene.cluster.remove_terminated_machine(&removed);
     for number in 0..2 * MACHINES {
         scene
             .cluster
@@ -276,5 +305,5 @@
     }
     const { assert!(REMOVED_MACHINES_MAX > 2 * MACHINES) };
     scene.heartbeat("m-c000000n", &[]);
-    assert!(!scene.cluster.machines.contains_key(&first));
+    assert!(!scene.cluster.machines.contains_key(&removed));
 }
--- a/tests/layers.rs
+++ b/tests/layers.rs
@@ -1,11 +1,11 @@
-//! The order of the modules: each may use what stands before it, and nothing that stands behind it.
+//! The layers of the library's modules: a module may use only modules of lower layers.
 
-// A test that can't go on ends with its reason.
+// A failed `unwrap` or `expect` fails the test with its message.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 use std::path::{Path, PathBuf};
 
-/// The modules of the library from the lowest to the highest. Those of one layer do not use each other.
+/// The modules of the library from the lowest layer to the highest. Modules of one layer do not use each other.
 const LAYERS: [&[&str]; 15] = [
     &["time"],
     &["model", "pending_reason", "rate_limit", "metrics"],
@@ -24,20 +24,20 @@
     &["run"],
 ];
 
-/// A use of one module by another.
-struct Use {
+/// A reference to the module `to` in the code of the module `from`.
+struct ModuleUse {
     from: String,
     to: String,
-    place: String,
+    location: String,
 }
 
 fn layer_of(module: &str) -> Option<usize> {
     LAYERS.iter().position(|layer| layer.contains(&module))
 }
 
-/// The modules named after `crate::` in a line, the list of a nested `use` included.
-fn modules_named(line: &str) -> Vec<String> {
-    let mut named = Vec::new();
+/// The modules that follow `crate::` in a line, including those in the list of a nested `use`.
+fn referenced_modules(line: &str) -> Vec<String> {
+    let mut modules = Vec::new();
     for part in line.split("crate::").skip(1) {
         let (list, nested) = match part.strip_prefix('{') {
             Some(list) => (list, true),
@@ -53,11 +53,11 @@
                 .take_while(|c| c.is_ascii_lowercase() || *c == '_')
                 .collect();
             if !name.is_empty() {
-                named.push(name);
+                modules.push(name);
             }
         }
     }
-    named
+    modules
 }
 
 fn source_files(folder: &Path, files: &mut Vec<PathBuf>) {
@@ -71,8 +71,8 @@
     }
 }
 
-/// All uses in code. Comments may refer to any module, and unit tests may build on higher ones.
-fn uses(root: &Path) -> Vec<Use> {
+/// All references in code. Comments may refer to any module, and unit tests may use higher layers.
+fn module_uses(root: &Path) -> Vec<ModuleUse> {
     let mut files = Vec::new();
     source_files(root, &mut files);
     files.sort();
@@ -88,11 +88,11 @@
         }
         for (number, line) in std::fs::read_to_string(&file).unwrap().lines().enumerate() {
             let code = line.split("//").next().unwrap();
-            for to in modules_named(code) {
-                uses.push(Use {
+            for to in referenced_modules(code) {
+                uses.push(ModuleUse {
                     from: module.clone(),
                     to,
-                    place: format!("src/{}:{}: {}", relative.display(), number + 1, line.trim()),
+                    location: format!("src/{}:{}: {}", relative.display(), number + 1, line.trim()),
                 });
             }
         }
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn every_module_stands_in_a_layer() {
+fn every_module_is_assigned_to_a_layer() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
     let library = std::fs::read_to_string(root.join("lib.rs")).unwrap();
     let declared = library.lines().filter_map(|line| {
@@ -109,19 +109,27 @@
         name.strip_suffix(';')
     });
     for module in declared {
-        assert!(layer_of(module).is_some(), "{module} stands in no layer");
+        assert!(
+            layer_of(module).is_some(),
+            "module {module} is not assigned to a layer"
+        );
     }
 }
 
 #[test]
-fn no_module_uses_one_of_a_higher_layer() {
+fn no_module_uses_one_of_the_same_or_a_higher_layer() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
-    let uses = uses(&root);
-    assert!(uses.len() > 100, "the uses were found");
-    let wrong = uses.iter().filter(|used| {
-        let (from, to) = (layer_of(&used.from), layer_of(&used.to));
-        used.from != used.to && from <= to
+    let uses = module_uses(&root);
+    assert!(
+        uses.len() > 100,
+        "too few references found; the search may be broken"
+    );
+    let violations = uses.iter().filter(|module_use| {
+        let (from, to) = (layer_of(&module_use.from), layer_of(&module_use.to));
+        module_use.from != module_use.to && from <= to
     });
-    let wrong: Vec<&str> = wrong.map(|used| used.place.as_str()).collect();
-    assert!(wrong.is_empty(), "{}", wrong.join("\n"));
+    let violations: Vec<&str> = violations
+        .map(|module_use| module_use.location.as_str())
+        .collect();
+    assert!(violations.is_empty(), "{}", violations.join("\n"));
 }
--- a/tests/links_service.rs
+++ b/tests/links_service.rs
@@ -1,9 +1,10 @@
-//! Three controllers as processes under links that are cut, by chosen cases and by seeded schedules.
+//! Three controller processes under link faults, in selected cases and in seeded schedules of faults.
 //!
-//! Every wait is for a condition. Longer runs: `KNOTLANDING_SCHEDULES=40 KNOTLANDING_SCHEDULE_S=90
+//! Waits end when a condition holds; the only fixed delays are the detection time of refused writes and the
+//! cancellation deadline. Longer runs: `KNOTLANDING_SCHEDULES=40 KNOTLANDING_SCHEDULE_S=90
 //! cargo test --release --locked --test links_service seeded`.
 
-// A test that can't go on ends with its reason.
+// A failed `unwrap` or `expect` fails the test with its message.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 use std::path::{Path, PathBuf};
@@ -17,25 +18,25 @@
 use knotlanding_testbed::schedule::{draw, LinkId, ScheduledFault};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_knotlanding");
-/// Long enough for any machine; nothing here measures time.
-const PATIENCE: Duration = Duration::from_secs(90);
-const STEP: Duration = Duration::from_millis(200);
+/// Limit of each wait. It is generous for slow machines, since no test here asserts a duration.
+const TEST_TIMEOUT: Duration = Duration::from_secs(90);
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-fn folder() -> &'static Path {
+fn settings_folder() -> &'static Path {
     Path::new(env!("CARGO_TARGET_TMPDIR"))
 }
 
-fn features(name: &str, text: &str) -> PathBuf {
-    let file = folder().join(format!("{name}-features.toml"));
+fn write_features_file(name: &str, text: &str) -> PathBuf {
+    let file = settings_folder().join(format!("{name}-features.toml"));
     std::fs::write(&file, text).unwrap();
     file
 }
 
 fn deployment(name: &str, features: Vec<Option<PathBuf>>) -> Deployment {
-    let machines = from_environment("KNOTLANDING_MACHINES", 10) as usize;
+    let machines = number_from_environment("KNOTLANDING_MACHINES", 10) as usize;
     Deployment::start(DeploymentPlan {
         program: PROGRAM,
-        folder: folder(),
+        folder: settings_folder(),
         name,
         features,
         times: DeploymentTimes::default(),
@@ -43,9 +44,9 @@
     })
 }
 
-/// Three controllers with everything turned on.
-fn all_on(name: &str) -> Deployment {
-    let file = features(name, "[links]");
+/// Three controllers with all link features enabled.
+fn deployment_with_link_features(name: &str) -> Deployment {
+    let file = write_features_file(name, "[links]");
     deployment(name, vec![Some(file); 3])
 }
 
@@ -54,17 +55,20 @@
     check(&entries, &deployment.rules(), Instant::now())
 }
 
-/// Asks until the condition holds.
-async fn until<F: std::future::Future<Output = bool>>(what: &str, mut holds: impl FnMut() -> F) {
-    let began = Instant::now();
+/// Evaluates the condition repeatedly until it holds; `what` is the message if it does not hold in time.
+async fn wait_until<F: std::future::Future<Output = bool>>(
+    what: &str,
+    mut holds: impl FnMut() -> F,
+) {
+    let started_at = Instant::now();
     while !holds().await {
-        assert!(began.elapsed() < PATIENCE, "{what}");
-        tokio::time::sleep(STEP).await;
+        assert!(started_at.elapsed() < TEST_TIMEOUT, "{what}");
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-async fn accepted(deployment: &Deployment, id: &str, kind: &str, tasks: u64) {
-    until(&format!("{id} accepted"), || async {
+async fn submit_until_accepted(deployment: &Deployment, id: &str, kind: &str, tasks: u64) {
+    wait_until(&format!("job {id} is not accepted"), || async {
         for controller in 0..deployment.controllers() {
             if deployment.submit(controller, id, kind, tasks).await {
                 return true;
@@ -75,21 +79,24 @@
     .await;
 }
 
-async fn told(deployment: &Deployment, id: &str, status: &str) {
-    until(&format!("{id} {status}"), || async {
-        for controller in 0..deployment.controllers() {
-            if deployment.poll(controller, id).await.as_deref() == Some(status) {
-                return true;
+async fn wait_for_status(deployment: &Deployment, id: &str, status: &str) {
+    wait_until(
+        &format!("job {id} does not reach status {status}"),
+        || async {
+            for controller in 0..deployment.controllers() {
+                if deployment.poll(controller, id).await.as_deref() == Some(status) {
+                    return true;
+                }
             }
-        }
-        false
-    })
+            false
+        },
+    )
     .await;
 }
 
-/// Who leads, by its own words.
-async fn leader(deployment: &Deployment) -> usize {
-    let began = Instant::now();
+/// Waits until a controller reports itself as leader; returns its number.
+async fn find_leader(deployment: &Deployment) -> usize {
+    let started_at = Instant::now();
     loop {
         for controller in 0..deployment.controllers() {
             let status = status(deployment, controller).await;
@@ -97,8 +104,11 @@
                 return controller;
             }
         }
-        assert!(began.elapsed() < PATIENCE, "nobody leads");
-        tokio::time::sleep(STEP).await;
+        assert!(
+            started_at.elapsed() < TEST_TIMEOUT,
+            "no controller becomes leader"
+        );
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -112,7 +122,7 @@
     serde_json::from_str(&text.unwrap_or_default()).unwrap_or_default()
 }
 
-fn starts(deployment: &Deployment) -> usize {
+fn count_starts(deployment: &Deployment) -> usize {
     let entries = deployment.history.entries();
     let starts = entries
         .iter()
@@ -121,13 +131,13 @@
 }
 
 #[test]
-fn a_features_file_that_can_not_be_used_ends_the_program_and_check_says_so_before() {
+fn invalid_features_file_ends_the_program_and_fails_the_check_command() {
     let example = Path::new(env!("CARGO_MANIFEST_DIR")).join("deploy/example.toml");
-    let wrong = features("wrong", "[links]\ndetector_phi = 99");
-    let missing = folder().join("no-such-features.toml");
+    let invalid = write_features_file("wrong", "[links]\ndetector_phi = 99");
+    let missing = settings_folder().join("no-such-features.toml");
     let cases = [
         (
-            &wrong,
+            &invalid,
             "field `links.detector_phi` is 99; allowed is a number from 1 to 20",
         ),
         (&missing, "cannot read features file"),
@@ -161,188 +171,218 @@
 }
 
 #[actix_web::test]
-async fn controllers_with_different_features_work_together() {
-    let on = features("mixed", "[links]");
-    let gate_only = features("mixed-gate", "[links]\nleadership = false\ndamping = false");
-    let mut deployment = deployment("mixed", vec![Some(on), None, Some(gate_only)]);
-    accepted(&deployment, "wk-000001", "array", 6).await;
-    told(&deployment, "wk-000001", "done").await;
-    // Rows come from the two that have them, and nothing is known of the third.
-    until("rows of the third controller", || async {
+async fn controllers_with_different_features_complete_jobs_together() {
+    let all_features = write_features_file("mixed", "[links]");
+    let gate_only =
+        write_features_file("mixed-gate", "[links]\nleadership = false\ndamping = false");
+    let mut deployment = deployment("mixed", vec![Some(all_features), None, Some(gate_only)]);
+    submit_until_accepted(&deployment, "wk-000001", "array", 6).await;
+    wait_for_status(&deployment, "wk-000001", "done").await;
+    // Only the controllers 0 and 2 have links enabled and send rows; there is no row of controller 1.
+    wait_until("no row of knot-2 with a working store link", || async {
         let links = links(&deployment, 0).await;
         links["matrix"]["knot-2"]["store_read"]["state"] == "up"
     })
     .await;
-    let shown = links(&deployment, 0).await;
-    assert!(shown["matrix"]["knot-1"].is_null(), "{shown}");
+    let response = links(&deployment, 0).await;
+    assert!(response["matrix"]["knot-1"].is_null(), "{response}");
     assert!(deployment
         .admin(1, "links")
         .await
         .unwrap()
         .contains("not turned on"));
-    // Each of them may end, and the others go on.
+    // Any one controller may be terminated, and the others still complete jobs.
     for number in 0..3 {
         deployment.end_controller(number);
         let id = format!("wk-00001{number}");
-        accepted(&deployment, &id, "group", 2).await;
-        told(&deployment, &id, "done").await;
+        submit_until_accepted(&deployment, &id, "group", 2).await;
+        wait_for_status(&deployment, &id, "done").await;
         deployment.start_controller(number);
     }
     let found = violations(&deployment);
     assert!(found.is_empty(), "{found:#?}");
 }
 
-/// The machines are on the lists of the array's starts already, so no write stands before the next ones:
-/// without the gate they leave though nothing can be written.
-async fn refuse_transactions_amid_work(deployment: &Deployment) {
-    accepted(deployment, "wk-000001", "array", 600).await;
-    until("many starts", || async { starts(deployment) > 60 }).await;
+/// The dispatch record of the array already names the machines, so that further starts on them require no
+/// write: without the placement gate they would be sent although the store refuses writes.
+async fn refuse_transactions_while_tasks_start(deployment: &Deployment) {
+    submit_until_accepted(deployment, "wk-000001", "array", 600).await;
+    wait_until("too few tasks start", || async {
+        count_starts(deployment) > 60
+    })
+    .await;
     deployment.store.set_writes_refused(true);
 }
 
 #[actix_web::test]
-async fn a_leader_whose_transactions_are_refused_says_why_jobs_wait_and_goes_on_afterwards() {
-    let deployment = all_on("unwritable");
-    refuse_transactions_amid_work(&deployment).await;
-    let leader = leader(&deployment).await;
-    until("the gate refuses", || async {
+async fn leader_with_refused_transactions_shows_the_pending_reason_and_resumes_afterwards() {
+    let deployment = deployment_with_link_features("unwritable");
+    refuse_transactions_while_tasks_start(&deployment).await;
+    let leader = find_leader(&deployment).await;
+    wait_until("the placement gate does not report unwritable", || async {
         links(&deployment, leader).await["placement_gate"]["refuses"] == "unwritable"
     })
     .await;
-    until("the job says why it waits", || async {
+    wait_until("the job does not show its pending reason", || async {
         let job = deployment.admin(leader, "jobs/wk-000001").await;
         job.unwrap_or_default()
             .contains("this controller can't write")
     })
     .await;
     deployment.store.set_writes_refused(false);
-    let before = starts(&deployment);
-    until("starts again", || async {
-        starts(&deployment) > before + 20
+    let starts_before = count_starts(&deployment);
+    wait_until("tasks do not start again", || async {
+        count_starts(&deployment) > starts_before + 20
     })
     .await;
     let found = violations(&deployment);
     assert!(found.is_empty(), "{found:#?}");
 }
 
-/// Only the history speaks here: with the gate taken out of the program, this fails.
+/// Checks the recorded history only. Without the placement gate in the program, this test fails.
 #[actix_web::test]
-async fn no_start_arrives_while_transactions_are_refused() {
-    let deployment = all_on("no-start");
-    refuse_transactions_amid_work(&deployment).await;
-    let before = leader(&deployment).await;
-    // What was under way has arrived by then, and after it many more tasks could have run.
+async fn no_task_starts_while_transactions_are_refused() {
+    let deployment = deployment_with_link_features("no-start");
+    refuse_transactions_while_tasks_start(&deployment).await;
+    let leader_before = find_leader(&deployment).await;
+    // Commands in flight arrive within half of this time; in the other half, many more tasks could start.
     tokio::time::sleep(deployment.rules().unwritable_detection * 2).await;
     assert_eq!(
-        leader(&deployment).await,
-        before,
-        "nobody is better connected"
+        find_leader(&deployment).await,
+        leader_before,
+        "leadership must stay, since no controller is better connected"
     );
     deployment.store.set_writes_refused(false);
-    told_done(&deployment, "wk-000001").await;
+    wait_for_completion(&deployment, "wk-000001").await;
     let found = violations(&deployment);
     assert!(found.is_empty(), "{found:#?}");
 }
 
-/// The old leader keeps its workers for a while; the new one cancels, and all must be gone in time.
+/// The old leader extends the leases of its workers for a limited time. A job that is cancelled meanwhile at
+/// another controller must have no running task at the cancellation deadline.
 #[actix_web::test]
-async fn a_leader_that_loses_the_state_service_and_its_peers_while_another_cancels() {
-    let deployment = all_on("lost-state");
+async fn cancellation_takes_effect_while_the_old_leader_is_cut_off_from_store_and_peers() {
+    let deployment = deployment_with_link_features("lost-state");
     for id in ["wk-000001", "wk-000002"] {
-        accepted(&deployment, id, "array", 300).await;
+        submit_until_accepted(&deployment, id, "array", 300).await;
     }
-    until("many starts", || async { starts(&deployment) > 30 }).await;
-    let old = leader(&deployment).await;
-    deployment.link(LinkId::Store(old)).set(LinkMode::BLACKHOLE);
-    for other in (0..3).filter(|other| *other != old) {
+    wait_until("too few tasks start", || async {
+        count_starts(&deployment) > 30
+    })
+    .await;
+    let old_leader = find_leader(&deployment).await;
+    deployment
+        .link(LinkId::Store(old_leader))
+        .set(LinkMode::BLACKHOLE);
+    for other in (0..3).filter(|other| *other != old_leader) {
         deployment
-            .link(LinkId::Peer(old, other))
+            .link(LinkId::Peer(old_leader, other))
             .set(LinkMode::BLACKHOLE);
         deployment
-            .link(LinkId::Peer(other, old))
+            .link(LinkId::Peer(other, old_leader))
             .set(LinkMode::BLACKHOLE);
     }
-    let others: Vec<usize> = (0..3).filter(|other| *other != old).collect();
-    until("the others cancel", || async {
+    let others: Vec<usize> = (0..3).filter(|other| *other != old_leader).collect();
+    wait_until("the cancellation is not accepted", || async {
         deployment.cancel(others[0], "wk-000001").await
     })
     .await;
-    until("another one leads", || async {
-        let one = status(&deployment, others[0]).await["leading"] == true;
-        let two = status(&deployment, others[1]).await["leading"] == true;
-        one || two
+    wait_until("no other controller becomes leader", || async {
+        let first_leads = status(&deployment, others[0]).await["leading"] == true;
+        let second_leads = status(&deployment, others[1]).await["leading"] == true;
+        first_leads || second_leads
     })
     .await;
-    until("the rows of the others have expired", || async {
-        let told = links(&deployment, old).await;
-        let row = &told["matrix"][format!("knot-{}", others[0])];
-        told["member"] == format!("knot-{old}") && row.is_null()
-    })
+    wait_until(
+        "the old leader still shows rows of other controllers",
+        || async {
+            let response = links(&deployment, old_leader).await;
+            let row = &response["matrix"][format!("knot-{}", others[0])];
+            response["member"] == format!("knot-{old_leader}") && row.is_null()
+        },
+    )
     .await;
     tokio::time::sleep(deployment.rules().cancellation_deadline).await;
     deployment.heal();
-    until("the other job is cancelled", || async {
-        deployment.cancel(old, "wk-000002").await
-    })
+    wait_until(
+        "the cancellation of the other job is not accepted",
+        || async { deployment.cancel(old_leader, "wk-000002").await },
+    )
     .await;
-    accepted(&deployment, "wk-000003", "group", 3).await;
-    told_done(&deployment, "wk-000003").await;
+    submit_until_accepted(&deployment, "wk-000003", "group", 3).await;
+    wait_for_completion(&deployment, "wk-000003").await;
     let found = violations(&deployment);
     assert!(found.is_empty(), "{found:#?}");
 }
 
-async fn told_done(deployment: &Deployment, id: &str) {
-    told(deployment, id, "done").await;
+async fn wait_for_completion(deployment: &Deployment, id: &str) {
+    wait_for_status(deployment, id, "done").await;
 }
 
-/// Requests of a follower arrive at the leader, and its answers are lost: neither must be told as well.
+/// The follower's requests reach the leader, but the responses are held. The follower must show the link as
+/// down and the leader must show it as up.
 #[actix_web::test]
-async fn a_link_that_works_one_way_is_shown_by_its_direction_and_half_open_ones_hold_nobody_up() {
-    let deployment = all_on("one-way");
-    accepted(&deployment, "wk-000001", "array", 4).await;
-    let leader = leader(&deployment).await;
+async fn half_open_link_is_shown_by_direction_and_delays_no_job() {
+    let deployment = deployment_with_link_features("one-way");
+    submit_until_accepted(&deployment, "wk-000001", "array", 4).await;
+    let leader = find_leader(&deployment).await;
     let follower = (leader + 1) % 3;
-    let (leads, follows) = (format!("knot-{leader}"), format!("knot-{follower}"));
-    until("rows of all", || async {
-        let links = links(&deployment, follower).await;
-        links["matrix"][&follows]["peers"][&leads]["outbound"]["state"] == "up"
-    })
+    let (leader_name, follower_name) = (format!("knot-{leader}"), format!("knot-{follower}"));
+    wait_until(
+        "the follower does not show its link to the leader as up",
+        || async {
+            let links = links(&deployment, follower).await;
+            links["matrix"][&follower_name]["peers"][&leader_name]["outbound"]["state"] == "up"
+        },
+    )
     .await;
-    let answers_held = LinkMode {
+    let hold_responses = LinkMode {
         responses: Flow::Hold,
         ..LinkMode::default()
     };
     deployment
         .link(LinkId::Peer(follower, leader))
-        .set(answers_held);
-    until("the follower sees its requests unanswered", || async {
-        let links = links(&deployment, follower).await;
-        links["matrix"][&follows]["peers"][&leads]["outbound"]["state"] == "down"
-    })
+        .set(hold_responses);
+    wait_until(
+        "the follower does not show its link to the leader as down",
+        || async {
+            let links = links(&deployment, follower).await;
+            links["matrix"][&follower_name]["peers"][&leader_name]["outbound"]["state"] == "down"
+        },
+    )
     .await;
-    let seen = links(&deployment, leader).await;
-    let inbound = &seen["matrix"][&leads]["peers"][&follows]["inbound"];
-    assert_eq!(inbound["state"], "up", "its requests arrive: {seen}");
-    accepted(&deployment, "wk-000002", "group", 3).await;
-    told_done(&deployment, "wk-000002").await;
+    let leader_links = links(&deployment, leader).await;
+    let inbound = &leader_links["matrix"][&leader_name]["peers"][&follower_name]["inbound"];
+    assert_eq!(
+        inbound["state"], "up",
+        "the requests of the follower arrive: {leader_links}"
+    );
+    submit_until_accepted(&deployment, "wk-000002", "group", 3).await;
+    wait_for_completion(&deployment, "wk-000002").await;
     deployment.heal();
-    until("the link is used again", || async {
-        let links = links(&deployment, follower).await;
-        links["matrix"][&follows]["peers"][&leads]["outbound"]["state"] == "up"
-    })
+    wait_until(
+        "the follower does not show its link as up after the fault",
+        || async {
+            let links = links(&deployment, follower).await;
+            links["matrix"][&follower_name]["peers"][&leader_name]["outbound"]["state"] == "up"
+        },
+    )
     .await;
     let found = violations(&deployment);
     assert!(found.is_empty(), "{found:#?}");
 }
 
-/// A leader that no worker reaches, by whatever way, must not call any of them healthy.
+/// A leader that receives no heartbeats, directly or forwarded, must not report any worker as healthy.
 #[actix_web::test]
-async fn a_leader_without_workers_says_that_it_does_not_know_their_health() {
-    let deployment = all_on("no-workers");
-    accepted(&deployment, "wk-000001", "array", 200).await;
-    until("many starts", || async { starts(&deployment) > 20 }).await;
-    let leader = leader(&deployment).await;
-    until("healthy workers", || async {
+async fn leader_without_worker_heartbeats_reports_worker_health_as_unknown() {
+    let deployment = deployment_with_link_features("no-workers");
+    submit_until_accepted(&deployment, "wk-000001", "array", 200).await;
+    wait_until("too few tasks start", || async {
+        count_starts(&deployment) > 20
+    })
+    .await;
+    let leader = find_leader(&deployment).await;
+    wait_until("the leader reports too few healthy workers", || async {
         status(&deployment, leader).await["worker_health"]["healthy"].as_u64() > Some(3)
     })
     .await;
@@ -353,7 +393,7 @@
                 .set(LinkMode::BLACKHOLE);
         }
     }
-    until("nobody is called healthy", || async {
+    wait_until("the leader still reports healthy workers", || async {
         let health = &status(&deployment, leader).await["worker_health"];
         health["healthy"].is_null() && health["unknown"].as_u64() > Some(3)
     })
@@ -364,42 +404,43 @@
         assert!(!machine.contains("healthy"), "{machine}");
     }
     deployment.heal();
-    told_done(&deployment, "wk-000001").await;
+    wait_for_completion(&deployment, "wk-000001").await;
     let found = violations(&deployment);
     assert!(found.is_empty(), "{found:#?}");
 }
 
-fn from_environment(name: &str, default: u64) -> u64 {
+fn number_from_environment(name: &str, default: u64) -> u64 {
     let value = std::env::var(name).ok();
     value
         .and_then(|value| value.parse().ok())
         .unwrap_or(default)
 }
 
-/// Plays a schedule drawn from a seed, with users at it all the while; what became of it.
-async fn play(seed: u64, length: Duration, on: bool) -> Violations {
-    let name = format!("seed-{seed}-{}", if on { "on" } else { "off" });
-    let mut deployment = if on {
-        all_on(&name)
+/// Runs a schedule of faults drawn from a seed, with submissions, queries and a cancellation; returns the
+/// violations in the history.
+async fn run_schedule(seed: u64, length: Duration, links_enabled: bool) -> Violations {
+    let name = format!("seed-{seed}-{}", if links_enabled { "on" } else { "off" });
+    let mut deployment = if links_enabled {
+        deployment_with_link_features(&name)
     } else {
         deployment(&name, vec![None; 3])
     };
-    let mut open: Vec<String> = Vec::new();
+    let mut open_jobs: Vec<String> = Vec::new();
     for number in 0..6 {
         let id = format!("wk-{number:06}");
         let kind = if number % 3 == 2 { "group" } else { "array" };
         let tasks = if kind == "group" { 3 } else { 120 };
-        accepted(&deployment, &id, kind, tasks).await;
-        open.push(id);
+        submit_until_accepted(&deployment, &id, kind, tasks).await;
+        open_jobs.push(id);
     }
     let faults = draw(seed, 3, length, 12);
     let half = faults.partition_point(|fault| fault.starts_at() < length / 2);
     let (first, second) = faults.split_at(half);
     deployment.inject(first).await;
-    ask_all(&deployment, &open).await;
-    // Cancelled in the middle of it all, at any node that takes it.
-    let cancelled = open.remove(seed as usize % open.len());
-    until("a cancellation is taken", || async {
+    poll_all_jobs(&deployment, &open_jobs).await;
+    // One job is cancelled between the two halves of the schedule, at any controller that accepts it.
+    let cancelled = open_jobs.remove(seed as usize % open_jobs.len());
+    wait_until("no controller accepts the cancellation", || async {
         for controller in 0..3 {
             if deployment.cancel(controller, &cancelled).await {
                 return true;
@@ -411,19 +452,19 @@
         false
     })
     .await;
-    let later: Vec<ScheduledFault> = second
+    let second_shifted: Vec<ScheduledFault> = second
         .iter()
-        .map(|fault| earlier(fault, length / 2))
+        .map(|fault| shift_earlier(fault, length / 2))
         .collect();
-    deployment.inject(&later).await;
-    for id in &open {
-        told_done(&deployment, id).await;
+    deployment.inject(&second_shifted).await;
+    for id in &open_jobs {
+        wait_for_completion(&deployment, id).await;
     }
     tokio::time::sleep(deployment.rules().cancellation_deadline).await;
     violations(&deployment)
 }
 
-fn earlier(fault: &ScheduledFault, by: Duration) -> ScheduledFault {
+fn shift_earlier(fault: &ScheduledFault, by: Duration) -> ScheduledFault {
     let mut fault = *fault;
     match &mut fault {
         ScheduledFault::Link(cut) => cut.at -= by,
@@ -434,7 +475,7 @@
     fault
 }
 
-async fn ask_all(deployment: &Deployment, ids: &[String]) {
+async fn poll_all_jobs(deployment: &Deployment, ids: &[String]) {
     for id in ids {
         for controller in 0..deployment.controllers() {
             deployment.poll(controller, id).await;
@@ -443,12 +484,12 @@
 }
 
 #[actix_web::test]
-async fn seeded_schedules_of_cuts_break_no_rule() {
-    let seeds = from_environment("KNOTLANDING_SCHEDULES", 2);
-    let length = Duration::from_secs(from_environment("KNOTLANDING_SCHEDULE_S", 16));
-    let on = std::env::var("KNOTLANDING_LINKS_OFF").is_err();
+async fn seeded_schedules_of_link_faults_cause_no_violations() {
+    let seeds = number_from_environment("KNOTLANDING_SCHEDULES", 2);
+    let length = Duration::from_secs(number_from_environment("KNOTLANDING_SCHEDULE_S", 16));
+    let links_enabled = std::env::var("KNOTLANDING_LINKS_OFF").is_err();
     for seed in 1..=seeds {
-        let found = play(seed, length, on).await;
+        let found = run_schedule(seed, length, links_enabled).await;
         println!(
             "seed {seed}: clean {}, {} starts soon after a cancellation",
             found.is_empty(),
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -1,11 +1,11 @@
-//! The real program against stand-ins on loopback.
+//! One controller process on loopback against stand-ins for the key-value store, the cloud and the workers.
 
-// A test that can't go on ends with its reason.
+// A failed `unwrap` or `expect` fails the test with its message.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 mod common;
-#[path = "common/node.rs"]
-mod node;
+#[path = "common/test_controller.rs"]
+mod test_controller;
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -18,195 +18,240 @@
 use knotlanding::sockets::SocketLimits;
 use knotlanding::store::client::response_bytes_max;
 use knotlanding_testbed::message::{encode, number, text};
-use node::{job, with, without, Bench, Node, PROGRAM, TEST_TIMEOUT};
+use test_controller::{
+    job, with_field, without_field, ControllerEnvironment, ControllerProcess, PROGRAM, TEST_TIMEOUT,
+};
 
 #[actix_web::test]
-async fn jobs_run_to_their_end_and_stay_done_through_a_crash() {
-    let bench = Bench::new("crash");
-    let node = bench.start();
-    node.accept(&job("wk-000001", "array", 5, 4.0)).await;
-    node.accept(&job("wk-000002", "group", 3, 15.0)).await;
-    let done = node.until("wk-000001", "done").await;
+async fn jobs_complete_and_remain_done_after_a_controller_crash() {
+    let environment = ControllerEnvironment::new("crash");
+    let controller = environment.start();
+    controller
+        .submit_until_accepted(&job("wk-000001", "array", 5, 4.0))
+        .await;
+    controller
+        .submit_until_accepted(&job("wk-000002", "group", 3, 15.0))
+        .await;
+    let done = controller.wait_for_status("wk-000001", "done").await;
     assert_eq!(number(&done, "done"), 5);
-    node.until("wk-000002", "done").await;
+    controller.wait_for_status("wk-000002", "done").await;
     assert!(
-        bench.cloud.count() >= 3,
-        "a gang of three needs three machines"
+        environment.cloud.count() >= 3,
+        "each member of the gang of three needs a whole machine"
     );
-    drop(node);
-    let node = bench.start();
-    node.until("wk-000001", "done").await;
-    assert_eq!(node.submit(&job("wk-000001", "array", 5, 4.0)).await, 200);
-    node.accept(&job("wk-000003", "array", 1, 4.0)).await;
-    node.until("wk-000003", "done").await;
+    drop(controller);
+    let controller = environment.start();
+    controller.wait_for_status("wk-000001", "done").await;
+    assert_eq!(
+        controller.submit(&job("wk-000001", "array", 5, 4.0)).await,
+        200
+    );
+    controller
+        .submit_until_accepted(&job("wk-000003", "array", 1, 4.0))
+        .await;
+    controller.wait_for_status("wk-000003", "done").await;
     assert!(
-        bench.store.get("kl/live/wk-000003").is_none(),
-        "the job's records go with its end"
+        environment.store.get("kl/live/wk-000003").is_none(),
+        "the description of a completed job must be deleted"
     );
     assert!(
-        bench.store.get("kl/job/wk-000003").is_some(),
-        "its verdict stays"
+        environment.store.get("kl/job/wk-000003").is_some(),
+        "the verdict of a completed job must be kept"
     );
 }
 
 #[actix_web::test]
-async fn what_cannot_be_taken_is_refused_for_good_and_the_rest_for_now() {
-    let bench = Bench::new("refusals");
-    let node = bench.start();
-    let good = job("wk-000010", "array", 1, 4.0);
-    node.accept(&good).await;
+async fn invalid_submissions_get_4xx_and_submissions_during_a_store_outage_get_503() {
+    let environment = ControllerEnvironment::new("refusals");
+    let controller = environment.start();
+    let valid = job("wk-000010", "array", 1, 4.0);
+    controller.submit_until_accepted(&valid).await;
     let float = Value::Float;
-    let bad = [
+    let malformed = [
         Value::Text("not a map".to_owned()),
-        with(&good, "nameId", Value::Text("job 1".to_owned())),
-        with(&good, "shape", Value::Text("ring".to_owned())),
-        with(&good, "rank", Value::Null),
-        with(&good, "strands", Value::from(0)),
-        with(&good, "strands", Value::from(100_001)),
-        with(&good, "strands", float(1.5)),
-        with(&good, "cores", float(f64::NAN)),
-        with(&good, "ramGb", float(-1.0)),
-        with(&good, "expectS", float(f64::INFINITY)),
-        with(&good, "oneZone", Value::from(1)),
-        without(&good, "bundle"),
-        without(&good, "markCostS"),
+        with_field(&valid, "nameId", Value::Text("job 1".to_owned())),
+        with_field(&valid, "shape", Value::Text("ring".to_owned())),
+        with_field(&valid, "rank", Value::Null),
+        with_field(&valid, "strands", Value::from(0)),
+        with_field(&valid, "strands", Value::from(100_001)),
+        with_field(&valid, "strands", float(1.5)),
+        with_field(&valid, "cores", float(f64::NAN)),
+        with_field(&valid, "ramGb", float(-1.0)),
+        with_field(&valid, "expectS", float(f64::INFINITY)),
+        with_field(&valid, "oneZone", Value::from(1)),
+        without_field(&valid, "bundle"),
+        without_field(&valid, "markCostS"),
     ];
-    for body in bad {
-        assert_eq!(node.submit(&body).await, 400, "{body:?}");
+    for body in malformed {
+        assert_eq!(controller.submit(&body).await, 400, "{body:?}");
     }
-    for bytes in [&b"\xff\xff"[..], b"", b"\x9f\x9f\x9f"] {
-        assert_eq!(node.post("/api/jobs", bytes.to_vec()).await.0, 400);
+    for undecodable in [&b"\xff\xff"[..], b"", b"\x9f\x9f\x9f"] {
+        assert_eq!(
+            controller.post("/api/jobs", undecodable.to_vec()).await.0,
+            400
+        );
     }
-    let large = with(&good, "bundle", Value::Text("x".repeat(70_000)));
-    assert_eq!(node.submit(&large).await, 400);
-    let never = [
-        with(&good, "owner", Value::Text("nobody".to_owned())),
-        with(&good, "cores", float(17.0)),
-        with(&good, "builds", cbor!(["huge"]).unwrap()),
-        with(&good, "yard", Value::Text("east".to_owned())),
+    let large = with_field(&valid, "bundle", Value::Text("x".repeat(70_000)));
+    assert_eq!(controller.submit(&large).await, 400);
+    let unsatisfiable = [
+        with_field(&valid, "owner", Value::Text("nobody".to_owned())),
+        with_field(&valid, "cores", float(17.0)),
+        with_field(&valid, "builds", cbor!(["huge"]).unwrap()),
+        with_field(&valid, "yard", Value::Text("east".to_owned())),
     ];
-    for body in never {
-        let body = with(&body, "nameId", Value::Text("wk-000011".to_owned()));
-        assert_eq!(node.submit(&body).await, 422, "{body:?}");
+    for body in unsatisfiable {
+        let body = with_field(&body, "nameId", Value::Text("wk-000011".to_owned()));
+        assert_eq!(controller.submit(&body).await, 422, "{body:?}");
     }
-    assert_eq!(node.poll("wk-000011").await.0, 404);
-    assert_eq!(node.poll("rubbish").await.0, 404);
+    assert_eq!(controller.poll("wk-000011").await.0, 404);
+    assert_eq!(controller.poll("rubbish").await.0, 404);
     assert_eq!(
-        node.post("/api/jobs/wk-000011/abort", Vec::new()).await.0,
+        controller
+            .post("/api/jobs/wk-000011/abort", Vec::new())
+            .await
+            .0,
         404
     );
-    node.until("wk-000010", "done").await;
+    controller.wait_for_status("wk-000010", "done").await;
 
-    bench.store.set_outage(true);
-    let next = job("wk-000012", "array", 1, 4.0);
-    let (status, _, retry) = node.post("/api/jobs", encode(&next)).await;
+    environment.store.set_outage(true);
+    let next_job = job("wk-000012", "array", 1, 4.0);
+    let (status, _, retry) = controller.post("/api/jobs", encode(&next_job)).await;
     assert_eq!(status, 503);
-    assert!(retry.is_some(), "a refusal for now says when to come back");
-    let (status, body) = node.poll("wk-000010").await;
+    assert!(
+        retry.is_some(),
+        "a response with status 503 must have the header Retry-After"
+    );
+    let (status, body) = controller.poll("wk-000010").await;
     assert_eq!((status, text(&body, "status").as_str()), (200, "done"));
-    bench.store.set_outage(false);
-    node.accept(&next).await;
-    node.until("wk-000012", "done").await;
+    environment.store.set_outage(false);
+    controller.submit_until_accepted(&next_job).await;
+    controller.wait_for_status("wk-000012", "done").await;
 }
 
 #[actix_web::test]
-async fn a_cancelled_job_stays_cancelled_and_a_done_one_done() {
-    let bench = Bench::new("cancel");
-    let node = bench.start();
-    // More than the worker stand-ins can ever run at once: some of it always waits.
-    node.accept(&job("wk-000020", "array", 5000, 16.0)).await;
-    let (status, body, _) = node.post("/api/jobs/wk-000020/abort", Vec::new()).await;
+async fn cancelled_job_stays_cancelled_and_completed_job_stays_done() {
+    let environment = ControllerEnvironment::new("cancel");
+    let controller = environment.start();
+    // More tasks than the stand-in workers can run at once, so that some are always pending.
+    controller
+        .submit_until_accepted(&job("wk-000020", "array", 5000, 16.0))
+        .await;
+    let (status, body, _) = controller
+        .post("/api/jobs/wk-000020/abort", Vec::new())
+        .await;
     assert_eq!((status, text(&body, "status").as_str()), (200, "cancelled"));
-    let (status, body, _) = node.post("/api/jobs/wk-000020/abort", Vec::new()).await;
+    let (status, body, _) = controller
+        .post("/api/jobs/wk-000020/abort", Vec::new())
+        .await;
     assert_eq!((status, text(&body, "status").as_str()), (200, "cancelled"));
-    node.accept(&job("wk-000021", "array", 1, 4.0)).await;
-    node.until("wk-000021", "done").await;
-    let (status, body, _) = node.post("/api/jobs/wk-000021/abort", Vec::new()).await;
+    controller
+        .submit_until_accepted(&job("wk-000021", "array", 1, 4.0))
+        .await;
+    controller.wait_for_status("wk-000021", "done").await;
+    let (status, body, _) = controller
+        .post("/api/jobs/wk-000021/abort", Vec::new())
+        .await;
     assert_eq!((status, text(&body, "status").as_str()), (200, "done"));
-    let (_, body) = node.poll("wk-000020").await;
+    let (_, body) = controller.poll("wk-000020").await;
     assert_eq!(text(&body, "status"), "cancelled");
 }
 
-/// A watch's answer has no limit of its own. One that was larger than what was taken failed every
-/// time, and the node read nothing any more.
+/// The store does not limit the size of a watch response. A response larger than the controller accepts
+/// used to fail on every attempt, after which the controller read no changes at all.
 #[actix_web::test]
-async fn more_changes_than_an_answer_may_have_are_read_page_by_page() {
-    let small = |text: String| text.replace("mem_mb = 136.0", "mem_mb = 20.0");
-    let bench = Bench::with_settings("large-watch", small);
-    let node = bench.start();
-    node.accept(&job("wk-000060", "array", 2, 4.0)).await;
-    let most = response_bytes_max(20.0);
+async fn watch_response_above_the_size_limit_is_replaced_by_reading_pages() {
+    let reduce_memory = |text: String| text.replace("mem_mb = 136.0", "mem_mb = 20.0");
+    let environment = ControllerEnvironment::with_settings("large-watch", reduce_memory);
+    let controller = environment.start();
+    controller
+        .submit_until_accepted(&job("wk-000060", "array", 2, 4.0))
+        .await;
+    let bytes_max = response_bytes_max(20.0);
     let value = Value::Text("x".repeat(16 * 1024));
-    let count = 2 * most / (16 * 1024);
+    let count = 2 * bytes_max / (16 * 1024);
     let keys = (0..count).map(|n| (format!("kl/other/{n:04}"), value.clone()));
-    bench.store.put_all(keys);
-    node.until("wk-000060", "done").await;
-    node.accept(&job("wk-000061", "group", 2, 15.0)).await;
-    node.until("wk-000061", "done").await;
+    environment.store.put_all(keys);
+    controller.wait_for_status("wk-000060", "done").await;
+    controller
+        .submit_until_accepted(&job("wk-000061", "group", 2, 15.0))
+        .await;
+    controller.wait_for_status("wk-000061", "done").await;
 }
 
-/// A controller may be back within a fraction of a second, while its own lease still stands
-/// and in the middle of its election.
+/// A controller may be restarted within a fraction of a second, while the lease of its earlier process is
+/// still valid or while it is being elected.
 #[actix_web::test]
-async fn a_controller_back_at_once_leads_again_and_starts_nothing_twice() {
-    let bench = Bench::new("at-once");
-    let mut node = bench.start();
-    node.accept(&job("wk-000050", "array", 40, 8.0)).await;
-    node.accept(&job("wk-000051", "group", 4, 15.0)).await;
+async fn controller_restarted_within_its_lease_leads_again_and_starts_no_task_twice() {
+    let environment = ControllerEnvironment::new("at-once");
+    let mut controller = environment.start();
+    controller
+        .submit_until_accepted(&job("wk-000050", "array", 40, 8.0))
+        .await;
+    controller
+        .submit_until_accepted(&job("wk-000051", "group", 4, 15.0))
+        .await;
     for pause in [0, 30, 200, 0, 500] {
         tokio::time::sleep(Duration::from_millis(pause)).await;
-        drop(node);
-        node = bench.start();
+        drop(controller);
+        controller = environment.start();
     }
-    node.until("wk-000050", "done").await;
-    drop(node);
-    node = bench.start();
-    node.until("wk-000051", "done").await;
-    assert_eq!(bench.cloud.duplicate_executions(), 0);
+    controller.wait_for_status("wk-000050", "done").await;
+    drop(controller);
+    controller = environment.start();
+    controller.wait_for_status("wk-000051", "done").await;
+    assert_eq!(environment.cloud.duplicate_executions(), 0);
 }
 
-/// A leader that has lost its workers while the nodes refuse each other's connections hears of
-/// by no digest of misdirected reports: the node to which they come writes the count down where the leader reads it.
+/// A controller counts the misdirected heartbeats, to which it does not respond with 200, and returns the
+/// count to the leader in its reply to a state summary. While the controllers cannot connect to each
+/// other, it writes the count to the store, from which the leader reads it.
 #[actix_web::test]
-async fn a_node_that_no_digest_reaches_writes_down_misdirected_reports() {
-    let bench = Bench::new("knocks");
+async fn controller_without_state_summaries_records_misdirected_heartbeats_in_the_store() {
+    let environment = ControllerEnvironment::new("knocks");
     let leader = cbor!({
         "member" => "knot-9", "address" => "127.0.0.1:1", "term" => 3, "lease" => 99
     });
-    bench.store.put("kl/leader", leader.unwrap());
-    let node = bench.start();
+    environment.store.put("kl/leader", leader.unwrap());
+    let controller = environment.start();
     let heartbeat = cbor!({
         "host" => "m-000001", "address" => "127.0.0.1:9", "build" => "cpu16", "yard" => "north",
         "loaners" => false, "tenure" => 1, "tally" => 1, "baton" => 0, "strands" => Vec::<Value>::new()
     });
     let heartbeat = encode(&heartbeat.unwrap());
-    let began = Instant::now();
+    let started_at = Instant::now();
     let written = loop {
-        let (status, body, _) = node.post("/hello", heartbeat.clone()).await;
+        let (status, body, _) = controller.post("/hello", heartbeat.clone()).await;
         if status == 421 {
             assert_eq!(text(&body, "answerTo"), "knot-9");
         }
-        if let Some(written) = bench.store.get("kl/knocks/knot-0") {
+        if let Some(written) = environment.store.get("kl/knocks/knot-0") {
             break written;
         }
-        assert!(began.elapsed() < TEST_TIMEOUT, "it is never written");
+        assert!(
+            started_at.elapsed() < TEST_TIMEOUT,
+            "kl/knocks/knot-0 is not written"
+        );
         tokio::time::sleep(Duration::from_millis(50)).await;
     };
     assert!(number(&written, "knocks") >= 5, "{written:?}");
 }
 
-/// Users asked eight times as often, and each question was a condition in a transaction.
+/// Guards against overload of the store: users once polled eight times as often as before, and each query
+/// was a condition of a transaction.
 #[actix_web::test]
-async fn questions_that_come_together_share_a_look_at_the_state_service() {
-    let bench = Bench::new("storm");
-    let node = bench.start();
-    // It needs more machines than there are: it stays unfinished.
-    node.accept(&job("wk-000900", "array", 5000, 16.0)).await;
-    let before = bench.store.requests();
-    let asked = 400;
+async fn concurrent_job_queries_share_store_requests() {
+    let environment = ControllerEnvironment::new("storm");
+    let controller = environment.start();
+    // The job needs more machines than there are, so that it stays unfinished.
+    controller
+        .submit_until_accepted(&job("wk-000900", "array", 5000, 16.0))
+        .await;
+    let requests_before = environment.store.requests();
+    let queries = 400;
     let (known, unknown): (Vec<_>, Vec<_>) = {
-        let known = (0..asked / 2).map(|_| node.poll("wk-000900"));
-        let unknown = (0..asked / 2).map(|_| node.poll("wk-000999"));
+        let known = (0..queries / 2).map(|_| controller.poll("wk-000900"));
+        let unknown = (0..queries / 2).map(|_| controller.poll("wk-000999"));
         futures_util::future::join(
             futures_util::future::join_all(known),
             futures_util::future::join_all(unknown),
@@ -215,72 +260,89 @@
     };
     assert!(known.iter().all(|(status, _)| *status == 200));
     assert!(unknown.iter().all(|(status, _)| *status == 404));
-    let cost = bench.store.requests() - before;
-    assert!(cost < asked / 4, "{cost} requests for {asked} questions");
+    let store_requests = environment.store.requests() - requests_before;
+    assert!(
+        store_requests < queries / 4,
+        "{store_requests} store requests for {queries} job queries"
+    );
 }
 
-/// After a long silence a watch may be older than the history that the service keeps.
+/// After a long interruption, the revision of a watch may be older than the history that the store keeps.
 #[actix_web::test]
-async fn a_watch_that_is_too_old_is_made_up_for_by_reading_everything_again() {
-    let bench = Bench::new("too-old");
-    let node = bench.start();
-    node.accept(&job("wk-000910", "array", 5000, 16.0)).await;
+async fn watch_from_a_compacted_revision_is_replaced_by_reading_all_keys() {
+    let environment = ControllerEnvironment::new("too-old");
+    let controller = environment.start();
+    controller
+        .submit_until_accepted(&job("wk-000910", "array", 5000, 16.0))
+        .await;
     let done = cbor!({"verdict" => "Done", "tasks" => 1}).unwrap();
-    bench.store.put_and_compact("kl/job/wk-000911", done);
-    node.until("wk-000911", "done").await;
-    node.accept(&job("wk-000912", "array", 1, 4.0)).await;
-    let (status, _) = node.poll("wk-000910").await;
-    assert_eq!(status, 200, "what was known still is");
+    environment.store.put_and_compact("kl/job/wk-000911", done);
+    controller.wait_for_status("wk-000911", "done").await;
+    controller
+        .submit_until_accepted(&job("wk-000912", "array", 1, 4.0))
+        .await;
+    let (status, _) = controller.poll("wk-000910").await;
+    assert_eq!(
+        status, 200,
+        "a job accepted before the compaction must stay known"
+    );
 }
 
-/// A process of little memory keeps few verdicts at hand; of the others it asks.
+/// A controller with little memory keeps few final verdicts and looks up the others in the store.
 #[actix_web::test]
-async fn a_job_over_long_ago_stays_known_to_a_process_that_keeps_few_verdicts() {
-    let bench = Bench::new("few");
-    let text = std::fs::read_to_string(&bench.file).unwrap();
-    let small = text.replace("mem_mb = 136.0", "mem_mb = 0.002");
-    assert_ne!(small, text);
-    std::fs::write(&bench.file, small).unwrap();
-    let node = bench.start();
+async fn jobs_with_evicted_verdicts_are_still_answered_from_the_store() {
+    let environment = ControllerEnvironment::new("few");
+    let text = std::fs::read_to_string(&environment.settings_file).unwrap();
+    let low_memory = text.replace("mem_mb = 136.0", "mem_mb = 0.002");
+    assert_ne!(low_memory, text);
+    std::fs::write(&environment.settings_file, low_memory).unwrap();
+    let controller = environment.start();
     let ids: Vec<String> = (0..6).map(|n| format!("wk-{:06}", 700 + n)).collect();
     for id in &ids {
-        node.accept(&job(id, "array", 1, 4.0)).await;
-        node.until(id, "done").await;
+        controller
+            .submit_until_accepted(&job(id, "array", 1, 4.0))
+            .await;
+        controller.wait_for_status(id, "done").await;
     }
-    drop(node);
-    let node = bench.start();
+    drop(controller);
+    let controller = environment.start();
     for id in &ids {
-        node.until(id, "done").await;
-        let again = node.submit(&job(id, "array", 1, 4.0)).await;
-        assert_eq!(again, 200, "a repeated submission gets its state");
-        let (status, _, _) = node
+        controller.wait_for_status(id, "done").await;
+        let status_of_repetition = controller.submit(&job(id, "array", 1, 4.0)).await;
+        assert_eq!(
+            status_of_repetition, 200,
+            "a repeated submission must be answered with the state of the job"
+        );
+        let (status, _, _) = controller
             .post(&format!("/api/jobs/{id}/abort"), Vec::new())
             .await;
         assert_eq!(status, 200);
-        node.until(id, "done").await;
+        controller.wait_for_status(id, "done").await;
     }
-    assert_eq!(node.poll("wk-000799").await.0, 404);
+    assert_eq!(controller.poll("wk-000799").await.0, 404);
 }
 
-/// Every accepted job stays known: after an outage, a restart, and both, polls for all of them
-/// are answered, and submissions in plenty do not starve them.
+/// Every accepted job stays known: queries for all of them are answered after an outage, after a restart
+/// and after both, and a burst of submissions does not starve the queries.
 #[actix_web::test]
-async fn polls_for_all_jobs_are_answered_after_an_outage_and_a_restart_and_under_submissions() {
-    let bench = Bench::new("known");
-    let mut node = bench.start();
+async fn job_queries_are_answered_after_an_outage_or_restart_and_during_many_submissions() {
+    let environment = ControllerEnvironment::new("known");
+    let mut controller = environment.start();
     let ids: Vec<String> = (0..30).map(|n| format!("wk-{:06}", 600 + n)).collect();
     for id in &ids {
-        node.accept(&job(id, "array", 1, 16.0)).await;
+        controller
+            .submit_until_accepted(&job(id, "array", 1, 16.0))
+            .await;
     }
     for round in 0..3 {
-        bench.store.set_outage(round != 1);
+        environment.store.set_outage(round != 1);
         if round > 0 {
-            drop(node);
-            node = bench.start();
+            drop(controller);
+            controller = environment.start();
         }
         tokio::time::sleep(Duration::from_millis(300)).await;
-        bench.store.set_outage(false);
-        let flood: Vec<_> = (0..40)
+        environment.store.set_outage(false);
+        let submissions: Vec<_> = (0..40)
             .map(|n| {
                 job(
                     &format!("wk-{:06}", 1000 + round * 100 + n),
@@ -290,180 +352,231 @@
                 )
             })
             .collect();
-        let submits = futures_util::future::join_all(flood.iter().map(|job| node.submit(job)));
-        let polls = async {
+        let submitting =
+            futures_util::future::join_all(submissions.iter().map(|job| controller.submit(job)));
+        let polling = async {
             for id in &ids {
-                let began = Instant::now();
-                while node.poll(id).await.0 != 200 {
-                    assert!(began.elapsed() < TEST_TIMEOUT, "{id} is forgotten");
+                let started_at = Instant::now();
+                while controller.poll(id).await.0 != 200 {
+                    assert!(
+                        started_at.elapsed() < TEST_TIMEOUT,
+                        "job {id} is no longer known"
+                    );
                     tokio::time::sleep(Duration::from_millis(100)).await;
                 }
             }
         };
-        let (statuses, ()) = futures_util::future::join(submits, polls).await;
+        let (statuses, ()) = futures_util::future::join(submitting, polling).await;
         for status in statuses {
             assert!([0, 201, 429, 503].contains(&status), "{status}");
         }
     }
     for id in &ids {
-        node.until(id, "done").await;
+        controller.wait_for_status(id, "done").await;
     }
-    assert_eq!(bench.cloud.duplicate_executions(), 0);
+    assert_eq!(environment.cloud.duplicate_executions(), 0);
 }
 
-/// A report as a worker that has seen `baton` sends it; the answer's status and token.
-async fn hello(node: &Node, tally: u64, baton: u64) -> (u16, u64) {
+/// Sends a heartbeat of a worker whose highest token is `token`; returns the status and the token of the
+/// response.
+async fn send_heartbeat(controller: &ControllerProcess, sequence: u64, token: u64) -> (u16, u64) {
     let heartbeat = cbor!({
         "host" => "m-900001", "address" => "127.0.0.1:1", "build" => "cpu16", "yard" => "north",
-        "loaners" => false, "tenure" => 1, "tally" => tally, "baton" => baton,
+        "loaners" => false, "tenure" => 1, "tally" => sequence, "baton" => token,
         "recallS" => null, "strands" => []
     });
-    let (status, body, _) = node.post("/hello", encode(&heartbeat.unwrap())).await;
+    let (status, body, _) = controller.post("/hello", encode(&heartbeat.unwrap())).await;
     (status, number(&body, "baton"))
 }
 
-/// A leader left with its workers alone: it keeps their leases for a bounded time, starts
-/// nothing, answers nothing wrong, and never a 200 with a token that the worker must drop.
+/// A leader that can reach its workers but not the store extends their leases for a limited time. It starts
+/// no task, gives no wrong answer, and sends no 200 with a token that is older than the worker's.
 #[actix_web::test]
-async fn a_leader_without_the_state_service_keeps_leases_for_a_while_and_then_gives_up() {
-    let bench = Bench::new("alone");
-    let node = bench.start();
-    node.accept(&job("wk-000070", "array", 1, 4.0)).await;
-    node.until("wk-000070", "done").await;
-    let (status, token) = hello(&node, 1, 0).await;
+async fn leader_that_loses_the_store_extends_worker_leases_for_a_limited_time_only() {
+    let environment = ControllerEnvironment::new("alone");
+    let controller = environment.start();
+    controller
+        .submit_until_accepted(&job("wk-000070", "array", 1, 4.0))
+        .await;
+    controller.wait_for_status("wk-000070", "done").await;
+    let (status, token) = send_heartbeat(&controller, 1, 0).await;
     assert_eq!(status, 200);
-    let newer = token + (1 << 20);
-    assert_eq!(hello(&node, 2, newer).await.0, 503, "another one leads");
-    bench.store.set_outage(true);
-    let began = Instant::now();
-    let mut tally = 10;
-    let (mut kept, mut gave_up) = (false, false);
-    while !gave_up {
-        assert!(began.elapsed() < TEST_TIMEOUT, "it never gives up");
+    let newer_token = token + (1 << 20);
+    assert_eq!(
+        send_heartbeat(&controller, 2, newer_token).await.0,
+        503,
+        "a token of a newer leader must be rejected"
+    );
+    environment.store.set_outage(true);
+    let started_at = Instant::now();
+    let mut sequence = 10;
+    let (mut lease_extended, mut heartbeat_rejected) = (false, false);
+    while !heartbeat_rejected {
+        assert!(
+            started_at.elapsed() < TEST_TIMEOUT,
+            "the leader still extends worker leases"
+        );
         tokio::time::sleep(Duration::from_millis(250)).await;
-        tally += 1;
-        match hello(&node, tally, token).await {
-            (200, told) => {
-                assert!(told >= token, "a token that the worker must drop");
-                kept = true;
+        sequence += 1;
+        match send_heartbeat(&controller, sequence, token).await {
+            (200, returned_token) => {
+                assert!(
+                    returned_token >= token,
+                    "the response has an older token than the worker"
+                );
+                lease_extended = true;
             }
             (status, _) => {
                 assert!([421, 503].contains(&status), "{status}");
-                gave_up = true;
+                heartbeat_rejected = true;
             }
         }
-        assert_eq!(hello(&node, tally, newer).await.0, 503);
-        let (status, body) = node.poll("wk-000070").await;
+        assert_eq!(
+            send_heartbeat(&controller, sequence, newer_token).await.0,
+            503
+        );
+        let (status, body) = controller.poll("wk-000070").await;
         assert_eq!((status, text(&body, "status").as_str()), (200, "done"));
-        assert_eq!(node.submit(&job("wk-000071", "array", 1, 4.0)).await, 503);
+        assert_eq!(
+            controller.submit(&job("wk-000071", "array", 1, 4.0)).await,
+            503
+        );
     }
-    assert!(kept, "work goes on for a while");
-    bench.store.set_outage(false);
-    node.accept(&job("wk-000071", "array", 1, 4.0)).await;
-    node.until("wk-000071", "done").await;
-    assert_eq!(bench.cloud.duplicate_executions(), 0);
+    assert!(
+        lease_extended,
+        "no worker lease was extended during the outage"
+    );
+    environment.store.set_outage(false);
+    controller
+        .submit_until_accepted(&job("wk-000071", "array", 1, 4.0))
+        .await;
+    controller.wait_for_status("wk-000071", "done").await;
+    assert_eq!(environment.cloud.duplicate_executions(), 0);
 }
 
 #[actix_web::test]
-async fn operators_settings_are_checked_versioned_and_outlive_the_process() {
-    let bench = Bench::new("admin");
-    let node = bench.start();
-    node.accept(&job("wk-000030", "array", 1, 4.0)).await;
-    let (status, got) = node.admin("GET", "settings", "").await;
-    assert_eq!((status, got["version"].as_u64()), (200, Some(0)));
-    let wrong = r#"{"version":0,"settings":{"idle_factor":-1}}"#;
-    let (status, said) = node.admin("PUT", "settings", wrong).await;
+async fn operator_settings_are_validated_versioned_and_kept_across_a_restart() {
+    let environment = ControllerEnvironment::new("admin");
+    let controller = environment.start();
+    controller
+        .submit_until_accepted(&job("wk-000030", "array", 1, 4.0))
+        .await;
+    let (status, current) = controller.admin("GET", "settings", "").await;
+    assert_eq!((status, current["version"].as_u64()), (200, Some(0)));
+    let out_of_range = r#"{"version":0,"settings":{"idle_factor":-1}}"#;
+    let (status, problem) = controller.admin("PUT", "settings", out_of_range).await;
     assert_eq!(status, 400);
-    assert!(said["error"].as_str().unwrap().contains("idle_factor"));
-    let unknown = r#"{"version":0,"settings":{"speed":1}}"#;
-    let (status, said) = node.admin("PUT", "settings", unknown).await;
+    assert!(problem["error"].as_str().unwrap().contains("idle_factor"));
+    let unknown_field = r#"{"version":0,"settings":{"speed":1}}"#;
+    let (status, problem) = controller.admin("PUT", "settings", unknown_field).await;
     assert_eq!(status, 400);
-    assert!(said["error"].as_str().unwrap().contains("speed"));
-    let right = r#"{"version":0,"settings":{"idle_factor":2.5}}"#;
-    assert_eq!(node.admin("PUT", "settings", right).await.0, 200);
-    assert_eq!(node.admin("PUT", "settings", right).await.0, 409);
-    drop(node);
-    let node = bench.start();
-    node.accept(&job("wk-000031", "array", 1, 4.0)).await;
-    let (_, got) = node.admin("GET", "settings", "").await;
-    assert_eq!(got["settings"]["idle_factor"].as_f64(), Some(2.5));
+    assert!(problem["error"].as_str().unwrap().contains("speed"));
+    let valid = r#"{"version":0,"settings":{"idle_factor":2.5}}"#;
+    assert_eq!(controller.admin("PUT", "settings", valid).await.0, 200);
+    assert_eq!(controller.admin("PUT", "settings", valid).await.0, 409);
+    drop(controller);
+    let controller = environment.start();
+    controller
+        .submit_until_accepted(&job("wk-000031", "array", 1, 4.0))
+        .await;
+    let (_, current) = controller.admin("GET", "settings", "").await;
+    assert_eq!(current["settings"]["idle_factor"].as_f64(), Some(2.5));
     assert_eq!(
-        node.admin("POST", "machines/m-000777/drain", "").await.0,
+        controller
+            .admin("POST", "machines/m-000777/drain", "")
+            .await
+            .0,
         200
     );
-    let (_, status) = node.admin("GET", "status", "").await;
+    let (_, status) = controller.admin("GET", "status", "").await;
     assert_eq!(status["member"], "knot-0");
-    node.until("wk-000031", "done").await;
-    let (_, metrics) = node.admin("GET", "metrics", "").await;
+    controller.wait_for_status("wk-000031", "done").await;
+    let (_, metrics) = controller.admin("GET", "metrics", "").await;
     assert_eq!(metrics["accepted"].as_u64(), Some(1));
-    bench.store.set_outage(true);
-    let again = got.to_string();
-    assert_eq!(node.admin("PUT", "settings", &again).await.0, 503);
+    environment.store.set_outage(true);
+    let unchanged = current.to_string();
+    assert_eq!(controller.admin("PUT", "settings", &unchanged).await.0, 503);
 }
 
-/// Operators ask why a job doesn't run and why a machine gets nothing.
 #[actix_web::test]
-async fn operators_see_why_a_job_waits_and_why_a_machine_is_passed_over() {
-    let bench = Bench::new("why");
-    let node = bench.start();
-    // More than the stand-ins can ever run at once.
-    node.accept(&job("wk-000060", "array", 5000, 16.0)).await;
-    let began = Instant::now();
-    let waits = loop {
-        let (status, job) = node.admin("GET", "jobs/wk-000060", "").await;
+async fn admin_interface_shows_why_a_job_is_pending_and_why_a_machine_is_not_used() {
+    let environment = ControllerEnvironment::new("why");
+    let controller = environment.start();
+    // More tasks than the stand-in workers can run at once.
+    controller
+        .submit_until_accepted(&job("wk-000060", "array", 5000, 16.0))
+        .await;
+    let started_at = Instant::now();
+    let pending_job = loop {
+        let (status, job) = controller.admin("GET", "jobs/wk-000060", "").await;
         let placed = job["placed"].as_u64().unwrap_or(0);
         if status == 200 && placed > 0 && job["waits_for"] == "room" {
             break job;
         }
-        assert!(began.elapsed() < TEST_TIMEOUT, "{status} {job}");
+        assert!(started_at.elapsed() < TEST_TIMEOUT, "{status} {job}");
         tokio::time::sleep(Duration::from_millis(100)).await;
     };
-    assert_eq!(waits["suspected"], false);
-    let (_, status) = node.admin("GET", "status", "").await;
+    assert_eq!(pending_job["suspected"], false);
+    let (_, status) = controller.admin("GET", "status", "").await;
     let machines = status["machines"].as_object().unwrap();
     let name = machines.keys().next().unwrap();
-    let drained = node
+    let drain = controller
         .admin("POST", &format!("machines/{name}/drain"), "")
         .await;
-    assert_eq!(drained.0, 200);
+    assert_eq!(drain.0, 200);
     loop {
-        let (status, machine) = node.admin("GET", &format!("machines/{name}"), "").await;
+        let (status, machine) = controller
+            .admin("GET", &format!("machines/{name}"), "")
+            .await;
         if status == 200 && machine["passed_over"] == "an operator drains it" {
             break;
         }
-        assert!(began.elapsed() < TEST_TIMEOUT, "{status} {machine}");
+        assert!(started_at.elapsed() < TEST_TIMEOUT, "{status} {machine}");
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
-    assert_eq!(node.admin("GET", "jobs/wk-000061", "").await.0, 404);
-    assert_eq!(node.admin("GET", "machines/m-none", "").await.0, 404);
+    assert_eq!(controller.admin("GET", "jobs/wk-000061", "").await.0, 404);
+    assert_eq!(controller.admin("GET", "machines/m-none", "").await.0, 404);
 }
 
-/// Jobs of a team that the settings don't name any more are known and run; new ones are refused.
+/// Jobs accepted before their team was removed from the settings stay known and run; new ones are rejected.
 #[actix_web::test]
-async fn a_team_removed_between_two_starts_keeps_its_accepted_jobs() {
-    let bench = Bench::new("teams");
-    let node = bench.start();
-    // More than can run before the restart.
-    node.accept(&job("wk-000080", "array", 400, 8.0)).await;
-    drop(node);
-    let text = std::fs::read_to_string(&bench.file).unwrap();
-    let fewer = text.replace("name = \"blue\"", "name = \"green\"");
-    assert_ne!(fewer, text);
-    std::fs::write(&bench.file, fewer).unwrap();
-    let node = bench.start();
-    let began = Instant::now();
-    while node.poll("wk-000080").await.0 != 200 {
-        assert!(began.elapsed() < TEST_TIMEOUT, "it is forgotten");
+async fn accepted_jobs_of_a_team_removed_from_the_settings_complete_and_new_ones_are_rejected() {
+    let environment = ControllerEnvironment::new("teams");
+    let controller = environment.start();
+    // More tasks than can run before the restart.
+    controller
+        .submit_until_accepted(&job("wk-000080", "array", 400, 8.0))
+        .await;
+    drop(controller);
+    let text = std::fs::read_to_string(&environment.settings_file).unwrap();
+    let without_team_blue = text.replace("name = \"blue\"", "name = \"green\"");
+    assert_ne!(without_team_blue, text);
+    std::fs::write(&environment.settings_file, without_team_blue).unwrap();
+    let controller = environment.start();
+    let started_at = Instant::now();
+    while controller.poll("wk-000080").await.0 != 200 {
+        assert!(
+            started_at.elapsed() < TEST_TIMEOUT,
+            "job wk-000080 is no longer known"
+        );
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
-    assert_eq!(node.submit(&job("wk-000080", "array", 400, 8.0)).await, 200);
-    assert_eq!(node.submit(&job("wk-000081", "array", 1, 8.0)).await, 422);
-    node.until("wk-000080", "done").await;
+    assert_eq!(
+        controller
+            .submit(&job("wk-000080", "array", 400, 8.0))
+            .await,
+        200
+    );
+    assert_eq!(
+        controller.submit(&job("wk-000081", "array", 1, 8.0)).await,
+        422
+    );
+    controller.wait_for_status("wk-000080", "done").await;
 }
 
-/// What a poll is answered, headers included, on a connection of its own.
-async fn raw_poll(address: String) -> String {
-    let asked = actix_web::web::block(move || {
+/// Sends a job query on a separate connection; returns the response with its headers, in lower case.
+async fn raw_query_response(address: String) -> String {
+    let response = actix_web::web::block(move || {
         let mut stream = TcpStream::connect(address)?;
         stream.set_read_timeout(Some(Duration::from_secs(5)))?;
         stream.write_all(b"GET /api/jobs/wk-000041 HTTP/1.1\r\nhost: x\r\n\r\n")?;
@@ -471,40 +584,50 @@
         let read = stream.read(&mut bytes)?;
         std::io::Result::Ok(String::from_utf8_lossy(&bytes[..read]).to_lowercase())
     });
-    asked.await.unwrap().unwrap()
+    response.await.unwrap().unwrap()
 }
 
 #[actix_web::test]
-async fn users_who_keep_connections_open_leave_room_for_workers() {
-    let bench = Bench::new("crowd");
-    let node = bench.start();
-    node.accept(&job("wk-000040", "array", 1, 4.0)).await;
-    assert!(!raw_poll(bench.public.clone())
+async fn open_user_connections_leave_room_for_workers() {
+    let environment = ControllerEnvironment::new("connections");
+    let controller = environment.start();
+    controller
+        .submit_until_accepted(&job("wk-000040", "array", 1, 4.0))
+        .await;
+    assert!(!raw_query_response(environment.public_addr.clone())
         .await
         .contains("connection: close"));
-    // Users are asked to close theirs a little below what is taken at most.
-    let settings = Settings::load(&bench.file).unwrap();
+    // The controller closes user connections after the response from a threshold below its limit on.
+    let settings = Settings::load(&environment.settings_file).unwrap();
     let sockets = SocketLimits::from_settings(&settings);
-    let few = (sockets.public - sockets.user_close_threshold) / 2;
-    let crowd: Vec<TcpStream> = (0..sockets.user_close_threshold + few)
-        .map(|_| TcpStream::connect(&bench.public).unwrap())
+    let extra = (sockets.public - sockets.user_close_threshold) / 2;
+    let connections: Vec<TcpStream> = (0..sockets.user_close_threshold + extra)
+        .map(|_| TcpStream::connect(&environment.public_addr).unwrap())
         .collect();
-    let began = Instant::now();
-    while !raw_poll(bench.public.clone())
+    let started_at = Instant::now();
+    while !raw_query_response(environment.public_addr.clone())
         .await
         .contains("connection: close")
     {
-        assert!(began.elapsed() < TEST_TIMEOUT, "the crowd is not noticed");
+        assert!(
+            started_at.elapsed() < TEST_TIMEOUT,
+            "connections are kept open above the threshold"
+        );
     }
-    node.accept(&job("wk-000042", "array", 1, 4.0)).await;
-    node.until("wk-000042", "done").await;
-    drop(crowd);
-    let began = Instant::now();
-    while raw_poll(bench.public.clone())
+    controller
+        .submit_until_accepted(&job("wk-000042", "array", 1, 4.0))
+        .await;
+    controller.wait_for_status("wk-000042", "done").await;
+    drop(connections);
+    let started_at = Instant::now();
+    while raw_query_response(environment.public_addr.clone())
         .await
         .contains("connection: close")
     {
-        assert!(began.elapsed() < TEST_TIMEOUT, "the crowd is not forgotten");
+        assert!(
+            started_at.elapsed() < TEST_TIMEOUT,
+            "connections are still closed below the threshold"
+        );
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
 }
@@ -514,49 +637,53 @@
 }
 
 #[test]
-fn wrong_settings_end_the_program_with_one_line_that_names_the_field() {
+fn invalid_settings_end_the_program_with_one_line_that_names_the_field() {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
-    let good = common::settings_with_unreachable_addresses();
+    let valid = common::settings_with_unreachable_addresses();
     let cases = [
-        ("missing", good.replace("lease_s = 20.0", ""), "lease_s"),
+        ("missing", valid.replace("lease_s = 20.0", ""), "lease_s"),
         (
             "kind",
-            good.replace("count = 1", "count = \"one\""),
+            valid.replace("count = 1", "count = \"one\""),
             "count",
         ),
         (
             "range",
-            good.replace("txn_ops = 12", "txn_ops = 0"),
+            valid.replace("txn_ops = 12", "txn_ops = 0"),
             "params.state.txn_ops",
         ),
-        ("address", good.replace("127.0.0.1:3", "somewhere"), "state"),
+        (
+            "address",
+            valid.replace("127.0.0.1:3", "somewhere"),
+            "state",
+        ),
         ("rubbish", "=".to_owned(), "wrong"),
     ];
-    for (name, content, names) in cases {
+    for (name, content, expected) in cases {
         let file = folder.join(format!("wrong-{name}.toml"));
         std::fs::write(&file, content).unwrap();
         let file = file.to_str().unwrap();
         for arguments in [&["--config", file][..], &["check", file][..]] {
             let output = run(arguments);
-            let said = String::from_utf8_lossy(&output.stderr).into_owned();
-            assert_eq!(output.status.code(), Some(2), "{said}");
-            assert_eq!(said.lines().count(), 1, "{said}");
-            assert!(said.contains(names), "{said}");
+            let error = String::from_utf8_lossy(&output.stderr).into_owned();
+            assert_eq!(output.status.code(), Some(2), "{error}");
+            assert_eq!(error.lines().count(), 1, "{error}");
+            assert!(error.contains(expected), "{error}");
         }
     }
     let output = run(&["--config", "/nonexistent/file.toml"]);
     assert_eq!(output.status.code(), Some(2));
     let file = folder.join("right.toml");
-    std::fs::write(&file, good).unwrap();
+    std::fs::write(&file, valid).unwrap();
     assert!(run(&["check", file.to_str().unwrap()]).status.success());
     assert!(run(&["--help"]).status.success());
     assert!(run(&["--version"]).status.success());
 }
 
-/// The process may stand still anywhere, with its clocks running on: whether it may answer, and
-/// with what, is judged on the clock as it is when the answer is given.
+/// The process may be paused at any point while the clock runs on. Whether and how it answers a heartbeat
+/// depends on the time at which it answers, not on the time at which it received the heartbeat.
 #[test]
-fn a_report_is_answered_by_what_holds_after_a_pause_and_not_by_what_held_before() {
+fn heartbeat_response_uses_the_clock_after_a_process_pause() {
     use knotlanding::api::workers::{receive_heartbeat, HeartbeatOutcome};
     use knotlanding::leader::Leadership;
     use knotlanding::model::Term;
@@ -581,13 +708,13 @@
         election.become_leader(Leadership { term, version: 1 });
         election.freshness().confirm(start);
     }
-    // The first look at the clock comes at once, all others after the pause.
-    let answered = |pause: Duration| {
-        let looks = std::cell::Cell::new(0);
+    // The first reading of the clock precedes the pause; all later ones follow it.
+    let status_after_pause = |pause: Duration| {
+        let clock_readings = std::cell::Cell::new(0);
         let clock = || {
-            looks.set(looks.get() + 1);
+            clock_readings.set(clock_readings.get() + 1);
             start
-                + if looks.get() == 1 {
+                + if clock_readings.get() == 1 {
                     Duration::ZERO
                 } else {
                     pause
@@ -598,23 +725,31 @@
             "loaners" => false, "tenure" => 1, "tally" => 1, "baton" => 0, "strands" => [],
         });
         let body = encode(&heartbeat.unwrap()).into();
-        let HeartbeatOutcome::Answered(answer) = receive_heartbeat(&shared, Ok(body), &clock)
+        let HeartbeatOutcome::Answered(response) = receive_heartbeat(&shared, Ok(body), &clock)
         else {
-            panic!("there is nobody to forward it to");
+            panic!("a leader must not forward the heartbeat");
         };
-        assert!(looks.get() > 1, "the clock is looked at again");
-        answer.status().as_u16()
+        assert!(clock_readings.get() > 1, "the clock must be read again");
+        response.status().as_u16()
     };
-    assert_eq!(answered(Duration::ZERO), 200);
-    assert_eq!(answered(LEADER_LEASE_MIN), 200, "leases are kept alive");
-    let long = Duration::from_secs(60);
-    assert_eq!(answered(long), 503, "its time is over");
+    assert_eq!(status_after_pause(Duration::ZERO), 200);
+    assert_eq!(
+        status_after_pause(LEADER_LEASE_MIN),
+        200,
+        "worker leases must still be extended at the end of the leader lease"
+    );
+    let long_pause = Duration::from_secs(60);
+    assert_eq!(
+        status_after_pause(long_pause),
+        503,
+        "worker leases must not be extended after the keep-alive limit"
+    );
     let cluster = shared.cluster.lock();
     let machine = cluster.as_ref().unwrap().machines.values().next().unwrap();
     let last = machine.last_response_at.unwrap();
     assert_eq!(
         last,
         start + LEADER_LEASE_MIN,
-        "no lease was renewed by the last one"
+        "the rejected heartbeat must not extend the lease"
     );
 }
