--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -88,12 +88,11 @@
 fn full_state_summary_of_4000_machines_fits_the_limit_with_the_newest_image_of_each() {
     let mut scene = fleet_with_heartbeats(MACHINES);
     // 60 images with long names, which is as many as a large cache holds.
-    let image =
-        |machine: usize, index: usize| format!("registry/team-{}/image-{index:03}", machine % 9);
+    let image = |machine: usize, n: usize| format!("registry/team-{}/image-{n:03}", machine % 9);
     let ids: Vec<MachineId> = scene.cluster.machines.keys().cloned().collect();
     for (number, id) in ids.iter().enumerate() {
-        for index in 0..60 {
-            let image_id = scene.cluster.images.id(&image(number, index));
+        for n in 0..60 {
+            let image_id = scene.cluster.images.id(&image(number, n));
             let machine = scene.cluster.machines.get_mut(id).unwrap();
             machine.record_image_use(image_id, 3.0, 200.0);
         }
@@ -120,7 +119,7 @@
     let newest_images: Vec<_> = contents
         .machines
         .iter()
-        .map(|(_, hint)| hint.images.last())
+        .map(|(_, machine)| machine.images.last())
         .collect();
     let summary = StateSummary {
         term: Term(1),
@@ -141,16 +140,12 @@
     }
     let mut cache = SummaryCache::default();
     assert!(cache.apply(knotlanding::peer::decode(&bytes).unwrap()));
-    assert_eq!(
-        cache.machines.len(),
-        MACHINES,
-        "the state summary must contain every machine"
-    );
+    assert_eq!(cache.machines.len(), MACHINES, "a machine is missing");
     assert_eq!(cache.task_counts.len(), 20_000);
     assert!(cache
         .machines
         .values()
-        .all(|hint| hint.address.starts_with("10.")));
+        .all(|machine| machine.address.starts_with("10.")));
 }
 
 #[test]
@@ -248,11 +243,7 @@
         let decisions = knotlanding::sched::run_cycle(&scene.cluster, &scene.policy, now);
         knotlanding::sched::apply(&mut scene.cluster, &decisions, now);
         for start in &decisions.starts {
-            assert_eq!(
-                start.members.len(),
-                16,
-                "a gang must start with all its members"
-            );
+            assert_eq!(start.members.len(), 16, "a member is missing");
             assert!(
                 started.insert(start.job.clone()),
                 "gang {} started twice",
@@ -281,11 +272,7 @@
         .values()
         .filter(|m| m.is_busy())
         .count();
-    assert_eq!(
-        busy_machines,
-        gangs * 16,
-        "each machine must run at most one member"
-    );
+    assert_eq!(busy_machines, gangs * 16, "a machine has two members");
     for machine in scene.cluster.machines.values() {
         assert_eq!(*machine.load(), machine.computed_load(), "{}", machine.id);
     }
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -597,7 +597,7 @@
     assert!(!raw_query_response(environment.public_addr.clone())
         .await
         .contains("connection: close"));
-    // The controller closes user connections after the response from a threshold below its limit on.
+    // Above a threshold, which is below its limit, the controller closes user connections after the response.
     let settings = Settings::load(&environment.settings_file).unwrap();
     let sockets = SocketLimits::from_settings(&settings);
     let extra = (sockets.public - sockets.user_close_threshold) / 2;
@@ -709,7 +709,7 @@
         election.freshness().confirm(start);
     }
     // The first reading of the clock precedes the pause; all later ones follow it.
-    let status_after_pause = |pause: Duration| {
+    let status_after = |pause: Duration| {
         let clock_readings = std::cell::Cell::new(0);
         let clock = || {
             clock_readings.set(clock_readings.get() + 1);
@@ -732,18 +732,10 @@
         assert!(clock_readings.get() > 1, "the clock must be read again");
         response.status().as_u16()
     };
-    assert_eq!(status_after_pause(Duration::ZERO), 200);
-    assert_eq!(
-        status_after_pause(LEADER_LEASE_MIN),
-        200,
-        "worker leases must still be extended at the end of the leader lease"
-    );
+    assert_eq!(status_after(Duration::ZERO), 200);
+    assert_eq!(status_after(LEADER_LEASE_MIN), 200, "leases are extended");
     let long_pause = Duration::from_secs(60);
-    assert_eq!(
-        status_after_pause(long_pause),
-        503,
-        "worker leases must not be extended after the keep-alive limit"
-    );
+    assert_eq!(status_after(long_pause), 503, "keep-alive must end");
     let cluster = shared.cluster.lock();
     let machine = cluster.as_ref().unwrap().machines.values().next().unwrap();
     let last = machine.last_response_at.unwrap();
