--- a/src/actors/peers/misdirected.rs
+++ b/src/actors/peers/misdirected.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use actix::Addr;
-use knotlanding_links::misdirected::MANY_MISDIRECTED;
+use knotlanding_links::misdirected::SIGNIFICANT_MISDIRECTED_INCREASE;
 
 use crate::service::Shared;
 use crate::store::actor::{Commit, StoreActor};
@@ -63,7 +63,7 @@
     fn is_due(&self, count: u64, now: Instant) -> bool {
         let is_leader = self.shared.election.lock().own_term().is_some();
         let leader_known = self.shared.replica.lock().leader.is_some();
-        let is_significant = count >= self.recorded_count + MANY_MISDIRECTED;
+        let is_significant = count >= self.recorded_count + SIGNIFICANT_MISDIRECTED_INCREASE;
         let interval_elapsed =
             now.saturating_duration_since(self.recorded_at) >= RECORD_INTERVAL_MIN;
         !is_leader && leader_known && is_significant && interval_elapsed
--- a/src/cluster/commands.rs
+++ b/src/cluster/commands.rs
@@ -131,7 +131,7 @@
             }
         }
         for machine in self.machines.values_mut() {
-            if !machine.reachability.confirmed()
+            if !machine.reachability.is_confirmed()
                 && probe_due(machine.last_probed_at)
                 && !machine.address.is_empty()
             {
--- a/src/cluster/detection.rs
+++ b/src/cluster/detection.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use knotlanding_links::health::{HealthJudge, HealthLimits};
+use knotlanding_links::health::{HealthEvaluator, HealthLimits};
 use knotlanding_links::reachability::few_workers_reporting;
 
 use super::Cluster;
@@ -23,7 +23,7 @@
             machine.last_heartbeat_at = machine.last_heartbeat_at.map(shifted);
             machine.first_heartbeat_at = machine.first_heartbeat_at.map(shifted);
             machine.cloud_status_since = shifted(machine.cloud_status_since);
-            machine.reachability.extend(missed);
+            machine.reachability.extend_wait(missed);
             machine.unanswered_commands = 0;
         }
     }
@@ -66,15 +66,15 @@
 
     /// The judge of the machines' health at this time. A controller that receives few heartbeats
     /// can't distinguish failed machines from its own failure.
-    pub fn health_judge(&self, now: Instant) -> HealthJudge {
-        HealthJudge {
+    pub fn health_judge(&self, now: Instant) -> HealthEvaluator {
+        HealthEvaluator {
             limits: HealthLimits {
-                suspect: self
+                suspect_after: self
                     .timing
                     .heartbeat_interval
                     .mul_f64(HEARTBEAT_INTERVAL_FACTOR_MAX)
                     + self.timing.heartbeat_interval / 2,
-                lost: self.timing.failed_after,
+                lost_after: self.timing.failed_after,
             },
             receives_heartbeats: !self.receives_few_heartbeats(now),
             now,
--- a/src/cluster/machine.rs
+++ b/src/cluster/machine.rs
@@ -343,8 +343,8 @@
     /// The evidence by which its health is judged.
     pub fn health_evidence(&self) -> WorkerEvidence {
         WorkerEvidence {
-            last_heartbeat: self.last_heartbeat_at,
-            confirmed: self.fenced && self.reachability.confirmed(),
+            last_heartbeat_at: self.last_heartbeat_at,
+            is_confirmed: self.fenced && self.reachability.is_confirmed(),
             unacknowledged_since: self.reachability.pending_since(),
             unanswered_commands: self.unanswered_commands,
         }
@@ -367,7 +367,7 @@
             ),
             (!fenced, PlacementRefusal::NotFenced),
             (
-                !self.reachability.confirmed(),
+                !self.reachability.is_confirmed(),
                 PlacementRefusal::Unreachable,
             ),
             (self.releasing, PlacementRefusal::Releasing),
@@ -421,7 +421,7 @@
         if let Some(raised) = self
             .token
             .raised()
-            .filter(|_| self.reachability.confirmed())
+            .filter(|_| self.reachability.is_confirmed())
         {
             self.token = raised;
             self.reachability.require_acknowledgement(raised.0, now);
--- a/src/fleet/partition.rs
+++ b/src/fleet/partition.rs
@@ -28,7 +28,7 @@
         .first_heartbeat_at
         .is_some_and(|first| now.saturating_duration_since(first) > limit);
     machine.heartbeat_overdue(now, limit)
-        || machine.reachability.overdue(now, limit)
+        || machine.reachability.acknowledgement_overdue(now, limit)
         || (first_heartbeat_past_limit && !machine.fenced)
 }
 
--- a/src/peer/contact.rs
+++ b/src/peer/contact.rs
@@ -13,7 +13,7 @@
     // After a pause of the process no failure may be recorded yet, so a recent contact is required too.
     let contact = shared.links.contact();
     let is_recent = contact
-        .answered
+        .answered_request_sent_at
         .is_some_and(|at| at.elapsed() < FOLLOWER_WATCH_TIMEOUT * 2 + WATCH_GRACE);
     if contact.failing_since.is_none() && is_recent {
         HttpResponse::NoContent().finish()
--- a/src/peer/links.rs
+++ b/src/peer/links.rs
@@ -43,7 +43,7 @@
 
 fn rejection_status(rejection: RowRejection) -> StatusCode {
     match rejection {
-        RowRejection::Body | RowRejection::Malformed | RowRejection::UnknownVersion(_) => {
+        RowRejection::InvalidBody | RowRejection::Malformed | RowRejection::UnknownVersion(_) => {
             StatusCode::BAD_REQUEST
         }
         RowRejection::UnknownMember => StatusCode::FORBIDDEN,
@@ -64,8 +64,8 @@
     let result = match body {
         Ok(bytes) => accept_encoded_row(active, &bytes, Instant::now(), SystemTime::now()),
         Err(_) => {
-            active.record_row_rejection("", RowRejection::Body);
-            Err(RowRejection::Body)
+            active.record_row_rejection("", RowRejection::InvalidBody);
+            Err(RowRejection::InvalidBody)
         }
     };
     match result {
--- a/src/peer/links/tests.rs
+++ b/src/peer/links/tests.rs
@@ -39,8 +39,8 @@
         store_read: LinkStatus::UNKNOWN,
         store_write: LinkStatus::UNKNOWN,
         peers: Vec::new(),
-        workers_heard: no_workers.clone(),
-        workers_reached: no_workers,
+        reporting_workers: no_workers.clone(),
+        reachable_workers: no_workers,
     }
 }
 
--- a/src/service/links/active.rs
+++ b/src/service/links/active.rs
@@ -4,12 +4,12 @@
 use std::sync::Arc;
 use std::time::{Instant, SystemTime};
 
-use knotlanding_links::gate::{GateRefusal, GateVerdict};
-use knotlanding_links::handover::{Decision, HandoverPolicy};
+use knotlanding_links::gate::{GateDecision, GateRefusal};
+use knotlanding_links::handover::{HandoverDecision, HandoverPolicy};
 use knotlanding_links::link::DetectionParams;
-use knotlanding_links::matrix::Matrix;
+use knotlanding_links::matrix::ConnectivityMatrix;
 use knotlanding_links::row::{Row, RowMessage, RowRejection, RowReply};
-use knotlanding_links::table::{LinkChange, LinkTable, RowStamp, StoreOperation};
+use knotlanding_links::table::{LinkChange, LinkTable, RowHeader, StoreOperation};
 use parking_lot::Mutex;
 use tracing::{info, warn};
 
@@ -27,7 +27,7 @@
     /// The states of this controller's links.
     pub table: Mutex<LinkTable>,
     /// The latest rows of the other controllers.
-    pub matrix: Mutex<Matrix>,
+    pub matrix: Mutex<ConnectivityMatrix>,
     handover_policy: Mutex<HandoverPolicy>,
     snapshot: PublishedSnapshot,
     incarnation: AtomicU64,
@@ -43,8 +43,8 @@
     pub(super) fn new(settings: &Settings, features: LinkFeatures, now: Instant) -> Self {
         let timing = link_timing(settings);
         let detection = DetectionParams {
-            phi_down: features.detector_phi,
-            damping: features.damping,
+            phi_down_threshold: features.detector_phi,
+            damping_enabled: features.damping,
         };
         let other_members = || settings.peers.iter().map(|peer| peer.member.clone());
         let table = LinkTable::new(&settings.member, other_members(), detection, timing, now);
@@ -52,7 +52,7 @@
         Self {
             features,
             table: Mutex::new(table),
-            matrix: Mutex::new(Matrix::new(other_members(), timing)),
+            matrix: Mutex::new(ConnectivityMatrix::new(other_members(), timing)),
             handover_policy: Mutex::new(HandoverPolicy::new(&timing, features.handovers_max)),
             snapshot,
             incarnation: AtomicU64::new(unix_ms(SystemTime::now())),
@@ -83,7 +83,7 @@
     ) {
         let (change, gate) = {
             let mut table = self.table.lock();
-            let change = table.store(operation, sent_at, succeeded, now);
+            let change = table.record_store_request(operation, sent_at, succeeded, now);
             (change, table.gate())
         };
         log_changes(change.as_slice());
@@ -103,7 +103,7 @@
     /// Resumes after a pause of this process: heartbeats and rows missed meanwhile are no evidence of
     /// failed links.
     pub fn resume_after_pause(&self, now: Instant) {
-        self.table.lock().resume(now);
+        self.table.lock().resume_after_pause(now);
         self.handover_policy.lock().reset();
     }
 
@@ -118,11 +118,11 @@
         let change = self
             .table
             .lock()
-            .peer_request(member, sent_at, answered, now);
+            .record_peer_request(member, sent_at, answered, now);
         log_changes(change.as_slice());
     }
 
-    fn publish_gate(&self, gate: GateVerdict) {
+    fn publish_gate(&self, gate: GateDecision) {
         if !self.snapshot.set_gate(gate) {
             return;
         }
@@ -134,10 +134,10 @@
 
     /// The present row of this controller for sending, with the next sequence number.
     pub fn next_row(&self, leads_term: Option<u64>, now: Instant, wall_time: SystemTime) -> Row {
-        let stamp = RowStamp {
+        let stamp = RowHeader {
             incarnation: self.incarnation.load(Ordering::Relaxed),
             sequence: self.sequence.fetch_add(1, Ordering::Relaxed) + 1,
-            wall_ms: unix_ms(wall_time),
+            sent_at_ms: unix_ms(wall_time),
             leads_term,
         };
         self.table.lock().row(stamp, now)
@@ -145,10 +145,10 @@
 
     /// The present row of this controller for use in this process, with the last sequence number.
     pub fn own_row(&self, leads_term: Option<u64>, now: Instant) -> Row {
-        let stamp = RowStamp {
+        let stamp = RowHeader {
             incarnation: self.incarnation.load(Ordering::Relaxed),
             sequence: self.sequence.load(Ordering::Relaxed),
-            wall_ms: 0,
+            sent_at_ms: 0,
             leads_term,
         };
         self.table.lock().row(stamp, now)
@@ -163,12 +163,12 @@
         wall_ms: u64,
     ) -> Result<RowReply, RowRejection> {
         let member = message.member.clone();
-        let outcome =
-            Row::check(message).and_then(|row| self.matrix.lock().take(row, now, wall_ms));
+        let outcome = Row::from_message(message)
+            .and_then(|row| self.matrix.lock().accept_row(row, now, wall_ms));
         match outcome {
             Ok(()) => {
                 self.rows_accepted.fetch_add(1, Ordering::Relaxed);
-                let change = self.table.lock().peer_row(&member, now);
+                let change = self.table.lock().record_peer_row(&member, now);
                 log_changes(change.as_slice());
             }
             Err(rejection) => {
@@ -217,7 +217,7 @@
     }
 
     /// The handover decision of this controller as leader, by its own row and the rows of the peers.
-    pub fn decide_handover(&self, now: Instant) -> Decision {
+    pub fn decide_handover(&self, now: Instant) -> HandoverDecision {
         let own = self.own_row(None, now);
         let decision = {
             let matrix = self.matrix.lock();
@@ -240,13 +240,13 @@
 
     /// Records that this controller handed over leadership, for the limit on handovers and the metrics.
     pub fn handed_over(&self, now: Instant) {
-        self.handover_policy.lock().handed_over(now);
+        self.handover_policy.lock().record_handover(now);
         self.handovers.fetch_add(1, Ordering::Relaxed);
     }
 
     /// Whether the limit on recent handovers is reached, so that this controller keeps its leadership.
     pub fn handovers_exhausted(&self, now: Instant) -> bool {
-        self.handover_policy.lock().exhausted(now)
+        self.handover_policy.lock().limit_reached(now)
     }
 
     /// The metrics of the links since the process started; `suppressed` counts the links that are
@@ -254,7 +254,7 @@
     pub fn metrics(&self, now: Instant) -> LinkMetrics {
         let (refused_for, suppressed) = {
             let table = self.table.lock();
-            (table.gate_refused_for(now), table.suppressed().len())
+            (table.gate_refused_for(now), table.suppressed_links().len())
         };
         LinkMetrics {
             rows_taken: self.rows_accepted.load(Ordering::Relaxed),
--- a/src/service/links/mod.rs
+++ b/src/service/links/mod.rs
@@ -11,7 +11,7 @@
 
 use std::time::{Duration, Instant};
 
-use knotlanding_links::contact::{Contact, PeerContactAnswer, PeerContacts};
+use knotlanding_links::contact::{PeerContactAnswer, PeerContacts, StoreContact};
 use knotlanding_links::gate::GateRefusal;
 use knotlanding_links::table::StoreOperation;
 use knotlanding_links::timing::LinkTiming;
@@ -81,19 +81,22 @@
     }
 
     /// The last successful contact with the key-value store, and since when requests fail.
-    pub fn contact(&self) -> Contact {
+    pub fn contact(&self) -> StoreContact {
         self.evidence.lock().contact
     }
 
     /// Records that the peers were queried whether they reach the key-value store, which this process
     /// does not reach.
     pub fn record_peer_queries(&self, now: Instant) {
-        self.evidence.lock().peer_contacts.probed(now);
+        self.evidence.lock().peer_contacts.record_probe(now);
     }
 
     /// Records a peer's response to such a query.
     pub fn record_peer_contact(&self, answer: PeerContactAnswer, now: Instant) {
-        self.evidence.lock().peer_contacts.record(answer, now);
+        self.evidence
+            .lock()
+            .peer_contacts
+            .record_answer(answer, now);
     }
 
     /// Discards the queries and the peers' responses, as when this process reaches the key-value store
@@ -123,7 +126,7 @@
 
     /// Whether another controller recently counted many misdirected heartbeats within a short time.
     pub fn misdirected_lately(&self, now: Instant) -> bool {
-        self.evidence.lock().misdirected.many_recently(now)
+        self.evidence.lock().misdirected.has_recent_increase(now)
     }
 
     /// Whether this controller can serve requests, by the state of its links. `loaded` says whether the
@@ -144,14 +147,20 @@
         if let Some(active) = &self.active {
             let number = worker_number(&heartbeat.machine);
             let newest = (heartbeat.epoch, heartbeat.sequence);
-            active.table.lock().worker_heartbeat(number, newest, now);
+            active
+                .table
+                .lock()
+                .record_worker_heartbeat(number, newest, now);
         }
     }
 
     /// Records that this controller sent a 200 in response to the agent's newest heartbeat.
     pub fn record_worker_response(&self, machine: &str) {
         if let Some(active) = &self.active {
-            active.table.lock().worker_answered(worker_number(machine));
+            active
+                .table
+                .lock()
+                .record_worker_response(worker_number(machine));
         }
     }
 }
