--- a/tests/common/play.rs
+++ b/tests/common/play.rs
@@ -8,7 +8,7 @@
 use knotlanding::model::{JobSpec, Priority};
 
 use crate::common;
-use crate::scene::{array, gang};
+use crate::scene::{array_job, gang_job};
 use crate::world::{Trouble, World};
 
 /// How long after the last trouble everything must be over.
@@ -24,21 +24,21 @@
 fn jobs(at: usize) -> (JobSpec, f64) {
     let id = format!("wk-{:06}", at + 1);
     match at % 5 {
-        0 => (gang(&id, 2), 25.0),
-        1 => (array(&id, 3), 12.0),
+        0 => (gang_job(&id, 2), 25.0),
+        1 => (array_job(&id, 3), 12.0),
         2 => {
-            let mut job = array(&id, 1);
+            let mut job = array_job(&id, 1);
             job.priority = Priority::BestEffort;
             (job, 6.0)
         }
         3 => {
-            let mut job = array(&id, 2);
+            let mut job = array_job(&id, 2);
             job.team = "blue".to_owned();
             // An array bound to one zone.
             job.single_zone = true;
             (job, 40.0)
         }
-        _ => (gang(&id, 3), 15.0),
+        _ => (gang_job(&id, 3), 15.0),
     }
 }
 
--- a/tests/common/scene.rs
+++ b/tests/common/scene.rs
@@ -27,7 +27,7 @@
 };
 
 /// A small cluster with a clock, and what has happened in it so far as text.
-pub struct Scene {
+pub struct TestLeader {
     pub settings: Settings,
     pub policy: SchedulingPolicy,
     pub cluster: Cluster,
@@ -45,7 +45,7 @@
 
 /// The time of day in all scenes: with the real one, jobs submitted together would differ in age
 /// by a millisecond now and then, and with it in order.
-pub fn wall() -> SystemTime {
+pub fn fixed_wall_time() -> SystemTime {
     SystemTime::UNIX_EPOCH + Duration::from_secs(1_800_000_000)
 }
 
@@ -70,7 +70,7 @@
     ]
 }
 
-pub fn gang(id: &str, tasks: u32) -> JobSpec {
+pub fn gang_job(id: &str, tasks: u32) -> JobSpec {
     JobSpec {
         id: JobId::parse(id).unwrap(),
         class: "prompt".to_owned(),
@@ -97,7 +97,7 @@
     }
 }
 
-pub fn array(id: &str, tasks: u32) -> JobSpec {
+pub fn array_job(id: &str, tasks: u32) -> JobSpec {
     JobSpec {
         kind: JobKind::Array,
         priority: Priority::Standard,
@@ -112,11 +112,11 @@
         checkpoint_interval_s: 0.0,
         checkpoint_cost_s: 0.0,
         deadline_s: Some(300.0),
-        ..gang(id, tasks)
+        ..gang_job(id, tasks)
     }
 }
 
-impl Scene {
+impl TestLeader {
     /// Takes over with these records as of term 1.
     pub fn with(records: Vec<(String, knotlanding::store::Value)>) -> Self {
         let text = super::common::settings_of_nobody();
@@ -130,7 +130,7 @@
                 &Replica::default(),
                 Arc::new(machine_types()),
                 start,
-                wall(),
+                fixed_wall_time(),
             ),
             settings,
             records,
@@ -167,7 +167,7 @@
         replica
     }
 
-    pub fn record(&mut self, key: String, value: knotlanding::store::Value) {
+    pub fn put_record(&mut self, key: String, value: knotlanding::store::Value) {
         let before = self.records.len();
         self.records.retain(|(known, _)| *known != key);
         self.rewritten += (before - self.records.len()) as u64;
@@ -181,7 +181,7 @@
             &self.replica(),
             Arc::new(machine_types()),
             self.now,
-            wall(),
+            fixed_wall_time(),
         );
         let unreconciled = self.cluster.unreconciled.len();
         self.note(&format!(
@@ -191,8 +191,8 @@
 
     pub fn submit(&mut self, spec: JobSpec) {
         self.note(&format!("submitted: {} x{}", spec.id, spec.tasks));
-        for (key, value) in accepted(&spec, false) {
-            self.record(key, value);
+        for (key, value) in accepted_job_records(&spec, false) {
+            self.put_record(key, value);
         }
         self.sync(&spec.id);
     }
@@ -210,17 +210,17 @@
             tasks: 1,
             description: live,
         };
-        self.record(keys::job(&id), to_value(&record));
+        self.put_record(keys::job(&id), to_value(&record));
         self.sync(&id);
     }
 
     pub fn sync(&mut self, id: &JobId) {
         let replica = self.replica();
-        let wall = wall();
+        let wall = fixed_wall_time();
         self.cluster.sync_job(id, &replica, self.now, wall, false);
     }
 
-    pub fn pass(&mut self, s: f64) {
+    pub fn advance_clock(&mut self, s: f64) {
         self.now += Duration::from_secs_f64(s);
     }
 
@@ -258,7 +258,7 @@
             let (job, reason) = (&pending.job, pending.reason);
             self.note(&format!("round: {job} waits for {reason}"));
         }
-        self.write(writes_work);
+        self.write_records(writes_work);
         let direct = self.cluster.direct_commands(self.now);
         for direct in &direct {
             let AddressedCommand { machine, body, .. } = direct;
@@ -271,7 +271,7 @@
         decisions
     }
 
-    pub fn write(&mut self, works: bool) {
+    pub fn write_records(&mut self, works: bool) {
         let replica = self.replica();
         for write in self.cluster.due_writes(&replica, self.now) {
             let outcome = if works {
@@ -308,7 +308,7 @@
     }
 
     /// A report with an explicit number; what it is answered.
-    pub fn report_as(
+    pub fn receive_heartbeat_with(
         &mut self,
         machine: &str,
         (epoch, sequence, token): (u64, u64, u64),
@@ -368,7 +368,7 @@
     }
 
     /// The next report of a machine in session 1 that hears all it is told.
-    pub fn heartbeat(
+    pub fn receive_heartbeat(
         &mut self,
         machine: &str,
         tasks: &[(&str, u64, TaskPhase, Option<ExitCause>)],
@@ -377,7 +377,7 @@
         let token = self.cluster.term.0;
         let id = MachineId(machine.into());
         self.heard = self.cluster.machines.get(&id).map(|m| m.token);
-        self.report_as(machine, (1, self.sequence, token), tasks, true);
+        self.receive_heartbeat_with(machine, (1, self.sequence, token), tasks, true);
         self.heard = None;
     }
 
@@ -401,7 +401,7 @@
     /// Machines that have reported and are on the roster.
     pub fn machines(&mut self, names: &[&str]) {
         for name in names {
-            self.heartbeat(name, &[]);
+            self.receive_heartbeat(name, &[]);
         }
         self.round();
     }
@@ -431,20 +431,23 @@
 }
 
 /// A gang of two that runs on the first two of three machines.
-pub fn running_gang() -> Scene {
-    let mut s = Scene::new();
+pub fn running_gang() -> TestLeader {
+    let mut s = TestLeader::new();
     s.machines(&["m-c1n", "m-c2n", "m-c3n"]);
-    s.submit(gang("wk-000001", 2));
+    s.submit(gang_job("wk-000001", 2));
     s.round();
-    s.heartbeat("m-c1n", &[]);
-    s.heartbeat("m-c2n", &[]);
-    s.heartbeat("m-c1n", &[("wk-000001/0", FIRST, RUNNING, None)]);
-    s.heartbeat("m-c2n", &[("wk-000001/1", FIRST, RUNNING, None)]);
+    s.receive_heartbeat("m-c1n", &[]);
+    s.receive_heartbeat("m-c2n", &[]);
+    s.receive_heartbeat("m-c1n", &[("wk-000001/0", FIRST, RUNNING, None)]);
+    s.receive_heartbeat("m-c2n", &[("wk-000001/1", FIRST, RUNNING, None)]);
     s
 }
 
-pub fn accepted(spec: &JobSpec, started: bool) -> Vec<(String, knotlanding::store::Value)> {
-    let submitted = wall().duration_since(SystemTime::UNIX_EPOCH);
+pub fn accepted_job_records(
+    spec: &JobSpec,
+    started: bool,
+) -> Vec<(String, knotlanding::store::Value)> {
+    let submitted = fixed_wall_time().duration_since(SystemTime::UNIX_EPOCH);
     let live = JobDescription {
         spec: spec.clone(),
         submitted_ms: submitted.unwrap().as_millis() as u64,
@@ -534,11 +537,11 @@
 
 /// A machine whose reports arrive, in the words of the report that shows only the first token.
 pub fn deaf_report(
-    s: &mut Scene,
+    s: &mut TestLeader,
     machine: &str,
     tasks: &[(&str, u64, TaskPhase, Option<ExitCause>)],
 ) {
     s.sequence += 1;
     let sequence = s.sequence;
-    s.report_as(machine, (1, sequence, 1), tasks, true);
+    s.receive_heartbeat_with(machine, (1, sequence, 1), tasks, true);
 }
--- a/tests/common/world.rs
+++ b/tests/common/world.rs
@@ -215,7 +215,7 @@
     }
 
     fn wall(&self) -> SystemTime {
-        crate::scene::wall() + Duration::from_secs_f64(self.t)
+        crate::scene::fixed_wall_time() + Duration::from_secs_f64(self.t)
     }
 
     /// The time of day by a node's own clock: they differ by the bound in the settings.
--- a/tests/forwarding.rs
+++ b/tests/forwarding.rs
@@ -9,7 +9,7 @@
 #[path = "common/world.rs"]
 mod world;
 
-use scene::array;
+use scene::array_job;
 use world::{trouble, Fault, Trouble, World};
 
 /// Time for which a phase of a trace is played.
@@ -29,7 +29,7 @@
             .replace("report_s = 0.5", "report_s = 8.0");
         let mut world = World::new(4, &text);
         world.peers_refuse = peers_refuse;
-        let mut work = array("wk-000001", 8);
+        let mut work = array_job("wk-000001", 8);
         work.team = "blue".to_owned();
         work.task_resources.cpus = 14.0;
         work.task_resources.gpus = 0.0;
--- a/tests/interleavings.rs
+++ b/tests/interleavings.rs
@@ -13,7 +13,7 @@
 mod world;
 
 use play::{drawn, settings, Play, SETTLE_TIME_S};
-use scene::array;
+use scene::array_job;
 use world::{trouble, BatchTrouble, Fault, Trouble, World};
 
 /// Plays the troubles without links turned on.
@@ -242,7 +242,7 @@
         for at in 0..240 {
             world.play(2.0 + f64::from(at) * 0.25, &troubles);
             let id = |at: i32| format!("wk-{:06}", at + 1);
-            let mut job = array(&id(at), 1);
+            let mut job = array_job(&id(at), 1);
             job.team = "blue".to_owned();
             job.task_resources.cpus = 2.0;
             job.task_resources.gpus = 0.0;
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -17,7 +17,7 @@
 };
 use knotlanding::store::{Change, TransactionOutcome};
 use knotlanding::wire;
-use scene::{array, gang, Scene};
+use scene::{array_job, gang_job, TestLeader};
 
 const MACHINES: usize = 4_000;
 
@@ -32,10 +32,10 @@
 }
 
 /// Machines that have reported.
-fn reported(count: usize) -> Scene {
-    let mut scene = Scene::new();
+fn reported(count: usize) -> TestLeader {
+    let mut scene = TestLeader::new();
     for name in names(count) {
-        scene.heartbeat(&name, &[]);
+        scene.receive_heartbeat(&name, &[]);
     }
     scene
 }
@@ -59,7 +59,7 @@
         // The service measures values as JSON.
         let json = serde_json::to_string(value).unwrap();
         assert!(json.len() as f64 <= limits.value_kb * 1024.0, "{key}");
-        scene.record(key.clone(), value.clone());
+        scene.put_record(key.clone(), value.clone());
     }
     for (revision, write) in writes.iter().enumerate() {
         let outcome = TransactionOutcome::Committed(1_000 + revision as u64);
@@ -100,14 +100,14 @@
         machine.address = format!("10.{}.{}.7:9000", number / 250, number % 250);
     }
     for number in 0..20_000 {
-        let spec = array(&format!("wk-{:06}", 100_000 + number), 1);
-        for (key, value) in scene::accepted(&spec, false) {
+        let spec = array_job(&format!("wk-{:06}", 100_000 + number), 1);
+        for (key, value) in scene::accepted_job_records(&spec, false) {
             scene.records.push((key, value));
         }
     }
     let replica = scene.replica();
     for id in replica.descriptions.keys() {
-        let wall = scene::wall();
+        let wall = scene::fixed_wall_time();
         scene.cluster.sync_job(id, &replica, scene.now, wall, false);
     }
     let mut contents = scene.cluster.full_summary();
@@ -176,13 +176,13 @@
 
 #[test]
 fn a_take_over_of_4000_machines_asks_each_once_in_a_bounded_number_of_rounds() {
-    let mut scene = Scene::new();
+    let mut scene = TestLeader::new();
     let names = names(MACHINES);
     for (shard, part) in names.chunks(250).enumerate() {
         let machines: Vec<String> = part.to_vec();
         let record = knotlanding::store::keys::InventoryRecord { machines };
         let key = knotlanding::store::keys::inventory(shard);
-        scene.record(key, knotlanding::store::to_value(&record));
+        scene.put_record(key, knotlanding::store::to_value(&record));
     }
     scene.recover(2);
     for machine in scene.cluster.machines.values_mut() {
@@ -198,11 +198,11 @@
             assert!(asked.insert(direct.machine), "asked twice within a moment");
         }
         // The shortest time between two rounds.
-        scene.pass(0.15);
+        scene.advance_clock(0.15);
     }
     // Every machine reports by itself; each is settled by its first report.
     for name in &names {
-        scene.report_as(name, (1, 1, 2), &[], true);
+        scene.receive_heartbeat_with(name, (1, 1, 2), &[], true);
     }
     assert!(scene.cluster.unreconciled.is_empty());
     assert!(scene
@@ -215,12 +215,12 @@
 #[test]
 fn rounds_fill_4000_machines_with_whole_gangs_and_lists_within_the_limits() {
     let mut scene = reported(MACHINES);
-    scene.write(true);
+    scene.write_records(true);
     let limits = scene.settings.params.store.clone();
     // Some room is left: gangs bound to a zone can't use what is over in both.
     let gangs = 120;
     for number in 0..gangs {
-        let mut spec = gang(&format!("wk-{:06}", 100 + number), 16);
+        let mut spec = gang_job(&format!("wk-{:06}", 100 + number), 16);
         spec.single_zone = number % 2 == 0;
         scene.submit(spec);
     }
@@ -249,7 +249,7 @@
                 .cluster
                 .apply_write_outcome(&write.kind, &TransactionOutcome::Committed(5_000));
         }
-        scene.pass(0.2);
+        scene.advance_clock(0.2);
     }
     let busy = scene
         .cluster
@@ -275,6 +275,6 @@
             .remove_terminated_machine(&MachineId(format!("m-z{number:06}").into()));
     }
     const { assert!(REMOVED_MACHINES_MAX > 2 * MACHINES) };
-    scene.heartbeat("m-c000000n", &[]);
+    scene.receive_heartbeat("m-c000000n", &[]);
     assert!(!scene.cluster.machines.contains_key(&first));
 }
--- a/tests/meetings.rs
+++ b/tests/meetings.rs
@@ -22,7 +22,7 @@
 use knotlanding::store::replica::ReplicaChange;
 use knotlanding::store::{to_value, KeyValue, TransactionOutcome};
 use knotlanding::timing::LEADER_LEASE_MIN;
-use scene::{accepted, array, machine_types};
+use scene::{accepted_job_records, array_job, machine_types};
 
 /// The answer of a node that has nobody to forward the report to.
 fn answered_here(reception: HeartbeatOutcome) -> actix_web::HttpResponse {
@@ -50,7 +50,7 @@
         let text = common::settings_of_nobody();
         let shared = Shared::new(Settings::parse(&text, "a test").unwrap());
         let start = Instant::now();
-        let rows = accepted(&array("wk-000001", 1), false).into_iter();
+        let rows = accepted_job_records(&array_job("wk-000001", 1), false).into_iter();
         let rows = rows.enumerate().map(|(at, (key, value))| KeyValue {
             key,
             value,
--- a/tests/silence.rs
+++ b/tests/silence.rs
@@ -11,38 +11,38 @@
 
 #[test]
 fn silence_proves_nothing_until_the_lease_is_over() {
-    let mut s = Scene::new();
+    let mut s = TestLeader::new();
     s.machines(&["m-g1n", "m-g2n"]);
-    s.submit(array("wk-000001", 1));
+    s.submit(array_job("wk-000001", 1));
     s.round();
-    s.heartbeat("m-g1n", &[]);
-    s.heartbeat("m-g2n", &[]);
-    s.heartbeat("m-g1n", &[("wk-000001/0", FIRST, RUNNING, None)]);
-    s.pass(15.0);
-    s.heartbeat("m-g2n", &[]);
+    s.receive_heartbeat("m-g1n", &[]);
+    s.receive_heartbeat("m-g2n", &[]);
+    s.receive_heartbeat("m-g1n", &[("wk-000001/0", FIRST, RUNNING, None)]);
+    s.advance_clock(15.0);
+    s.receive_heartbeat("m-g2n", &[]);
     s.round();
     s.note("silent, but within its lease: not started elsewhere");
-    s.pass(6.5);
-    s.heartbeat("m-g2n", &[]);
+    s.advance_clock(6.5);
+    s.receive_heartbeat("m-g2n", &[]);
     s.round();
     insta::assert_snapshot!(s.log);
 }
 
 #[test]
 fn a_zone_that_falls_silent_as_a_whole_keeps_its_machines_for_a_while() {
-    let mut s = Scene::new();
-    let mut job = array("wk-000001", 6);
+    let mut s = TestLeader::new();
+    let mut job = array_job("wk-000001", 6);
     job.team = "blue".to_owned();
     s.submit(job);
     let names = ["m-g1n", "m-g2n", "m-g3n", "m-g4s", "m-g5s", "m-g6s"];
     let tasks: Vec<String> = (0..6).map(|i| format!("wk-000001/{i}")).collect();
-    let works = |s: &mut Scene, at: usize| {
-        s.heartbeat(names[at], &[(&tasks[at], 1, RUNNING, None)]);
+    let works = |s: &mut TestLeader, at: usize| {
+        s.receive_heartbeat(names[at], &[(&tasks[at], 1, RUNNING, None)]);
     };
     for at in 0..6 {
         works(&mut s, at);
     }
-    s.pass(15.0);
+    s.advance_clock(15.0);
     for at in 0..3 {
         works(&mut s, at);
     }
@@ -55,7 +55,7 @@
     let decisions = s.round();
     s.note("the south comes back: its last one is not given up before it can have reported");
     s.fleet(&decisions);
-    s.pass(2.0);
+    s.advance_clock(2.0);
     for at in 0..5 {
         works(&mut s, at);
     }
@@ -70,23 +70,23 @@
 /// meanwhile, counted from our last answer, still holds.
 #[test]
 fn waking_up_is_no_proof_that_machines_were_silent() {
-    let mut s = Scene::new();
+    let mut s = TestLeader::new();
     s.machines(&["m-g1n", "m-g2n", "m-g3n"]);
-    s.submit(array("wk-000001", 1));
+    s.submit(array_job("wk-000001", 1));
     s.round();
-    s.heartbeat("m-g1n", &[]);
-    s.heartbeat("m-g1n", &[("wk-000001/0", FIRST, RUNNING, None)]);
+    s.receive_heartbeat("m-g1n", &[]);
+    s.receive_heartbeat("m-g1n", &[("wk-000001/0", FIRST, RUNNING, None)]);
     s.note("the leader stands still for 15 s");
-    s.pass(15.0);
+    s.advance_clock(15.0);
     s.cluster
         .resume_after_pause(std::time::Duration::from_secs(15), s.now);
-    s.heartbeat("m-g2n", &[]);
-    s.heartbeat("m-g3n", &[]);
+    s.receive_heartbeat("m-g2n", &[]);
+    s.receive_heartbeat("m-g3n", &[]);
     let decisions = s.round();
     s.fleet(&decisions);
     assert!(s.cluster.jobs.values().all(|job| job.has_placements()));
     s.note("and for longer than a lease");
-    s.pass(22.0);
+    s.advance_clock(22.0);
     s.cluster
         .resume_after_pause(std::time::Duration::from_secs(22), s.now);
     let decisions = s.round();
@@ -104,23 +104,23 @@
 /// as idle and went, 150 in ten seconds, and 400 were rented there that could not be reached.
 #[test]
 fn machines_that_are_cut_off_are_not_returned_as_idle_and_none_are_rented_there() {
-    let mut s = Scene::new();
+    let mut s = TestLeader::new();
     let names = [
         "m-g1n", "m-g2n", "m-g3n", "m-g4n", "m-g5s", "m-g6s", "m-g7s",
     ];
     s.machines(&names);
-    s.pass(300.0);
+    s.advance_clock(300.0);
     for name in names {
-        s.heartbeat(name, &[]);
+        s.receive_heartbeat(name, &[]);
     }
-    let mut job = array("wk-000001", 30);
+    let mut job = array_job("wk-000001", 30);
     job.team = "blue".to_owned();
     job.zone = Some("south".to_owned());
     s.submit(job);
     for step in 0..10 {
-        s.pass(3.0);
+        s.advance_clock(3.0);
         for name in &names[..4] {
-            s.heartbeat(name, &[]);
+            s.receive_heartbeat(name, &[]);
         }
         let decisions = s.round();
         s.log.clear();
