--- a/tests/forwarding.rs
+++ b/tests/forwarding.rs
@@ -16,13 +16,13 @@
 /// Duration of a phase in simulated seconds.
 const PHASE_S: f64 = 25.0;
 
-/// A simulation that is played phase by phase, with the results of all phases.
-struct PhasedSimulation {
-    world: World,
+/// A simulation that runs phase by phase, with the results of all phases.
+struct PhasedRun {
+    simulation: World,
     results: Vec<String>,
 }
 
-impl PhasedSimulation {
+impl PhasedRun {
     /// Three controllers, six machines that send heartbeats every 8 s, and a job of eight tasks, of which a
     /// `cpu16` machine holds one and a `gpu2` machine none. With `peers_refuse`, the controllers reject each
     /// other's connections.
@@ -31,36 +31,40 @@
         let text = text
             .replace("count = 1", "count = 3")
             .replace("report_s = 0.5", "report_s = 8.0");
-        let mut world = World::new(4, &text);
-        world.peers_refuse = peers_refuse;
+        let mut simulation = World::new(4, &text);
+        simulation.peers_refuse = peers_refuse;
         let mut job = array_job("wk-000001", 8);
         job.team = "blue".to_owned();
         job.task_resources.cpus = 14.0;
         job.task_resources.gpus = 0.0;
-        world.want(job, 400.0);
+        simulation.want(job, 400.0);
         let results = Vec::new();
-        Self { world, results }
+        Self {
+            simulation,
+            results,
+        }
     }
 
-    /// Plays a phase that begins with these faults, and adds its result.
-    fn play_phase(&mut self, title: &str, faults: &[Trouble]) {
-        let (relayed_before, ended_before) = (self.world.passed_on, self.world.sessions_ended());
-        let until = self.world.t + PHASE_S;
-        self.world.play(until, faults);
-        let world = &self.world;
-        assert_eq!(world.broken, Vec::<String>::new());
-        let response_path = if world.passed_on > relayed_before {
+    /// Runs a phase that begins with these faults, and adds its result.
+    fn run_phase(&mut self, title: &str, faults: &[Trouble]) {
+        let (relayed_before, ended_before) =
+            (self.simulation.passed_on, self.simulation.sessions_ended());
+        let until = self.simulation.t + PHASE_S;
+        self.simulation.play(until, faults);
+        let simulation = &self.simulation;
+        assert_eq!(simulation.broken, Vec::<String>::new());
+        let response_path = if simulation.passed_on > relayed_before {
             "followers relay some responses"
         } else {
             "the leader sends all responses itself"
         };
-        let ended = world.sessions_ended() - ended_before;
-        let leader = world.leading_node();
+        let ended = simulation.sessions_ended() - ended_before;
+        let leader = simulation.leading_node();
         let leader = leader.map_or("no controller".to_owned(), |n| format!("knot-{n}"));
         self.results.push(title.to_owned());
         self.results
             .push(format!("    {leader} leads, {response_path}"));
-        let machines = world.workers_by_node();
+        let machines = simulation.workers_by_node();
         self.results.push(format!(
             "    machines at knot-0, knot-1, knot-2: {machines:?}; worker leases expired: {ended}"
         ));
@@ -68,34 +72,34 @@
 
     /// A fault that begins early in the next phase and lasts this many seconds.
     fn fault_in_next_phase(&self, fault: Fault, duration_s: f64) -> Vec<Trouble> {
-        vec![trouble(self.world.t + 0.5, duration_s, fault)]
+        vec![trouble(self.simulation.t + 0.5, duration_s, fault)]
     }
 }
 
 #[test]
 fn machines_move_only_when_their_controller_crashes_or_cannot_reach_the_leader() {
-    let mut simulation = PhasedSimulation::new(false);
-    simulation.play_phase("all machines boot", &[]);
-    let faults = simulation.fault_in_next_phase(Fault::CrashLeader(6.0), 0.0);
-    simulation.play_phase("the leader crashes and restarts after 6 s", &faults);
-    let faults = simulation.fault_in_next_phase(Fault::CrashFollower(6.0), 0.0);
-    simulation.play_phase("a follower crashes and restarts after 6 s", &faults);
-    let faults = simulation.fault_in_next_phase(Fault::CutFollower, 12.0);
-    simulation.play_phase("a follower can't reach the leader for 12 s", &faults);
-    simulation.play_phase("no faults", &[]);
-    insta::assert_snapshot!(simulation.results.join("\n"));
+    let mut run = PhasedRun::new(false);
+    run.run_phase("all machines boot", &[]);
+    let faults = run.fault_in_next_phase(Fault::CrashLeader(6.0), 0.0);
+    run.run_phase("the leader crashes and restarts after 6 s", &faults);
+    let faults = run.fault_in_next_phase(Fault::CrashFollower(6.0), 0.0);
+    run.run_phase("a follower crashes and restarts after 6 s", &faults);
+    let faults = run.fault_in_next_phase(Fault::CutFollower, 12.0);
+    run.run_phase("a follower can't reach the leader for 12 s", &faults);
+    run.run_phase("no faults", &[]);
+    insta::assert_snapshot!(run.results.join("\n"));
 }
 
 #[test]
 fn machines_connect_to_the_leader_when_controllers_refuse_each_other() {
-    let mut simulation = PhasedSimulation::new(true);
-    simulation.play_phase(
+    let mut run = PhasedRun::new(true);
+    run.run_phase(
         "all machines boot, and the controllers refuse each other",
         &[],
     );
-    let faults = simulation.fault_in_next_phase(Fault::CrashLeader(6.0), 0.0);
-    simulation.play_phase("the leader crashes and restarts after 6 s", &faults);
-    simulation.world.peers_refuse = false;
-    simulation.play_phase("the controllers reach each other again", &[]);
-    insta::assert_snapshot!(simulation.results.join("\n"));
+    let faults = run.fault_in_next_phase(Fault::CrashLeader(6.0), 0.0);
+    run.run_phase("the leader crashes and restarts after 6 s", &faults);
+    run.simulation.peers_refuse = false;
+    run.run_phase("the controllers reach each other again", &[]);
+    insta::assert_snapshot!(run.results.join("\n"));
 }
