--- a/crates/testbed/src/checker.rs
+++ b/crates/testbed/src/checker.rs
@@ -11,7 +11,7 @@
 
 /// Time limits of the invariants.
 #[derive(Debug, Clone, Copy)]
-pub struct Rules {
+pub struct InvariantLimits {
     /// A worker drops a response that is older, and with it a start by a former leader.
     pub response_timeout: Duration,
     /// Time after a cancellation by which the job's tasks have ended, and after which none starts.
@@ -59,7 +59,7 @@
 }
 
 /// Checks a history up to `end`.
-pub fn check(entries: &[Entry], rules: &Rules, end: Instant) -> Violations {
+pub fn check_history(entries: &[Entry], rules: &InvariantLimits, end: Instant) -> Violations {
     let mut checker = Checker {
         rules: *rules,
         violations: Violations::default(),
@@ -77,7 +77,7 @@
 }
 
 struct Checker {
-    rules: Rules,
+    rules: InvariantLimits,
     violations: Violations,
     placements: BTreeMap<String, BTreeSet<String>>,
     leaderships: BTreeMap<u64, LeadershipInterval>,
--- a/crates/testbed/src/checker/tests.rs
+++ b/crates/testbed/src/checker/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-const RULES: Rules = Rules {
+const RULES: InvariantLimits = InvariantLimits {
     response_timeout: Duration::from_secs(4),
     cancellation_deadline: Duration::from_secs(12),
     unwritable_detection: Duration::from_secs(8),
@@ -61,7 +61,7 @@
             event,
         })
         .collect();
-    check(&entries, &RULES, began + Duration::from_secs(100))
+    check_history(&entries, &RULES, began + Duration::from_secs(100))
 }
 
 #[test]
--- a/crates/testbed/src/cloud.rs
+++ b/crates/testbed/src/cloud.rs
@@ -136,7 +136,7 @@
     }
 
     /// Number of running machines.
-    pub fn count(&self) -> usize {
+    pub fn machine_count(&self) -> usize {
         self.machines.lock().unwrap().len()
     }
 
@@ -204,7 +204,7 @@
     let zone = text(&body, "yard");
     let free = cloud
         .capacity
-        .map(|most| most.saturating_sub(cloud.count()));
+        .map(|most| most.saturating_sub(cloud.machine_count()));
     let wanted = number(&body, "number") as usize;
     let granted = wanted.min(free.unwrap_or(wanted));
     if granted == 0 {
--- a/crates/testbed/src/deployment.rs
+++ b/crates/testbed/src/deployment.rs
@@ -7,7 +7,7 @@
 
 use ciborium::{cbor, Value};
 
-use crate::checker::Rules;
+use crate::checker::InvariantLimits;
 use crate::cloud::{Cloud, WorkerTimes};
 use crate::history::{Event, History};
 use crate::key_value_store::KeyValueStore;
@@ -221,8 +221,8 @@
     }
 
     /// The limits of the invariants for this deployment's history.
-    pub fn rules(&self) -> Rules {
-        Rules {
+    pub fn invariant_limits(&self) -> InvariantLimits {
+        InvariantLimits {
             response_timeout: Duration::from_secs(4),
             cancellation_deadline: self.times.cancel,
             unwritable_detection: UNWRITABLE_DETECTION,
@@ -255,7 +255,7 @@
     }
 
     /// Ends a controller's process.
-    pub fn end_controller(&mut self, number: usize) {
+    pub fn kill_controller(&mut self, number: usize) {
         end(&mut self.controllers[number].process);
     }
 
@@ -291,7 +291,7 @@
 
     fn change(&mut self, fault: &ScheduledFault, begins: bool) {
         match fault {
-            ScheduledFault::Link(fault) if begins => self.link(fault.link).set(fault.mode),
+            ScheduledFault::Link(fault) if begins => self.link(fault.link).set_mode(fault.mode),
             ScheduledFault::Link(fault) => self.link(fault.link).heal(),
             ScheduledFault::WritesRefused { .. } => self.store.set_writes_refused(begins),
             ScheduledFault::StoreOutage { .. } => self.store.set_outage(begins),
@@ -366,7 +366,7 @@
     }
 
     /// The response of a controller's admin API as text, if it answers.
-    pub async fn admin(&self, controller: usize, path: &str) -> Option<String> {
+    pub async fn admin_response(&self, controller: usize, path: &str) -> Option<String> {
         let url = format!("http://{}/admin/{path}", self.controllers[controller].peer);
         let mut answer = self.http.get(url).send().await.ok()?;
         let body = answer.body().limit(usize::MAX).await.ok()?;
@@ -374,7 +374,7 @@
     }
 
     /// Number of controllers.
-    pub fn controllers(&self) -> usize {
+    pub fn controller_count(&self) -> usize {
         self.controllers.len()
     }
 }
--- a/crates/testbed/src/key_value_store.rs
+++ b/crates/testbed/src/key_value_store.rs
@@ -199,7 +199,7 @@
     }
 
     /// Number of requests received.
-    pub fn requests(&self) -> usize {
+    pub fn request_count(&self) -> usize {
         self.inner.lock().unwrap().requests
     }
 
--- a/crates/testbed/src/proxy.rs
+++ b/crates/testbed/src/proxy.rs
@@ -32,7 +32,7 @@
     /// Direction to the client.
     pub responses: Flow,
     /// Whether connections are closed, including new ones.
-    pub refuse: bool,
+    pub refuses_connections: bool,
     /// Additional delay of each chunk.
     pub delay: Duration,
     /// Bandwidth limit in bytes per second.
@@ -44,7 +44,7 @@
     pub const BLACKHOLE: Self = Self {
         requests: Flow::Hold,
         responses: Flow::Hold,
-        refuse: false,
+        refuses_connections: false,
         delay: Duration::ZERO,
         bytes_per_s: None,
     };
@@ -52,7 +52,7 @@
     pub const REFUSED: Self = Self {
         requests: Flow::Pass,
         responses: Flow::Pass,
-        refuse: true,
+        refuses_connections: true,
         delay: Duration::ZERO,
         bytes_per_s: None,
     };
@@ -60,7 +60,7 @@
     pub const RESPONSES_LOST: Self = Self {
         requests: Flow::Pass,
         responses: Flow::Drop,
-        refuse: false,
+        refuses_connections: false,
         delay: Duration::ZERO,
         bytes_per_s: None,
     };
@@ -68,13 +68,13 @@
     pub const REQUESTS_LOST: Self = Self {
         requests: Flow::Drop,
         responses: Flow::Pass,
-        refuse: false,
+        refuses_connections: false,
         delay: Duration::ZERO,
         bytes_per_s: None,
     };
 
     fn healthy(&self) -> bool {
-        self.requests == Flow::Pass && self.responses == Flow::Pass && !self.refuse
+        self.requests == Flow::Pass && self.responses == Flow::Pass && !self.refuses_connections
     }
 
     fn flow(&self, direction: Direction) -> Flow {
@@ -116,13 +116,13 @@
     }
 
     /// Sets the mode of the link.
-    pub fn set(&self, mode: LinkMode) {
+    pub fn set_mode(&self, mode: LinkMode) {
         self.mode.send_replace(mode);
     }
 
     /// Ends all faults of the link.
     pub fn heal(&self) {
-        self.set(LinkMode::default());
+        self.set_mode(LinkMode::default());
     }
 }
 
@@ -136,7 +136,7 @@
         let Ok((client, _)) = listener.accept().await else {
             continue;
         };
-        if mode.borrow().refuse {
+        if mode.borrow().refuses_connections {
             drop(client);
             continue;
         }
@@ -164,7 +164,7 @@
 /// Completes when the link refuses connections.
 async fn refused(mut mode: watch::Receiver<LinkMode>) {
     // An error means that the test has dropped the proxy.
-    let _ = mode.wait_for(|mode| mode.refuse).await;
+    let _ = mode.wait_for(|mode| mode.refuses_connections).await;
 }
 
 async fn forward(
--- a/crates/testbed/src/schedule.rs
+++ b/crates/testbed/src/schedule.rs
@@ -119,7 +119,12 @@
 }
 
 /// Draws faults from a seed, all of which end by `length`.
-pub fn draw(seed: u64, controllers: usize, length: Duration, count: usize) -> Vec<ScheduledFault> {
+pub fn generate_faults(
+    seed: u64,
+    controllers: usize,
+    length: Duration,
+    count: usize,
+) -> Vec<ScheduledFault> {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut faults = Vec::new();
     for _ in 0..count {
--- a/examples/link_delays.rs
+++ b/examples/link_delays.rs
@@ -21,13 +21,16 @@
 const QUIET: Duration = Duration::from_secs(40);
 
 async fn json(deployment: &Deployment, controller: usize, path: &str) -> serde_json::Value {
-    let text = deployment.admin(controller, path).await.unwrap_or_default();
+    let text = deployment
+        .admin_response(controller, path)
+        .await
+        .unwrap_or_default();
     serde_json::from_str(&text).unwrap_or_default()
 }
 
 async fn leader(deployment: &Deployment) -> usize {
     loop {
-        for controller in 0..deployment.controllers() {
+        for controller in 0..deployment.controller_count() {
             if json(deployment, controller, "status").await["leading"] == true {
                 return controller;
             }
@@ -95,7 +98,7 @@
         let workers = (0..2).flat_map(|zone| (0..3).map(move |n| LinkId::Workers(zone, n)));
         workers
             .clone()
-            .for_each(|link| deployment.link(link).set(LinkMode::BLACKHOLE));
+            .for_each(|link| deployment.link(link).set_mode(LinkMode::BLACKHOLE));
         let withdrawn = until(deployment, leads, "status", |status| !healthy(status)).await;
         deployment.heal();
         let back = until(deployment, leads, "status", healthy).await;
@@ -110,7 +113,7 @@
             }
         };
         let link = LinkId::Peer(follower, leads);
-        deployment.link(link).set(LinkMode::RESPONSES_LOST);
+        deployment.link(link).set_mode(LinkMode::RESPONSES_LOST);
         let down = until(deployment, follower, "links", outbound("down")).await;
         deployment.heal();
         let up = until(deployment, follower, "links", outbound("up")).await;
--- a/tests/common/world/links.rs
+++ b/tests/common/world/links.rs
@@ -74,7 +74,7 @@
 
     /// Whether a request is kept from arriving; held, it arrives when the link is whole again.
     pub(super) fn keeps_request(&mut self, cut: &CutLink, late: Option<Mail>) -> bool {
-        if cut.mode.refuse || cut.mode.requests == Flow::Drop {
+        if cut.mode.refuses_connections || cut.mode.requests == Flow::Drop {
             return true;
         }
         if cut.mode.requests == Flow::Hold {
@@ -202,7 +202,7 @@
             Err(RowRejection::Malformed | RowRejection::UnknownMember)
         ));
         let cut = self.link_mode(LinkId::Peer(from, to));
-        if cut.mode.responses != Flow::Pass || cut.mode.refuse {
+        if cut.mode.responses != Flow::Pass || cut.mode.refuses_connections {
             return;
         }
         let answer = Some(taken.ok());
--- a/tests/links.rs
+++ b/tests/links.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 use knotlanding_testbed::proxy::LinkMode;
-use knotlanding_testbed::schedule::{draw, LinkId, ScheduledFault as DrawnFault};
+use knotlanding_testbed::schedule::{generate_faults, LinkId, ScheduledFault as DrawnFault};
 use play::{drawn, Play};
 use world::{trouble, BatchTrouble, Fault, Trouble, World};
 
@@ -266,7 +266,7 @@
 fn the_testbeds_schedules_break_no_rule() {
     for seed in drawn() {
         for links_on in [true, false] {
-            let scheduled = draw(seed, 3, Duration::from_secs(60), 12);
+            let scheduled = generate_faults(seed, 3, Duration::from_secs(60), 12);
             let mut troubles: Vec<Trouble> =
                 scheduled.iter().map(|each| as_fault(each, 20.0)).collect();
             troubles.push(trouble(40.0, 0.0, Fault::CancelNow(3)));
--- a/tests/links_service.rs
+++ b/tests/links_service.rs
@@ -10,11 +10,11 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-use knotlanding_testbed::checker::{check, Violations};
+use knotlanding_testbed::checker::{check_history, Violations};
 use knotlanding_testbed::deployment::{Deployment, DeploymentPlan, DeploymentTimes};
 use knotlanding_testbed::history::Event;
 use knotlanding_testbed::proxy::{Flow, LinkMode};
-use knotlanding_testbed::schedule::{draw, LinkId, ScheduledFault};
+use knotlanding_testbed::schedule::{generate_faults, LinkId, ScheduledFault};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_knotlanding");
 /// Long enough for any machine; nothing here measures time.
@@ -51,7 +51,7 @@
 
 fn violations(deployment: &Deployment) -> Violations {
     let entries = deployment.history.entries();
-    check(&entries, &deployment.rules(), Instant::now())
+    check_history(&entries, &deployment.invariant_limits(), Instant::now())
 }
 
 /// Asks until the condition holds.
@@ -65,7 +65,7 @@
 
 async fn accepted(deployment: &Deployment, id: &str, kind: &str, tasks: u64) {
     until(&format!("{id} accepted"), || async {
-        for controller in 0..deployment.controllers() {
+        for controller in 0..deployment.controller_count() {
             if deployment.submit(controller, id, kind, tasks).await {
                 return true;
             }
@@ -77,7 +77,7 @@
 
 async fn told(deployment: &Deployment, id: &str, status: &str) {
     until(&format!("{id} {status}"), || async {
-        for controller in 0..deployment.controllers() {
+        for controller in 0..deployment.controller_count() {
             if deployment.poll(controller, id).await.as_deref() == Some(status) {
                 return true;
             }
@@ -91,7 +91,7 @@
 async fn leader(deployment: &Deployment) -> usize {
     let began = Instant::now();
     loop {
-        for controller in 0..deployment.controllers() {
+        for controller in 0..deployment.controller_count() {
             let status = status(deployment, controller).await;
             if status["leading"] == true {
                 return controller;
@@ -103,12 +103,12 @@
 }
 
 async fn status(deployment: &Deployment, controller: usize) -> serde_json::Value {
-    let text = deployment.admin(controller, "status").await;
+    let text = deployment.admin_response(controller, "status").await;
     serde_json::from_str(&text.unwrap_or_default()).unwrap_or_default()
 }
 
 async fn links(deployment: &Deployment, controller: usize) -> serde_json::Value {
-    let text = deployment.admin(controller, "links").await;
+    let text = deployment.admin_response(controller, "links").await;
     serde_json::from_str(&text.unwrap_or_default()).unwrap_or_default()
 }
 
@@ -176,13 +176,13 @@
     let shown = links(&deployment, 0).await;
     assert!(shown["matrix"]["knot-1"].is_null(), "{shown}");
     assert!(deployment
-        .admin(1, "links")
+        .admin_response(1, "links")
         .await
         .unwrap()
         .contains("not turned on"));
     // Each of them may end, and the others go on.
     for number in 0..3 {
-        deployment.end_controller(number);
+        deployment.kill_controller(number);
         let id = format!("wk-00001{number}");
         accepted(&deployment, &id, "group", 2).await;
         told(&deployment, &id, "done").await;
@@ -210,7 +210,7 @@
     })
     .await;
     until("the job says why it waits", || async {
-        let job = deployment.admin(leader, "jobs/wk-000001").await;
+        let job = deployment.admin_response(leader, "jobs/wk-000001").await;
         job.unwrap_or_default()
             .contains("this controller can't write")
     })
@@ -232,7 +232,7 @@
     refuse_transactions_amid_work(&deployment).await;
     let before = leader(&deployment).await;
     // What was under way has arrived by then, and after it many more tasks could have run.
-    tokio::time::sleep(deployment.rules().unwritable_detection * 2).await;
+    tokio::time::sleep(deployment.invariant_limits().unwritable_detection * 2).await;
     assert_eq!(
         leader(&deployment).await,
         before,
@@ -253,14 +253,16 @@
     }
     until("many starts", || async { starts(&deployment) > 30 }).await;
     let old = leader(&deployment).await;
-    deployment.link(LinkId::Store(old)).set(LinkMode::BLACKHOLE);
+    deployment
+        .link(LinkId::Store(old))
+        .set_mode(LinkMode::BLACKHOLE);
     for other in (0..3).filter(|other| *other != old) {
         deployment
             .link(LinkId::Peer(old, other))
-            .set(LinkMode::BLACKHOLE);
+            .set_mode(LinkMode::BLACKHOLE);
         deployment
             .link(LinkId::Peer(other, old))
-            .set(LinkMode::BLACKHOLE);
+            .set_mode(LinkMode::BLACKHOLE);
     }
     let others: Vec<usize> = (0..3).filter(|other| *other != old).collect();
     until("the others cancel", || async {
@@ -279,7 +281,7 @@
         told["member"] == format!("knot-{old}") && row.is_null()
     })
     .await;
-    tokio::time::sleep(deployment.rules().cancellation_deadline).await;
+    tokio::time::sleep(deployment.invariant_limits().cancellation_deadline).await;
     deployment.heal();
     until("the other job is cancelled", || async {
         deployment.cancel(old, "wk-000002").await
@@ -314,7 +316,7 @@
     };
     deployment
         .link(LinkId::Peer(follower, leader))
-        .set(answers_held);
+        .set_mode(answers_held);
     until("the follower sees its requests unanswered", || async {
         let links = links(&deployment, follower).await;
         links["matrix"][&follows]["peers"][&leads]["outbound"]["state"] == "down"
@@ -350,7 +352,7 @@
         for controller in 0..3 {
             deployment
                 .link(LinkId::Workers(zone, controller))
-                .set(LinkMode::BLACKHOLE);
+                .set_mode(LinkMode::BLACKHOLE);
         }
     }
     until("nobody is called healthy", || async {
@@ -359,7 +361,9 @@
     })
     .await;
     for follower in (0..3).filter(|other| *other != leader) {
-        let machine = deployment.admin(follower, "machines/m-000001").await;
+        let machine = deployment
+            .admin_response(follower, "machines/m-000001")
+            .await;
         let machine = machine.unwrap_or_default();
         assert!(!machine.contains("healthy"), "{machine}");
     }
@@ -392,7 +396,7 @@
         accepted(&deployment, &id, kind, tasks).await;
         open.push(id);
     }
-    let faults = draw(seed, 3, length, 12);
+    let faults = generate_faults(seed, 3, length, 12);
     let half = faults.partition_point(|fault| fault.starts_at() < length / 2);
     let (first, second) = faults.split_at(half);
     deployment.inject(first).await;
@@ -419,7 +423,7 @@
     for id in &open {
         told_done(&deployment, id).await;
     }
-    tokio::time::sleep(deployment.rules().cancellation_deadline).await;
+    tokio::time::sleep(deployment.invariant_limits().cancellation_deadline).await;
     violations(&deployment)
 }
 
@@ -436,7 +440,7 @@
 
 async fn ask_all(deployment: &Deployment, ids: &[String]) {
     for id in ids {
-        for controller in 0..deployment.controllers() {
+        for controller in 0..deployment.controller_count() {
             deployment.poll(controller, id).await;
         }
     }
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -30,7 +30,7 @@
     assert_eq!(number(&done, "done"), 5);
     node.until("wk-000002", "done").await;
     assert!(
-        bench.cloud.count() >= 3,
+        bench.cloud.machine_count() >= 3,
         "a gang of three needs three machines"
     );
     drop(node);
@@ -202,7 +202,7 @@
     let node = bench.start();
     // It needs more machines than there are: it stays unfinished.
     node.accept(&job("wk-000900", "array", 5000, 16.0)).await;
-    let before = bench.store.requests();
+    let before = bench.store.request_count();
     let asked = 400;
     let (known, unknown): (Vec<_>, Vec<_>) = {
         let known = (0..asked / 2).map(|_| node.poll("wk-000900"));
@@ -215,7 +215,7 @@
     };
     assert!(known.iter().all(|(status, _)| *status == 200));
     assert!(unknown.iter().all(|(status, _)| *status == 404));
-    let cost = bench.store.requests() - before;
+    let cost = bench.store.request_count() - before;
     assert!(cost < asked / 4, "{cost} requests for {asked} questions");
 }
 
