--- a/crates/testbed/src/checker.rs
+++ b/crates/testbed/src/checker.rs
@@ -1,74 +1,75 @@
-//! Checks the invariants of a history: no task on two machines, no start without a valid lease or after
-//! a confirmed cancellation, no job without an answer.
+//! Checks the invariants of a history: no task runs on two machines, no task starts without a valid leader
+//! lease, while the leader cannot write or after a confirmed cancellation, and no job is without a status response.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
 use crate::history::{Entry, Event};
 
-/// Bits of a fencing token below the term.
-const TOKEN_COUNT_BITS: u32 = 20;
+/// Number of bits of a fencing token below the term; they hold a counter within the term.
+const TOKEN_COUNTER_BITS: u32 = 20;
 
 /// Time limits of the invariants.
 #[derive(Debug, Clone, Copy)]
 pub struct InvariantLimits {
-    /// A worker drops a response that is older, and with it a start by a former leader.
+    /// Age above which a worker discards a heartbeat response. Until then a start by a former leader may arrive.
     pub response_timeout: Duration,
-    /// Time after a cancellation by which the job's tasks have ended, and after which none starts.
+    /// Time after a confirmed cancellation by which the job's tasks have ended, and after which none starts.
     pub cancellation_deadline: Duration,
-    /// Time in which a leader detects that it cannot write: two transactions are refused, and commands
-    /// sent earlier have arrived.
+    /// Time after the store begins to refuse writes by which the leader has detected this, from two refused
+    /// transactions, and commands that it sent before have arrived.
     pub unwritable_detection: Duration,
-    /// Time after which a job without an answered status query counts as lost.
-    pub answer_deadline: Duration,
+    /// Time without a status response after which a job counts as lost.
+    pub status_response_deadline: Duration,
 }
 
 /// Violated invariants of a history.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Violations {
-    /// Starts of a task that was on another machine.
+    /// Starts of a task that had not ended on another machine.
     pub duplicate_executions: Vec<String>,
-    /// Starts under a term whose leadership had not begun, or had ended before the response timeout.
+    /// Starts under a term that had not begun, or that had ended more than the response timeout earlier.
     pub starts_without_lease: Vec<String>,
-    /// Starts while writes failed, after the time in which a leader detects that.
+    /// Starts while the store refused writes, after the time in which a leader detects that.
     pub starts_while_unwritable: Vec<String>,
-    /// Tasks on a machine after the deadline of a confirmed cancellation.
+    /// Tasks that started, ended or still ran after the deadline of a confirmed cancellation.
     pub ran_past_cancellation_deadline: Vec<String>,
-    /// Starts after a confirmed cancellation, before its deadline. They are counted and are no violation:
+    /// Starts between a confirmed cancellation and its deadline. They are counted but are no violation, since
     /// the command may have been in flight.
     pub starts_before_cancellation_deadline: Vec<String>,
-    /// Accepted jobs that were unknown, left a final state, or had no answered query in time.
-    pub inconsistent_answers: Vec<String>,
+    /// Accepted jobs that were unknown, left a final status, were cancelled without a confirmed cancellation, or
+    /// had no status response in time.
+    pub inconsistent_statuses: Vec<String>,
 }
 
 impl Violations {
-    /// Whether no invariant is violated.
+    /// Whether no invariant is violated. Starts before a cancellation deadline do not count.
     pub fn is_empty(&self) -> bool {
         self.duplicate_executions.is_empty()
             && self.starts_without_lease.is_empty()
             && self.starts_while_unwritable.is_empty()
             && self.ran_past_cancellation_deadline.is_empty()
-            && self.inconsistent_answers.is_empty()
+            && self.inconsistent_statuses.is_empty()
     }
 }
 
 #[derive(Debug)]
 struct LeadershipInterval {
-    began: Instant,
-    ended: Option<Instant>,
+    began_at: Instant,
+    ended_at: Option<Instant>,
 }
 
-/// Checks a history up to `end`.
-pub fn check_history(entries: &[Entry], rules: &InvariantLimits, end: Instant) -> Violations {
+/// Checks a history up to `end`, at which tasks that have not ended count as running.
+pub fn check_history(entries: &[Entry], limits: &InvariantLimits, end: Instant) -> Violations {
     let mut checker = Checker {
-        rules: *rules,
+        limits: *limits,
         violations: Violations::default(),
         placements: BTreeMap::new(),
         leaderships: BTreeMap::new(),
-        refused_since: None,
-        cancelled: BTreeMap::new(),
-        answered: BTreeMap::new(),
-        last: BTreeMap::new(),
+        writes_refused_since: None,
+        cancelled_at: BTreeMap::new(),
+        last_status_at: BTreeMap::new(),
+        final_statuses: BTreeMap::new(),
     };
     for entry in entries {
         checker.observe(entry);
@@ -77,145 +78,155 @@
 }
 
 struct Checker {
-    rules: InvariantLimits,
+    limits: InvariantLimits,
     violations: Violations,
+    /// For each task the machines on which it has started and not ended.
     placements: BTreeMap<String, BTreeSet<String>>,
+    /// By term.
     leaderships: BTreeMap<u64, LeadershipInterval>,
-    /// Since when transactions are refused.
-    refused_since: Option<Instant>,
-    cancelled: BTreeMap<String, Instant>,
-    /// Time of the last answered status query of a job.
-    answered: BTreeMap<String, Instant>,
-    /// The last final status of a job.
-    last: BTreeMap<String, String>,
+    writes_refused_since: Option<Instant>,
+    /// For each job the time of the first confirmed cancellation.
+    cancelled_at: BTreeMap<String, Instant>,
+    /// For each accepted job the time of the last status response, or of its acceptance.
+    last_status_at: BTreeMap<String, Instant>,
+    /// For each job the last final status: `done` or `cancelled`.
+    final_statuses: BTreeMap<String, String>,
 }
 
-fn job_of(task: &str) -> &str {
+fn job_id(task: &str) -> &str {
     task.split('/').next().unwrap_or(task)
 }
 
 impl Checker {
     fn observe(&mut self, entry: &Entry) {
-        let at = entry.at;
+        let at = entry.recorded_at;
         match &entry.event {
             Event::Started {
                 task,
                 machine,
                 token,
                 ..
-            } => self.started(task, machine, *token, at),
-            Event::Ended { task, machine } => self.ended(task, machine, at),
+            } => self.observe_start(task, machine, *token, at),
+            Event::Ended { task, machine } => self.observe_end(task, machine, at),
             Event::LeadershipGained { term, .. } => {
                 let interval = LeadershipInterval {
-                    began: at,
-                    ended: None,
+                    began_at: at,
+                    ended_at: None,
                 };
                 self.leaderships.insert(*term, interval);
             }
             Event::LeadershipLost { term } => {
                 if let Some(interval) = self.leaderships.get_mut(term) {
-                    interval.ended.get_or_insert(at);
+                    interval.ended_at.get_or_insert(at);
                 }
             }
-            Event::WritesRefused(refused) => self.refused_since = refused.then_some(at),
+            Event::WritesRefused(refused) => self.writes_refused_since = refused.then_some(at),
             Event::Accepted { job } => {
-                self.answered.insert(job.clone(), at);
+                self.last_status_at.insert(job.clone(), at);
             }
             Event::Cancelled { job } => {
-                self.cancelled.entry(job.clone()).or_insert(at);
-                self.answer(job, "cancelled", at);
+                self.cancelled_at.entry(job.clone()).or_insert(at);
+                self.observe_status(job, "cancelled", at);
             }
-            Event::Polled { job, status } => self.answer(job, status, at),
+            Event::Polled { job, status } => self.observe_status(job, status, at),
         }
     }
 
-    fn started(&mut self, task: &str, machine: &str, token: u64, at: Instant) {
+    fn observe_start(&mut self, task: &str, machine: &str, token: u64, at: Instant) {
         let machines = self.placements.entry(task.to_owned()).or_default();
         if let Some(other) = machines.iter().find(|other| *other != machine) {
-            let what = format!("{task} on {machine} while on {other}");
-            self.violations.duplicate_executions.push(what);
+            let description = format!("{task} on {machine} while on {other}");
+            self.violations.duplicate_executions.push(description);
         }
         machines.insert(machine.to_owned());
-        let term = token >> TOKEN_COUNT_BITS;
-        let valid = self.leaderships.get(&term).is_some_and(|interval| {
-            let ended = interval
-                .ended
-                .map(|ended| ended + self.rules.response_timeout);
-            at >= interval.began && ended.is_none_or(|ended| at <= ended)
+        let term = token >> TOKEN_COUNTER_BITS;
+        let lease_valid = self.leaderships.get(&term).is_some_and(|interval| {
+            let valid_until = interval
+                .ended_at
+                .map(|ended_at| ended_at + self.limits.response_timeout);
+            at >= interval.began_at && valid_until.is_none_or(|until| at <= until)
         });
-        if !valid {
-            let what = format!("{task} on {machine} under term {term}");
-            self.violations.starts_without_lease.push(what);
+        if !lease_valid {
+            let description = format!("{task} on {machine} under term {term}");
+            self.violations.starts_without_lease.push(description);
         }
-        let detected = self
-            .refused_since
-            .map(|since| since + self.rules.unwritable_detection);
-        if detected.is_some_and(|detected| at > detected) {
-            let what = format!("{task} on {machine}");
-            self.violations.starts_while_unwritable.push(what);
+        let detected_by = self
+            .writes_refused_since
+            .map(|since| since + self.limits.unwritable_detection);
+        if detected_by.is_some_and(|deadline| at > deadline) {
+            let description = format!("{task} on {machine}");
+            self.violations.starts_while_unwritable.push(description);
         }
-        if let Some(cancelled) = self.cancelled.get(job_of(task)) {
-            let late = at.saturating_duration_since(*cancelled);
-            let what = format!("{task} on {machine}, {late:?} after its cancellation");
-            let list = if late > self.rules.cancellation_deadline {
+        if let Some(cancelled_at) = self.cancelled_at.get(job_id(task)) {
+            let since_cancellation = at.saturating_duration_since(*cancelled_at);
+            let description =
+                format!("{task} on {machine}, {since_cancellation:?} after its cancellation");
+            let violations = if since_cancellation > self.limits.cancellation_deadline {
                 &mut self.violations.ran_past_cancellation_deadline
             } else {
                 &mut self.violations.starts_before_cancellation_deadline
             };
-            list.push(what);
+            violations.push(description);
         }
     }
 
-    fn ended(&mut self, task: &str, machine: &str, at: Instant) {
+    fn observe_end(&mut self, task: &str, machine: &str, at: Instant) {
         if let Some(machines) = self.placements.get_mut(task) {
             machines.remove(machine);
         }
-        self.require_ended(task, machine, at);
+        self.check_cancellation_deadline(task, machine, at);
     }
 
-    fn require_ended(&mut self, task: &str, machine: &str, at: Instant) {
-        let Some(cancelled) = self.cancelled.get(job_of(task)) else {
+    fn check_cancellation_deadline(&mut self, task: &str, machine: &str, at: Instant) {
+        let Some(cancelled_at) = self.cancelled_at.get(job_id(task)) else {
             return;
         };
-        let late = at.saturating_duration_since(*cancelled);
-        if late > self.rules.cancellation_deadline {
-            let what = format!("{task} still on {machine}, {late:?} after its cancellation");
-            self.violations.ran_past_cancellation_deadline.push(what);
+        let since_cancellation = at.saturating_duration_since(*cancelled_at);
+        if since_cancellation > self.limits.cancellation_deadline {
+            let description =
+                format!("{task} still on {machine}, {since_cancellation:?} after its cancellation");
+            self.violations
+                .ran_past_cancellation_deadline
+                .push(description);
         }
     }
 
-    fn answer(&mut self, job: &str, status: &str, at: Instant) {
-        let Some(answered) = self.answered.insert(job.to_owned(), at) else {
-            // Its user has no confirmation that it was accepted.
-            self.answered.remove(job);
+    fn observe_status(&mut self, job: &str, status: &str, at: Instant) {
+        let Some(last_status_at) = self.last_status_at.insert(job.to_owned(), at) else {
+            // No user received a confirmation that this job is accepted, so it may be unknown.
+            self.last_status_at.remove(job);
             return;
         };
-        self.require_answer(job, answered, at);
+        self.check_status_deadline(job, last_status_at, at);
         if status == "404" {
             self.violations
-                .inconsistent_answers
+                .inconsistent_statuses
                 .push(format!("{job} is unknown"));
         }
-        let last = self.last.get(job).map(String::as_str);
-        let reverted = last.is_some_and(|last| last != status);
+        let final_status = self.final_statuses.get(job).map(String::as_str);
+        let reverted = final_status.is_some_and(|earlier| earlier != status);
         if reverted {
-            let what = format!("{job} was {} and is {status}", last.unwrap_or_default());
-            self.violations.inconsistent_answers.push(what);
+            let description = format!(
+                "{job} was {} and is {status}",
+                final_status.unwrap_or_default()
+            );
+            self.violations.inconsistent_statuses.push(description);
         }
-        if status == "cancelled" && !self.cancelled.contains_key(job) {
-            let what = format!("{job} is cancelled without a request");
-            self.violations.inconsistent_answers.push(what);
+        if status == "cancelled" && !self.cancelled_at.contains_key(job) {
+            let description = format!("{job} is cancelled without a confirmed cancellation");
+            self.violations.inconsistent_statuses.push(description);
         }
         if matches!(status, "done" | "cancelled") {
-            self.last.insert(job.to_owned(), status.to_owned());
+            self.final_statuses
+                .insert(job.to_owned(), status.to_owned());
         }
     }
 
-    fn require_answer(&mut self, job: &str, before: Instant, at: Instant) {
-        let waited = at.saturating_duration_since(before);
-        if waited > self.rules.answer_deadline {
-            let what = format!("{job} had no answer for {waited:?}");
-            self.violations.inconsistent_answers.push(what);
+    fn check_status_deadline(&mut self, job: &str, last_status_at: Instant, at: Instant) {
+        let waited = at.saturating_duration_since(last_status_at);
+        if waited > self.limits.status_response_deadline {
+            let description = format!("{job} had no status response for {waited:?}");
+            self.violations.inconsistent_statuses.push(description);
         }
     }
 
@@ -223,13 +234,13 @@
         let placements = std::mem::take(&mut self.placements);
         for (task, machines) in &placements {
             for machine in machines {
-                self.require_ended(task, machine, end);
+                self.check_cancellation_deadline(task, machine, end);
             }
         }
-        let answered = std::mem::take(&mut self.answered);
-        for (job, at) in &answered {
-            if !self.last.contains_key(job) {
-                self.require_answer(job, *at, end);
+        let last_status_times = std::mem::take(&mut self.last_status_at);
+        for (job, last_status_at) in &last_status_times {
+            if !self.final_statuses.contains_key(job) {
+                self.check_status_deadline(job, *last_status_at, end);
             }
         }
         self.violations
--- a/crates/testbed/src/checker/tests.rs
+++ b/crates/testbed/src/checker/tests.rs
@@ -1,16 +1,16 @@
-//! Tests of [`super`]: correct histories have no violations, and each faulty one has the expected kind.
+//! Correct histories have no violations, and each faulty one has a violation of the expected kind.
 
 use super::*;
 
-const RULES: InvariantLimits = InvariantLimits {
+const LIMITS: InvariantLimits = InvariantLimits {
     response_timeout: Duration::from_secs(4),
     cancellation_deadline: Duration::from_secs(12),
     unwritable_detection: Duration::from_secs(8),
-    answer_deadline: Duration::from_secs(75),
+    status_response_deadline: Duration::from_secs(75),
 };
 
 fn token(term: u64) -> u64 {
-    term << TOKEN_COUNT_BITS | 3
+    term << TOKEN_COUNTER_BITS | 3
 }
 
 fn start(task: &str, machine: &str, term: u64) -> Event {
@@ -34,7 +34,7 @@
     Event::LeadershipGained { term, member }
 }
 
-fn answered(status: &str) -> Event {
+fn polled(status: &str) -> Event {
     Event::Polled {
         job: "wk-1".to_owned(),
         status: status.to_owned(),
@@ -51,40 +51,40 @@
     Event::Cancelled { job }
 }
 
-/// Events with their times in seconds, checked up to the hundredth second.
+/// Checks events with their times in seconds; the history ends after 100 seconds.
 fn violations(events: Vec<(u64, Event)>) -> Violations {
-    let began = Instant::now();
+    let began_at = Instant::now();
     let entries: Vec<Entry> = events
         .into_iter()
-        .map(|(s, event)| Entry {
-            at: began + Duration::from_secs(s),
+        .map(|(seconds, event)| Entry {
+            recorded_at: began_at + Duration::from_secs(seconds),
             event,
         })
         .collect();
-    check_history(&entries, &RULES, began + Duration::from_secs(100))
+    check_history(&entries, &LIMITS, began_at + Duration::from_secs(100))
 }
 
 #[test]
-fn a_correct_history_has_no_violations() {
+fn correct_history_has_no_violations() {
     let found = violations(vec![
         (0, leadership_gained(1)),
         (1, accepted()),
         (2, start("wk-1/0", "m-1", 1)),
-        (3, answered("running")),
+        (3, polled("running")),
         (5, end("wk-1/0", "m-1")),
         (6, Event::LeadershipLost { term: 1 }),
         (7, leadership_gained(2)),
         (8, start("wk-1/0", "m-2", 2)),
         (9, end("wk-1/0", "m-2")),
-        (10, answered("done")),
-        (20, answered("done")),
+        (10, polled("done")),
+        (20, polled("done")),
     ]);
     assert_eq!(found, Violations::default());
     assert!(found.is_empty());
 }
 
 #[test]
-fn a_task_on_two_machines_is_a_violation() {
+fn task_running_on_two_machines_is_a_violation() {
     let found = violations(vec![
         (0, leadership_gained(1)),
         (1, start("wk-1/0", "m-1", 1)),
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_start_without_a_valid_lease_is_a_violation() {
+fn start_without_a_valid_lease_is_a_violation() {
     let found = violations(vec![
         (0, leadership_gained(1)),
         (5, Event::LeadershipLost { term: 1 }),
@@ -115,23 +115,23 @@
 }
 
 #[test]
-fn tasks_of_a_cancelled_job_past_its_deadline_are_violations() {
-    let began = [
+fn task_running_or_starting_past_the_cancellation_deadline_is_a_violation() {
+    let common_events = [
         (0, leadership_gained(1)),
         (0, accepted()),
         (1, start("wk-1/0", "m-1", 1)),
     ];
-    let history = |rest: Vec<(u64, Event)>| {
-        let events: Vec<(u64, Event)> = began.iter().cloned().chain(rest).collect();
+    let check_with = |rest: Vec<(u64, Event)>| {
+        let events: Vec<(u64, Event)> = common_events.iter().cloned().chain(rest).collect();
         violations(events)
     };
-    let in_time = history(vec![(5, cancelled()), (17, end("wk-1/0", "m-1"))]);
+    let in_time = check_with(vec![(5, cancelled()), (17, end("wk-1/0", "m-1"))]);
     assert!(in_time.is_empty(), "{in_time:?}");
-    let late = history(vec![(5, cancelled()), (18, end("wk-1/0", "m-1"))]);
+    let late = check_with(vec![(5, cancelled()), (18, end("wk-1/0", "m-1"))]);
     assert_eq!(late.ran_past_cancellation_deadline.len(), 1);
-    let never = history(vec![(5, cancelled())]);
-    assert_eq!(never.ran_past_cancellation_deadline.len(), 1);
-    let again = history(vec![
+    let never_ended = check_with(vec![(5, cancelled())]);
+    assert_eq!(never_ended.ran_past_cancellation_deadline.len(), 1);
+    let restarted = check_with(vec![
         (5, cancelled()),
         (6, end("wk-1/0", "m-1")),
         (7, start("wk-1/0", "m-2", 1)),
@@ -139,39 +139,39 @@
         (18, start("wk-1/0", "m-3", 1)),
         (18, end("wk-1/0", "m-3")),
     ]);
-    assert_eq!(again.starts_before_cancellation_deadline.len(), 1);
-    assert_eq!(again.ran_past_cancellation_deadline.len(), 2, "{again:?}");
+    assert_eq!(restarted.starts_before_cancellation_deadline.len(), 1);
+    assert_eq!(
+        restarted.ran_past_cancellation_deadline.len(),
+        2,
+        "{restarted:?}"
+    );
 }
 
 #[test]
-fn missing_wrong_or_reverted_answers_are_violations() {
-    let wrong = [
-        vec![(0, accepted()), (5, answered("404")), (6, answered("done"))],
-        vec![
-            (0, accepted()),
-            (5, answered("done")),
-            (6, answered("running")),
-        ],
-        vec![(0, accepted()), (5, cancelled()), (6, answered("done"))],
-        vec![(0, accepted()), (5, answered("cancelled"))],
-        vec![(0, accepted()), (80, answered("done"))],
-        vec![(0, accepted()), (5, answered("running"))],
+fn missing_wrong_or_reverted_status_is_a_violation() {
+    let faulty_histories = [
+        vec![(0, accepted()), (5, polled("404")), (6, polled("done"))],
+        vec![(0, accepted()), (5, polled("done")), (6, polled("running"))],
+        vec![(0, accepted()), (5, cancelled()), (6, polled("done"))],
+        vec![(0, accepted()), (5, polled("cancelled"))],
+        vec![(0, accepted()), (80, polled("done"))],
+        vec![(0, accepted()), (5, polled("running"))],
     ];
-    for history in wrong {
+    for history in faulty_histories {
         let found = violations(history.clone());
         assert_eq!(
-            found.inconsistent_answers.len(),
+            found.inconsistent_statuses.len(),
             1,
             "{history:?}: {found:?}"
         );
         assert!(!found.is_empty());
     }
-    let unknown = violations(vec![(5, answered("404"))]);
-    assert!(unknown.is_empty(), "it was never accepted");
+    let unknown = violations(vec![(5, polled("404"))]);
+    assert!(unknown.is_empty(), "the job was never accepted");
 }
 
 #[test]
-fn a_start_while_writes_fail_is_a_violation_after_the_detection_time() {
+fn start_while_writes_are_refused_is_a_violation_after_the_detection_time() {
     let found = violations(vec![
         (0, leadership_gained(1)),
         (10, Event::WritesRefused(true)),
--- a/crates/testbed/src/cloud.rs
+++ b/crates/testbed/src/cloud.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the cloud, whose machines run [`crate::worker`]s.
+//! A stand-in for the cloud API, whose machines run [`crate::worker`]s.
 
 use std::collections::BTreeMap;
 use std::net::TcpListener;
@@ -12,51 +12,54 @@
 use crate::message::{decode, field, number, respond, text};
 use crate::worker::{self, Worker};
 
-/// Machines with a listener for direct commands. Further ones receive commands in heartbeat responses
-/// only.
+/// Number of machines, counted from the first one rented, that listen for direct commands. Further ones receive
+/// commands in heartbeat responses only.
 const LISTENING_MACHINES: usize = 64;
 
-/// Timing of the workers of a cloud.
+/// Timing of the workers that a [`Cloud`] starts.
 #[derive(Debug, Clone, Copy)]
 pub struct WorkerTimes {
-    /// Interval of heartbeats.
-    pub heartbeat: Duration,
-    /// The worker lease: without a heartbeat response for so long a worker kills all its tasks.
-    pub lease: Duration,
-    /// Running time of a task.
-    pub run: Duration,
-    /// Pause before the next controller is tried.
-    pub next_controller: Duration,
+    /// Pause between a heartbeat's response and the next heartbeat.
+    pub heartbeat_interval: Duration,
+    /// Duration of the worker lease: a worker kills all its tasks if its last acknowledged heartbeat was sent
+    /// longer ago.
+    pub lease_duration: Duration,
+    /// Time from the start of a task to its successful end.
+    pub task_duration: Duration,
+    /// Additional pause after a failed heartbeat, before the worker tries the next controller.
+    pub failover_delay: Duration,
 }
 
 impl Default for WorkerTimes {
     fn default() -> Self {
         Self {
-            heartbeat: Duration::from_millis(100),
-            lease: Duration::from_secs(20),
-            run: Duration::from_millis(300),
-            next_controller: Duration::from_millis(100),
+            heartbeat_interval: Duration::from_millis(100),
+            lease_duration: Duration::from_secs(20),
+            task_duration: Duration::from_millis(300),
+            failover_delay: Duration::from_millis(100),
         }
     }
 }
 
-/// The cloud with its machines.
+/// The cloud with its machines. Clones share their machines.
 #[derive(Clone, Default)]
 pub struct Cloud {
     machines: Arc<Mutex<BTreeMap<String, Arc<Worker>>>>,
-    rented: Arc<Mutex<usize>>,
+    /// Number of machines rented so far; names of machines are numbered by it.
+    rented_count: Arc<Mutex<usize>>,
     times: WorkerTimes,
-    /// Maximum number of machines at a time.
+    /// Maximum number of machines at a time; `None` for no limit.
     capacity: Option<usize>,
     history: History,
     /// Addresses of the controllers as seen from each zone, in the order of the controllers' names.
     routes: Arc<Mutex<BTreeMap<String, Vec<String>>>>,
-    addresses: Arc<Mutex<Vec<String>>>,
+    /// Addresses for direct commands, in the order in which machines are rented.
+    command_addresses: Arc<Mutex<Vec<String>>>,
 }
 
 impl Cloud {
-    /// A cloud of limited capacity whose workers record a history.
-    pub fn recording(history: History, times: WorkerTimes, capacity: usize) -> Self {
+    /// Creates a cloud of at most `capacity` machines whose workers record a history.
+    pub fn with_history(history: History, times: WorkerTimes, capacity: usize) -> Self {
         Self {
             history,
             times,
@@ -65,14 +68,14 @@
         }
     }
 
-    /// Starts the server on the running system and returns its address. Workers send heartbeats to
-    /// `nodes`.
-    pub fn start(&self, nodes: Vec<String>) -> String {
-        let routes = ["north", "south"].map(|zone| (zone.to_owned(), nodes.clone()));
+    /// Starts the server on the running actix system and returns its address. Workers of both zones send
+    /// heartbeats to the addresses in `controllers`.
+    pub fn start(&self, controllers: Vec<String>) -> String {
+        let routes = ["north", "south"].map(|zone| (zone.to_owned(), controllers.clone()));
         self.start_with_routes(routes.into_iter().collect())
     }
 
-    /// The same with separate routes to the controllers for each zone.
+    /// Starts the server as [`Self::start`] does, with the controllers' addresses for each zone.
     pub fn start_with_routes(&self, routes: BTreeMap<String, Vec<String>>) -> String {
         *self.routes.lock().unwrap() = routes;
         self.listen_for_commands();
@@ -85,7 +88,7 @@
                 .route("/flavors", web::get().to(list_machine_types))
                 .route("/machines", web::get().to(list_machines))
                 .route("/machines", web::post().to(rent_machines))
-                .route("/machines/return", web::post().to(release))
+                .route("/machines/return", web::post().to(release_machines))
         });
         let server = server.workers(1).disable_signals();
         actix::spawn(server.listen(listener).unwrap().run());
@@ -108,26 +111,26 @@
             addresses.push(listener.local_addr().unwrap().to_string());
             server = server.listen(listener).unwrap();
         }
-        *self.addresses.lock().unwrap() = addresses;
+        *self.command_addresses.lock().unwrap() = addresses;
         actix::spawn(server.run());
     }
 
-    /// Number of starts of a task on one machine while it was on another.
+    /// Number of starts of a task on one machine while it had not ended on another.
     pub fn duplicate_executions(&self) -> usize {
         let mut placements: BTreeMap<String, Vec<String>> = BTreeMap::new();
         let mut duplicates = 0;
         for entry in self.history.entries() {
             match entry.event {
                 Event::Started { task, machine, .. } => {
-                    let on = placements.entry(task).or_default();
-                    duplicates += usize::from(on.iter().any(|other| *other != machine));
-                    on.push(machine);
+                    let machines = placements.entry(task).or_default();
+                    duplicates += usize::from(machines.iter().any(|other| *other != machine));
+                    machines.push(machine);
                 }
                 Event::Ended { task, machine } => {
                     placements
                         .entry(task)
                         .or_default()
-                        .retain(|m| *m != machine);
+                        .retain(|other| *other != machine);
                 }
                 _ => {}
             }
@@ -140,14 +143,20 @@
         self.machines.lock().unwrap().len()
     }
 
-    fn rent(&self, zone: &str) -> String {
+    /// Starts a machine in the zone and returns its name.
+    fn rent_machine(&self, zone: &str) -> String {
         let number = {
-            let mut rented = self.rented.lock().unwrap();
-            *rented += 1;
-            *rented
+            let mut rented_count = self.rented_count.lock().unwrap();
+            *rented_count += 1;
+            *rented_count
         };
         let name = format!("m-{number:06}");
-        let address = self.addresses.lock().unwrap().get(number - 1).cloned();
+        let address = self
+            .command_addresses
+            .lock()
+            .unwrap()
+            .get(number - 1)
+            .cloned();
         let routes = self.routes.lock().unwrap().get(zone).cloned();
         let worker = Worker::new(
             &name,
@@ -160,11 +169,11 @@
         let worker = Arc::new(worker);
         let mut machines = self.machines.lock().unwrap();
         machines.insert(name.clone(), worker.clone());
-        actix::spawn(worker::run(worker));
+        actix::spawn(worker::send_heartbeats(worker));
         name
     }
 
-    /// The machine whose command address received the request.
+    /// Returns the machine whose command address received the request, if it is running.
     fn machine_at(&self, request: &HttpRequest) -> Option<Arc<Worker>> {
         let address = request.app_config().local_addr().to_string();
         let machines = self.machines.lock().unwrap();
@@ -174,29 +183,29 @@
 }
 
 async fn list_machine_types() -> HttpResponse {
-    let build = cbor!({
+    let machine_type = cbor!({
         "name" => "cpu16", "cores" => 16, "cards" => 0, "ramGb" => 64.0, "localGb" => 50,
         "pullGbPerS" => 1.0, "rate" => 0.9, "marketPrice" => 0.3, "bootS" => 1,
         "yards" => ["north", "south"]
     });
-    respond(200, &cbor!({"builds" => [build.unwrap()]}).unwrap())
+    respond(200, &cbor!({"builds" => [machine_type.unwrap()]}).unwrap())
 }
 
 async fn list_machines(cloud: web::Data<Cloud>) -> HttpResponse {
-    let hosts: Vec<Value> = cloud
+    let machines: Vec<Value> = cloud
         .machines
         .lock()
         .unwrap()
         .iter()
-        .map(|(id, worker)| {
+        .map(|(name, worker)| {
             cbor!({
-                "nameId" => id, "address" => worker.address, "build" => "cpu16",
+                "nameId" => name, "address" => worker.address, "build" => "cpu16",
                 "yard" => worker.zone, "loaners" => false, "status" => "running", "heldS" => 1.0
             })
             .unwrap()
         })
         .collect();
-    respond(200, &cbor!({"hosts" => hosts, "more" => false}).unwrap())
+    respond(200, &cbor!({"hosts" => machines, "more" => false}).unwrap())
 }
 
 async fn rent_machines(cloud: web::Data<Cloud>, body: web::Bytes) -> HttpResponse {
@@ -204,23 +213,23 @@
     let zone = text(&body, "yard");
     let free = cloud
         .capacity
-        .map(|most| most.saturating_sub(cloud.machine_count()));
-    let wanted = number(&body, "number") as usize;
-    let granted = wanted.min(free.unwrap_or(wanted));
+        .map(|capacity| capacity.saturating_sub(cloud.machine_count()));
+    let requested = number(&body, "number") as usize;
+    let granted = requested.min(free.unwrap_or(requested));
     if granted == 0 {
         return respond(503, &cbor!({"error" => "no capacity"}).unwrap());
     }
-    let names: Vec<String> = (0..granted).map(|_| cloud.rent(&zone)).collect();
+    let names: Vec<String> = (0..granted).map(|_| cloud.rent_machine(&zone)).collect();
     respond(200, &cbor!({"hosts" => names}).unwrap())
 }
 
-async fn release(cloud: web::Data<Cloud>, body: web::Bytes) -> HttpResponse {
+async fn release_machines(cloud: web::Data<Cloud>, body: web::Bytes) -> HttpResponse {
     let body = decode(&body);
     if let Some(Value::Array(names)) = field(&body, "hosts") {
         for name in names.iter().filter_map(Value::as_text) {
-            let gone = cloud.machines.lock().unwrap().remove(name);
-            if let Some(worker) = gone {
-                worker.end();
+            let removed = cloud.machines.lock().unwrap().remove(name);
+            if let Some(worker) = removed {
+                worker.terminate();
             }
         }
     }
@@ -235,7 +244,7 @@
     let Some(worker) = cloud.machine_at(&request) else {
         return HttpResponse::NotFound().finish();
     };
-    let (executed, heartbeat) = worker.command(&decode(&body));
+    let (executed, heartbeat) = worker.execute_direct_commands(&decode(&body));
     respond(if executed { 200 } else { 409 }, &heartbeat)
 }
 
--- a/crates/testbed/src/deployment.rs
+++ b/crates/testbed/src/deployment.rs
@@ -1,4 +1,4 @@
-//! A deployment of several controller processes, with proxies on every link, stand-ins and users.
+//! A deployment of several controller processes, with a proxy on every link, stand-ins and a client for users.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -15,72 +15,74 @@
 use crate::proxy::Proxy;
 use crate::schedule::{LinkId, ScheduledFault};
 
-/// Timeout of user requests.
-const USER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time in which a leader detects that it cannot write. It writes within two seconds, since completed
-/// tasks are recorded then; a second attempt follows, and a response with a start may be in flight for 4 s.
+/// Timeout of user and admin requests.
+const CLIENT_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time after the store begins to refuse writes by which the leader has detected this. The leader writes within
+/// 2 s, to record completed tasks, and makes a second attempt; a heartbeat response with a start may be in flight
+/// for 4 s.
 const UNWRITABLE_DETECTION: Duration = Duration::from_secs(8);
-/// Polling interval of the fault schedule.
-const SCHEDULE_STEP: Duration = Duration::from_millis(50);
+/// Interval at which [`Deployment::inject`] checks whether the next fault is due.
+const SCHEDULE_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Timing of the controllers and workers of a deployment.
 #[derive(Debug, Clone, Copy)]
 pub struct DeploymentTimes {
-    /// The workers.
+    /// Timing of the workers. The controllers' settings contain its heartbeat interval and lease duration.
     pub workers: WorkerTimes,
-    /// Cancellation deadline.
-    pub cancel: Duration,
+    /// Setting `params.workers.cancel_s`: time in which all tasks of a cancelled job end.
+    pub cancellation_deadline: Duration,
 }
 
 impl Default for DeploymentTimes {
     fn default() -> Self {
         Self {
             workers: WorkerTimes {
-                heartbeat: Duration::from_millis(500),
-                lease: Duration::from_secs(6),
-                run: Duration::from_secs(2),
-                next_controller: Duration::from_millis(300),
+                heartbeat_interval: Duration::from_millis(500),
+                lease_duration: Duration::from_secs(6),
+                task_duration: Duration::from_secs(2),
+                failover_delay: Duration::from_millis(300),
             },
-            cancel: Duration::from_secs(14),
+            cancellation_deadline: Duration::from_secs(14),
         }
     }
 }
 
-/// Description of a deployment to start.
+/// Parameters of [`Deployment::start`].
 pub struct DeploymentPlan<'a> {
-    /// The program.
+    /// Path of the controller program.
     pub program: &'a str,
     /// Folder for the settings files.
     pub folder: &'a Path,
     /// Prefix of the settings files' names.
     pub name: &'a str,
-    /// The features file of each controller, or none; as many as there are controllers.
+    /// Features file of each controller, `None` for one without. The length is the number of controllers.
     pub features: Vec<Option<PathBuf>>,
-    /// Their times.
+    /// Timing of the controllers and workers.
     pub times: DeploymentTimes,
-    /// Machines that the cloud has.
+    /// Maximum number of rented machines at a time.
     pub machines: usize,
 }
 
 struct Controller {
-    file: PathBuf,
-    features: Option<PathBuf>,
-    public: String,
-    peer: String,
+    settings_file: PathBuf,
+    features_file: Option<PathBuf>,
+    public_address: String,
+    peer_address: String,
+    /// `None` after [`Deployment::kill_controller`].
     process: Option<Child>,
 }
 
-/// A running deployment; its processes end with it.
+/// A running deployment. Dropping it kills the controllers.
 pub struct Deployment {
-    /// The key-value store.
+    /// Stand-in for the key-value store that the controllers share.
     pub store: KeyValueStore,
-    /// The cloud.
+    /// Stand-in for the cloud, with zones `north` and `south`.
     pub cloud: Cloud,
-    /// The recorded history.
+    /// Events that the stand-ins and the requests of this deployment record.
     pub history: History,
     program: String,
     controllers: Vec<Controller>,
-    links: BTreeMap<String, Proxy>,
+    proxies: BTreeMap<String, Proxy>,
     times: DeploymentTimes,
     http: awc::Client,
 }
@@ -88,47 +90,50 @@
 impl Drop for Deployment {
     fn drop(&mut self) {
         for controller in &mut self.controllers {
-            end(&mut controller.process);
+            kill(&mut controller.process);
         }
     }
 }
 
-fn end(process: &mut Option<Child>) {
+fn kill(process: &mut Option<Child>) {
     if let Some(mut child) = process.take() {
         let _ = child.kill();
         let _ = child.wait();
     }
 }
 
-fn key(link: LinkId) -> String {
+fn proxy_key(link: LinkId) -> String {
     format!("{link:?}")
 }
 
 impl Deployment {
-    /// Starts stand-ins, proxies and controllers on the running system.
+    /// Starts stand-ins, proxies and controllers on the running actix system.
     pub fn start(plan: DeploymentPlan) -> Self {
         let history = History::default();
-        let store = KeyValueStore::recording(history.clone());
-        let cloud = Cloud::recording(history.clone(), plan.times.workers, plan.machines);
+        let store = KeyValueStore::with_history(history.clone());
+        let cloud = Cloud::with_history(history.clone(), plan.times.workers, plan.machines);
         let count = plan.features.len();
-        let public: Vec<String> = (0..count).map(|_| free_address()).collect();
-        let peer: Vec<String> = (0..count).map(|_| free_address()).collect();
-        let state_address = store.start();
-        let mut links = BTreeMap::new();
+        let public_addresses: Vec<String> = (0..count).map(|_| free_address()).collect();
+        let peer_addresses: Vec<String> = (0..count).map(|_| free_address()).collect();
+        let store_address = store.start();
+        let mut proxies = BTreeMap::new();
         let mut routes: BTreeMap<String, Vec<String>> = BTreeMap::new();
-        for (zone, name) in ["north", "south"].into_iter().enumerate() {
-            for (controller, target) in public.iter().enumerate() {
+        for (zone, zone_name) in ["north", "south"].into_iter().enumerate() {
+            for (controller, target) in public_addresses.iter().enumerate() {
                 let proxy = Proxy::start(target);
-                let to_zone = routes.entry(name.to_owned()).or_default();
-                to_zone.push(proxy.address.clone());
-                links.insert(key(LinkId::Workers(zone, controller)), proxy);
+                let zone_routes = routes.entry(zone_name.to_owned()).or_default();
+                zone_routes.push(proxy.address.clone());
+                proxies.insert(proxy_key(LinkId::Workers(zone, controller)), proxy);
             }
         }
         let cloud_address = cloud.start_with_routes(routes);
         for from in 0..count {
-            links.insert(key(LinkId::Store(from)), Proxy::start(&state_address));
+            proxies.insert(proxy_key(LinkId::Store(from)), Proxy::start(&store_address));
             for to in (0..count).filter(|to| *to != from) {
-                links.insert(key(LinkId::Peer(from, to)), Proxy::start(&peer[to]));
+                proxies.insert(
+                    proxy_key(LinkId::Peer(from, to)),
+                    Proxy::start(&peer_addresses[to]),
+                );
             }
         }
         let mut deployment = Self {
@@ -137,19 +142,24 @@
             history,
             program: plan.program.to_owned(),
             controllers: Vec::new(),
-            links,
+            proxies,
             times: plan.times,
-            http: awc::Client::builder().timeout(USER_TIMEOUT).finish(),
+            http: awc::Client::builder().timeout(CLIENT_TIMEOUT).finish(),
         };
-        for (number, features) in plan.features.into_iter().enumerate() {
-            let text = deployment.settings(number, &public, &peer, &cloud_address);
-            let file = plan.folder.join(format!("{}-{number}.toml", plan.name));
-            std::fs::write(&file, text).unwrap();
+        for (number, features_file) in plan.features.into_iter().enumerate() {
+            let settings = deployment.settings_text(
+                number,
+                &public_addresses,
+                &peer_addresses,
+                &cloud_address,
+            );
+            let settings_file = plan.folder.join(format!("{}-{number}.toml", plan.name));
+            std::fs::write(&settings_file, settings).unwrap();
             deployment.controllers.push(Controller {
-                file,
-                features,
-                public: public[number].clone(),
-                peer: peer[number].clone(),
+                settings_file,
+                features_file,
+                public_address: public_addresses[number].clone(),
+                peer_address: peer_addresses[number].clone(),
                 process: None,
             });
             deployment.start_controller(number);
@@ -157,12 +167,18 @@
         deployment
     }
 
-    fn settings(&self, number: usize, public: &[String], peer: &[String], cloud: &str) -> String {
-        let state = &self.links[&key(LinkId::Store(number))].address;
-        let known: String = (0..public.len())
+    fn settings_text(
+        &self,
+        number: usize,
+        public_addresses: &[String],
+        peer_addresses: &[String],
+        cloud_address: &str,
+    ) -> String {
+        let store_address = &self.proxies[&proxy_key(LinkId::Store(number))].address;
+        let peers: String = (0..public_addresses.len())
             .filter(|other| *other != number)
             .map(|other| {
-                let address = &self.links[&key(LinkId::Peer(number, other))].address;
+                let address = &self.proxies[&proxy_key(LinkId::Peer(number, other))].address;
                 format!("[[known]]\nmember = \"knot-{other}\"\npeer_addr = \"{address}\"\n\n")
             })
             .collect();
@@ -174,10 +190,10 @@
 public_addr = "{public_addr}"
 peer_bind = "{peer_bind}"
 
-{known}
+{peers}
 [external]
-cloud = "{cloud}"
-state = "{state}"
+cloud = "{cloud_address}"
+state = "{store_address}"
 
 [params]
 count = {count}
@@ -211,36 +227,41 @@
 mem_mb = 136.0
 max_sockets = 1000
 "#,
-            public_addr = public[number],
-            peer_bind = peer[number],
-            count = public.len(),
-            report = workers.heartbeat.as_secs_f64(),
-            lease = workers.lease.as_secs_f64(),
-            cancel = self.times.cancel.as_secs_f64(),
+            public_addr = public_addresses[number],
+            peer_bind = peer_addresses[number],
+            count = public_addresses.len(),
+            report = workers.heartbeat_interval.as_secs_f64(),
+            lease = workers.lease_duration.as_secs_f64(),
+            cancel = self.times.cancellation_deadline.as_secs_f64(),
         )
     }
 
-    /// The limits of the invariants for this deployment's history.
+    /// Returns the limits with which the checker checks this deployment's history.
     pub fn invariant_limits(&self) -> InvariantLimits {
         InvariantLimits {
             response_timeout: Duration::from_secs(4),
-            cancellation_deadline: self.times.cancel,
+            cancellation_deadline: self.times.cancellation_deadline,
             unwritable_detection: UNWRITABLE_DETECTION,
-            answer_deadline: Duration::from_secs(75),
+            status_response_deadline: Duration::from_secs(75),
         }
     }
 
-    /// Starts a controller's process, after ending a running one.
+    /// Starts a controller's process, after killing it if it runs. The log is appended to a file in the folder
+    /// that the environment variable `TESTBED_LOGS` names, or discarded without it.
     pub fn start_controller(&mut self, number: usize) {
         let controller = &mut self.controllers[number];
-        end(&mut controller.process);
+        kill(&mut controller.process);
         let mut command = Command::new(&self.program);
-        if let Some(features) = &controller.features {
-            command.arg("--features").arg(features);
+        if let Some(features_file) = &controller.features_file {
+            command.arg("--features").arg(features_file);
         }
         let log = match std::env::var("TESTBED_LOGS") {
             Ok(folder) => {
-                let name = controller.file.file_stem().unwrap().to_string_lossy();
+                let name = controller
+                    .settings_file
+                    .file_stem()
+                    .unwrap()
+                    .to_string_lossy();
                 let path = Path::new(&folder).join(format!("{name}.log"));
                 let file = std::fs::File::options()
                     .create(true)
@@ -250,30 +271,33 @@
             }
             Err(_) => Stdio::null(),
         };
-        let child = command.arg("--config").arg(&controller.file).stderr(log);
+        let child = command
+            .arg("--config")
+            .arg(&controller.settings_file)
+            .stderr(log);
         controller.process = Some(child.spawn().unwrap());
     }
 
-    /// Ends a controller's process.
+    /// Kills a controller's process without a graceful shutdown, if it runs.
     pub fn kill_controller(&mut self, number: usize) {
-        end(&mut self.controllers[number].process);
+        kill(&mut self.controllers[number].process);
     }
 
-    /// The proxy of a link.
+    /// Returns the proxy through which a link goes.
     pub fn link(&self, link: LinkId) -> &Proxy {
-        &self.links[&key(link)]
+        &self.proxies[&proxy_key(link)]
     }
 
-    /// Ends all link faults and outages.
+    /// Ends all link faults, store outages and refusals of writes. Does not start killed controllers.
     pub fn heal(&self) {
-        self.links.values().for_each(Proxy::heal);
+        self.proxies.values().for_each(Proxy::heal);
         self.store.set_outage(false);
         self.store.set_writes_refused(false);
     }
 
-    /// Injects the scheduled faults until the last one ends, then heals everything.
+    /// Injects the scheduled faults, returns after the end of the last one and then ends all faults.
     pub async fn inject(&mut self, faults: &[ScheduledFault]) {
-        let began = Instant::now();
+        let started_at = Instant::now();
         let mut changes: Vec<(Duration, ScheduledFault, bool)> = Vec::new();
         for fault in faults {
             changes.push((fault.starts_at(), *fault, true));
@@ -281,15 +305,15 @@
         }
         changes.sort_by_key(|(at, _, begins)| (*at, *begins));
         for (at, fault, begins) in changes {
-            while began.elapsed() < at {
-                tokio::time::sleep(SCHEDULE_STEP).await;
+            while started_at.elapsed() < at {
+                tokio::time::sleep(SCHEDULE_POLL_INTERVAL).await;
             }
-            self.change(&fault, begins);
+            self.apply_fault(&fault, begins);
         }
         self.heal();
     }
 
-    fn change(&mut self, fault: &ScheduledFault, begins: bool) {
+    fn apply_fault(&mut self, fault: &ScheduledFault, begins: bool) {
         match fault {
             ScheduledFault::Link(fault) if begins => self.link(fault.link).set_mode(fault.mode),
             ScheduledFault::Link(fault) => self.link(fault.link).heal(),
@@ -302,8 +326,8 @@
         }
     }
 
-    /// A job of so many tasks of two processors.
-    pub fn job(id: &str, shape: &str, tasks: u64) -> Value {
+    /// Returns the submission of a batch job. Each task needs 4 cores; `shape` is `array` or `group`.
+    pub fn job_submission(id: &str, shape: &str, tasks: u64) -> Value {
         cbor!({
             "nameId" => id, "lane" => "batch", "owner" => "blue", "shape" => shape,
             "rank" => "standard", "strands" => tasks, "cores" => 4.0, "cards" => 0.0,
@@ -314,12 +338,16 @@
         .unwrap()
     }
 
-    /// Submits a job once, at this controller, and returns whether it was accepted.
+    /// Submits a job to a controller, without retries. Returns whether the response confirms it, and records it
+    /// if so.
     pub async fn submit(&self, controller: usize, id: &str, shape: &str, tasks: u64) -> bool {
-        let url = format!("http://{}/api/jobs", self.controllers[controller].public);
-        let body = encode(&Self::job(id, shape, tasks));
-        let sent = self.http.post(url).send_body(body).await;
-        let accepted = sent.is_ok_and(|answer| matches!(answer.status().as_u16(), 200 | 201));
+        let url = format!(
+            "http://{}/api/jobs",
+            self.controllers[controller].public_address
+        );
+        let body = encode(&Self::job_submission(id, shape, tasks));
+        let result = self.http.post(url).send_body(body).await;
+        let accepted = result.is_ok_and(|response| matches!(response.status().as_u16(), 200 | 201));
         if accepted {
             let job = id.to_owned();
             self.history.record(Event::Accepted { job });
@@ -327,13 +355,14 @@
         accepted
     }
 
-    /// Queries a job's status once, at this controller.
+    /// Queries a job's status at a controller, without retries, and records it: `404` for an unknown job. Returns
+    /// `None` without a response of status 200 or 404.
     pub async fn poll(&self, controller: usize, id: &str) -> Option<String> {
-        let public = &self.controllers[controller].public;
-        let url = format!("http://{public}/api/jobs/{id}");
-        let mut answer = self.http.get(url).send().await.ok()?;
-        let status = match answer.status().as_u16() {
-            200 => text(&decode(&answer.body().await.ok()?), "status"),
+        let address = &self.controllers[controller].public_address;
+        let url = format!("http://{address}/api/jobs/{id}");
+        let mut response = self.http.get(url).send().await.ok()?;
+        let status = match response.status().as_u16() {
+            200 => text(&decode(&response.body().await.ok()?), "status"),
             404 => "404".to_owned(),
             _ => return None,
         };
@@ -344,17 +373,18 @@
         Some(status)
     }
 
-    /// Cancels a job once, at this controller, and returns whether it is cancelled.
+    /// Cancels a job at a controller, without retries. Returns whether the response confirms it, and records it
+    /// if so.
     pub async fn cancel(&self, controller: usize, id: &str) -> bool {
-        let public = &self.controllers[controller].public;
-        let url = format!("http://{public}/api/jobs/{id}/abort");
-        let Ok(mut answer) = self.http.post(url).send().await else {
+        let address = &self.controllers[controller].public_address;
+        let url = format!("http://{address}/api/jobs/{id}/abort");
+        let Ok(mut response) = self.http.post(url).send().await else {
             return false;
         };
-        if answer.status().as_u16() != 200 {
+        if response.status().as_u16() != 200 {
             return false;
         }
-        let Ok(body) = answer.body().await else {
+        let Ok(body) = response.body().await else {
             return false;
         };
         let cancelled = text(&decode(&body), "status") == "cancelled";
@@ -365,15 +395,19 @@
         cancelled
     }
 
-    /// The response of a controller's admin API as text, if it answers.
+    /// Returns the body of a controller's response to a GET request below `/admin/`, whatever its status; `None`
+    /// without a response.
     pub async fn admin_response(&self, controller: usize, path: &str) -> Option<String> {
-        let url = format!("http://{}/admin/{path}", self.controllers[controller].peer);
-        let mut answer = self.http.get(url).send().await.ok()?;
-        let body = answer.body().limit(usize::MAX).await.ok()?;
+        let url = format!(
+            "http://{}/admin/{path}",
+            self.controllers[controller].peer_address
+        );
+        let mut response = self.http.get(url).send().await.ok()?;
+        let body = response.body().limit(usize::MAX).await.ok()?;
         String::from_utf8(body.to_vec()).ok()
     }
 
-    /// Number of controllers.
+    /// Number of controllers, whether they run or not.
     pub fn controller_count(&self) -> usize {
         self.controllers.len()
     }
--- a/crates/testbed/src/history.rs
+++ b/crates/testbed/src/history.rs
@@ -1,4 +1,4 @@
-//! The history of a run: what workers, the key-value store and users observed, in one order.
+//! The history of a run: what workers, the key-value store and users observed, in order of time.
 
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
@@ -8,49 +8,49 @@
 pub enum Event {
     /// A worker accepted a start command.
     Started {
-        /// The task.
+        /// Task ID: the job's ID, a slash and the index of the task.
         task: String,
-        /// The attempt.
+        /// Attempt number in the command.
         attempt: u64,
-        /// The machine.
+        /// Name of the worker's machine.
         machine: String,
         /// The fencing token of the command.
         token: u64,
     },
     /// A task ended on a machine, for whatever reason.
     Ended {
-        /// The task.
+        /// Task ID as in [`Event::Started`].
         task: String,
-        /// The machine.
+        /// Name of the worker's machine.
         machine: String,
     },
     /// The store committed a leader's record.
     LeadershipGained {
-        /// The term.
+        /// Term in the record.
         term: u64,
-        /// The controller.
+        /// Name of the controller in the record.
         member: String,
     },
-    /// The leader's record was removed, with its lease or by deletion.
+    /// The leader's record was deleted, by a transaction or with its lease.
     LeadershipLost {
-        /// The term.
+        /// Term in the deleted record.
         term: u64,
     },
-    /// From now on the store refuses all transactions, or accepts them again.
+    /// From now on the store refuses (`true`) or accepts (`false`) transactions that contain changes.
     WritesRefused(bool),
     /// A user received the confirmation that a job is accepted.
     Accepted {
-        /// The job.
+        /// ID of the job.
         job: String,
     },
     /// A user received the confirmation that a job is cancelled.
     Cancelled {
-        /// The job.
+        /// ID of the job.
         job: String,
     },
-    /// A status query for a job was answered.
+    /// A user received the response to a status query.
     Polled {
-        /// The job.
+        /// ID of the job.
         job: String,
         /// `pending`, `running`, `done` or `cancelled`; `404` if the job is unknown.
         status: String,
@@ -60,25 +60,25 @@
 /// An event with its time.
 #[derive(Debug, Clone)]
 pub struct Entry {
-    /// Time of the event.
-    pub at: Instant,
-    /// The event.
+    /// Time at which the observer recorded the event.
+    pub recorded_at: Instant,
+    /// The observed event.
     pub event: Event,
 }
 
-/// A history shared by all stand-ins that write to it.
+/// A history shared by all stand-ins that write to it. Clones append to the same history.
 #[derive(Debug, Clone, Default)]
 pub struct History(Arc<Mutex<Vec<Entry>>>);
 
 impl History {
-    /// Appends an event with the current time.
+    /// Appends an event with the current time, which is taken under the lock: entries are in order of time.
     pub fn record(&self, event: Event) {
         let mut entries = self.0.lock().unwrap();
-        let at = Instant::now();
-        entries.push(Entry { at, event });
+        let recorded_at = Instant::now();
+        entries.push(Entry { recorded_at, event });
     }
 
-    /// All events so far.
+    /// Returns a copy of all entries so far.
     pub fn entries(&self) -> Vec<Entry> {
         self.0.lock().unwrap().clone()
     }
--- a/crates/testbed/src/key_value_store.rs
+++ b/crates/testbed/src/key_value_store.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the key-value store.
+//! A stand-in for the key-value store: keys with versions, leases, transactions and watches over HTTP.
 
 use std::collections::BTreeMap;
 use std::net::TcpListener;
@@ -12,28 +12,27 @@
 use crate::history::{Event, History};
 use crate::message::{decode, field, number, respond, text};
 
-/// Key of the leader's record, whose lease is part of the history.
+/// Key of the leader's record; the store adds its writes and deletions to the history.
 const LEADER_KEY: &str = "kl/leader";
 
-/// A value with its version and lease.
 struct StoredValue {
     value: Value,
+    /// Revision of the last write.
     version: u64,
-    /// The lease to which the key is attached; 0 without one.
+    /// The lease to which the key is attached; 0 if there is none.
     lease: u64,
 }
 
-/// A change of a key, as watches deliver it.
+/// A change of a key, with the event that watches deliver for it.
 struct ChangeEvent {
     revision: u64,
     key: String,
     event: Value,
 }
 
-/// A lease with its last renewal.
 struct Lease {
     ttl: Duration,
-    renewed: Instant,
+    renewed_at: Instant,
 }
 
 #[derive(Default)]
@@ -43,8 +42,8 @@
     changes: Vec<ChangeEvent>,
     leases: BTreeMap<u64, Lease>,
     next_lease: u64,
-    requests: usize,
-    /// Changes up to this revision are compacted.
+    request_count: usize,
+    /// Watches from a revision below this one get a 410, since their changes are discarded.
     compacted_up_to: u64,
     outage: bool,
     writes_refused: bool,
@@ -52,21 +51,21 @@
 }
 
 impl Inner {
-    /// Releases expired leases. Returns whether there were any.
-    fn expire(&mut self) -> bool {
+    /// Removes expired leases with their keys. Returns whether there were any.
+    fn remove_expired_leases(&mut self) -> bool {
         let now = Instant::now();
         let expired: Vec<u64> = self
             .leases
             .iter()
-            .filter(|(_, lease)| now.duration_since(lease.renewed) > lease.ttl)
+            .filter(|(_, lease)| now.duration_since(lease.renewed_at) > lease.ttl)
             .map(|(id, _)| *id)
             .collect();
-        expired.iter().for_each(|id| self.release(*id));
+        expired.iter().for_each(|id| self.remove_lease(*id));
         !expired.is_empty()
     }
 
-    /// Releases a lease and deletes its keys in one revision.
-    fn release(&mut self, lease: u64) {
+    /// Removes a lease and deletes the keys attached to it, in one revision.
+    fn remove_lease(&mut self, lease: u64) {
         self.leases.remove(&lease);
         let keys: Vec<String> = self
             .keys
@@ -82,7 +81,7 @@
         }
     }
 
-    /// Writes a key at the present revision.
+    /// Writes a key at the current revision, which the caller has advanced.
     fn put(&mut self, key: String, value: Value, lease: u64) {
         let revision = self.revision;
         let event = cbor!({"set" => key, "v" => value, "stamp" => revision}).unwrap();
@@ -99,7 +98,7 @@
         self.keys.insert(key, stored);
     }
 
-    /// Deletes a key at the present revision.
+    /// Deletes a key, if it exists, at the current revision, which the caller has advanced.
     fn delete(&mut self, key: &str) {
         let Some(stored) = self.keys.remove(key) else {
             return;
@@ -117,7 +116,7 @@
     }
 }
 
-/// The key-value store.
+/// The key-value store. Clones share its state.
 #[derive(Clone, Default)]
 pub struct KeyValueStore {
     inner: Arc<Mutex<Inner>>,
@@ -125,14 +124,14 @@
 }
 
 impl KeyValueStore {
-    /// A store that records its leaders in a history.
-    pub fn recording(history: History) -> Self {
+    /// Creates a store that records leadership changes and refused writes in a history.
+    pub fn with_history(history: History) -> Self {
         let store = Self::default();
         store.inner.lock().unwrap().history = history;
         store
     }
 
-    /// Starts or stops to refuse transactions with changes. Reads and leases are served all the while.
+    /// Sets whether transactions that contain changes get a 503. Reads and lease requests are served meanwhile.
     pub fn set_writes_refused(&self, refused: bool) {
         let mut inner = self.inner.lock().unwrap();
         if inner.writes_refused != refused {
@@ -141,7 +140,7 @@
         }
     }
 
-    /// Starts the server on the running system and returns its address.
+    /// Starts the server on the running actix system and returns its address.
     pub fn start(&self) -> String {
         let store = web::Data::new(self.clone());
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -154,7 +153,7 @@
                 .route("/multi", web::post().to(transact))
                 .route("/leases", web::post().to(grant_lease))
                 .route("/leases/{id}/renew", web::post().to(renew_lease))
-                .route("/leases/{id}", web::delete().to(release_lease))
+                .route("/leases/{id}", web::delete().to(revoke_lease))
                 .route("/follow", web::get().to(watch))
         });
         let server = server.workers(1).disable_signals();
@@ -162,7 +161,8 @@
         address
     }
 
-    /// Starts or ends an outage.
+    /// Starts or ends an outage. During an outage requests get a 503, watches wait for its end, and no lease
+    /// expires. Each call renews all leases, so none has expired when an outage ends.
     pub fn set_outage(&self, outage: bool) {
         let mut inner = self.inner.lock().unwrap();
         inner.outage = outage;
@@ -170,15 +170,16 @@
         inner
             .leases
             .values_mut()
-            .for_each(|lease| lease.renewed = now);
+            .for_each(|lease| lease.renewed_at = now);
     }
 
-    /// Writes a key on behalf of another controller.
+    /// Writes a key without a lease, as another controller would.
     pub fn put(&self, key: &str, value: Value) {
         self.put_all(std::iter::once((key.to_owned(), value)));
     }
 
-    /// Writes many keys as transactions that one watch response contains.
+    /// Writes each key at a revision of its own. The store stays locked until the last one is written, so one
+    /// watch response contains them all.
     pub fn put_all(&self, keys: impl Iterator<Item = (String, Value)>) {
         let mut inner = self.inner.lock().unwrap();
         for (key, value) in keys {
@@ -189,7 +190,8 @@
         self.changed.notify_waiters();
     }
 
-    /// Writes a key and compacts the history up to it, so that open watches are too old.
+    /// Writes a key and discards all changes, so that open watches get a 410. The revision advances by two, so
+    /// that a watch from the revision before the call gets one as well.
     pub fn put_and_compact(&self, key: &str, value: Value) {
         let mut inner = self.inner.lock().unwrap();
         inner.revision += 2;
@@ -198,25 +200,25 @@
         inner.compacted_up_to = inner.revision - 1;
     }
 
-    /// Number of requests received.
+    /// Number of requests received, including those refused in an outage.
     pub fn request_count(&self) -> usize {
-        self.inner.lock().unwrap().requests
+        self.inner.lock().unwrap().request_count
     }
 
-    /// A key's value.
+    /// The value of a key; `None` if the key does not exist.
     pub fn get(&self, key: &str) -> Option<Value> {
         let inner = self.inner.lock().unwrap();
         inner.keys.get(key).map(|stored| stored.value.clone())
     }
 
-    /// Counts a request and refuses it during an outage.
+    /// Counts a request and removes expired leases. During an outage it returns a 503 instead of the locked state.
     fn admit(&self) -> Result<std::sync::MutexGuard<'_, Inner>, Box<HttpResponse>> {
         let mut inner = self.inner.lock().unwrap();
-        inner.requests += 1;
+        inner.request_count += 1;
         if inner.outage {
             return Err(Box::new(HttpResponse::ServiceUnavailable().finish()));
         }
-        if inner.expire() {
+        if inner.remove_expired_leases() {
             self.changed.notify_waiters();
         }
         Ok(inner)
@@ -225,22 +227,22 @@
 
 type Query = web::Query<BTreeMap<String, String>>;
 
-/// Rows of a page, few so that clients have to read further pages.
-const PAGE_ROWS: usize = 7;
+/// Rows per page, few enough that clients have to read further pages.
+const ROWS_PER_PAGE: usize = 7;
 
-/// A row as reads deliver it.
-fn row(key: &str, stored: &StoredValue) -> Value {
+/// Encodes a key with its value and version as reads deliver them.
+fn row_message(key: &str, stored: &StoredValue) -> Value {
     cbor!({"path" => key, "v" => stored.value, "stamp" => stored.version}).unwrap()
 }
 
 async fn get_row(store: web::Data<KeyValueStore>, key: web::Path<String>) -> HttpResponse {
     let inner = match store.admit() {
         Ok(inner) => inner,
-        Err(refused) => return *refused,
+        Err(response) => return *response,
     };
     match inner.keys.get(key.as_str()) {
         Some(stored) => {
-            let row = row(key.as_str(), stored);
+            let row = row_message(key.as_str(), stored);
             respond(200, &row)
         }
         None => respond(404, &cbor!({"epoch" => inner.revision}).unwrap()),
@@ -250,20 +252,20 @@
 async fn list_rows(store: web::Data<KeyValueStore>, query: Query) -> HttpResponse {
     let inner = match store.admit() {
         Ok(inner) => inner,
-        Err(refused) => return *refused,
+        Err(response) => return *response,
     };
-    let under = query.get("under").cloned().unwrap_or_default();
+    let prefix = query.get("under").cloned().unwrap_or_default();
     let after = query.get("after").cloned().unwrap_or_default();
-    let below: Vec<_> = inner
+    let matching: Vec<_> = inner
         .keys
         .iter()
-        .filter(|(key, _)| key.starts_with(&under) && **key > after)
+        .filter(|(key, _)| key.starts_with(&prefix) && **key > after)
         .collect();
-    let more = below.len() > PAGE_ROWS;
-    let rows: Vec<Value> = below
+    let more = matching.len() > ROWS_PER_PAGE;
+    let rows: Vec<Value> = matching
         .into_iter()
-        .take(PAGE_ROWS)
-        .map(|(key, stored)| row(key, stored))
+        .take(ROWS_PER_PAGE)
+        .map(|(key, stored)| row_message(key, stored))
         .collect();
     let page = cbor!({"rows" => rows, "more" => more, "epoch" => inner.revision}).unwrap();
     respond(200, &page)
@@ -272,7 +274,7 @@
 async fn transact(store: web::Data<KeyValueStore>, body: web::Bytes) -> HttpResponse {
     let mut inner = match store.admit() {
         Ok(inner) => inner,
-        Err(refused) => return *refused,
+        Err(response) => return *response,
     };
     let body = decode(&body);
     let empty = Vec::new();
@@ -281,16 +283,16 @@
             .and_then(Value::as_array)
             .unwrap_or(&empty)
     };
-    let failed: Vec<String> = list("when")
+    let failed_keys: Vec<String> = list("when")
         .iter()
-        .filter(|when| {
-            let stored = inner.keys.get(&text(when, "path"));
-            stored.map_or(0, |stored| stored.version) != number(when, "stamp")
+        .filter(|condition| {
+            let stored = inner.keys.get(&text(condition, "path"));
+            stored.map_or(0, |stored| stored.version) != number(condition, "stamp")
         })
-        .map(|when| text(when, "path"))
+        .map(|condition| text(condition, "path"))
         .collect();
-    if !failed.is_empty() {
-        let conflict = cbor!({"failed" => failed, "epoch" => inner.revision}).unwrap();
+    if !failed_keys.is_empty() {
+        let conflict = cbor!({"failed" => failed_keys, "epoch" => inner.revision}).unwrap();
         return respond(409, &conflict);
     }
     if !list("apply").is_empty() {
@@ -323,76 +325,78 @@
 async fn grant_lease(store: web::Data<KeyValueStore>, body: web::Bytes) -> HttpResponse {
     let mut inner = match store.admit() {
         Ok(inner) => inner,
-        Err(refused) => return *refused,
+        Err(response) => return *response,
     };
     inner.next_lease += 1;
     let id = inner.next_lease;
     let ttl = Duration::from_millis(number(&decode(&body), "ttlMs"));
-    let renewed = Instant::now();
-    inner.leases.insert(id, Lease { ttl, renewed });
+    let renewed_at = Instant::now();
+    inner.leases.insert(id, Lease { ttl, renewed_at });
     respond(200, &cbor!({"hold" => id}).unwrap())
 }
 
 async fn renew_lease(store: web::Data<KeyValueStore>, id: web::Path<u64>) -> HttpResponse {
     let mut inner = match store.admit() {
         Ok(inner) => inner,
-        Err(refused) => return *refused,
+        Err(response) => return *response,
     };
     match inner.leases.get_mut(&id) {
         Some(lease) => {
-            lease.renewed = Instant::now();
+            lease.renewed_at = Instant::now();
             respond(200, &cbor!({}).unwrap())
         }
         None => respond(404, &cbor!({}).unwrap()),
     }
 }
 
-async fn release_lease(store: web::Data<KeyValueStore>, id: web::Path<u64>) -> HttpResponse {
+async fn revoke_lease(store: web::Data<KeyValueStore>, id: web::Path<u64>) -> HttpResponse {
     let mut inner = match store.admit() {
         Ok(inner) => inner,
-        Err(refused) => return *refused,
+        Err(response) => return *response,
     };
-    inner.release(*id);
+    inner.remove_lease(*id);
     drop(inner);
     store.changed.notify_waiters();
     respond(200, &cbor!({}).unwrap())
 }
 
 async fn watch(store: web::Data<KeyValueStore>, query: Query) -> HttpResponse {
-    let get = |name: &str| {
+    let parameter = |name: &str| {
         query
             .get(name)
             .and_then(|v| v.parse::<u64>().ok())
             .unwrap_or(0)
     };
-    let until = Instant::now() + Duration::from_millis(get("holdMs"));
-    let under = query.get("under").cloned().unwrap_or_default();
-    let mut first = true;
+    let deadline = Instant::now() + Duration::from_millis(parameter("holdMs"));
+    let prefix = query.get("under").cloned().unwrap_or_default();
+    let mut first_pass = true;
     loop {
         {
             let mut inner = store.inner.lock().unwrap();
-            inner.requests += usize::from(first);
-            first = false;
+            inner.request_count += usize::from(first_pass);
+            first_pass = false;
             if !inner.outage {
-                inner.expire();
-                if get("after") < inner.compacted_up_to {
+                inner.remove_expired_leases();
+                if parameter("after") < inner.compacted_up_to {
                     return respond(410, &cbor!({}).unwrap());
                 }
                 let events: Vec<Value> = inner
                     .changes
                     .iter()
                     .filter(|change| {
-                        change.revision > get("after") && change.key.starts_with(&under)
+                        change.revision > parameter("after") && change.key.starts_with(&prefix)
                     })
                     .map(|change| change.event.clone())
                     .collect();
-                if !events.is_empty() || Instant::now() >= until {
+                if !events.is_empty() || Instant::now() >= deadline {
                     let page = cbor!({"epoch" => inner.revision, "events" => events}).unwrap();
                     return respond(200, &page);
                 }
             }
         }
-        let woken = store.changed.notified();
-        let _ = tokio::time::timeout(Duration::from_millis(100), woken).await;
+        // Expired leases, and changes between the check above and this wait, give no notification; the timeout
+        // bounds the delay.
+        let change = store.changed.notified();
+        let _ = tokio::time::timeout(Duration::from_millis(100), change).await;
     }
 }
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,9 +1,9 @@
-//! A testbed for development: real controller processes with stand-ins for the key-value store, the cloud
+//! Testbed for development: real controller processes with stand-ins for the key-value store, the cloud
 //! and the worker agents, loopback proxies with fault injection, and a history checker.
 //!
-//! The stand-ins speak the published protocol over loopback. Nothing here is part of the service.
+//! The stand-ins implement the published protocol on loopback addresses. Nothing here is part of the service.
 
-// The testbed is test code: an unexpected state ends the test with its reason.
+// All of this crate is test code: an unexpected state ends the test with a panic.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 pub mod checker;
--- a/crates/testbed/src/schedule.rs
+++ b/crates/testbed/src/schedule.rs
@@ -1,4 +1,4 @@
-//! Seeded schedules of injected faults.
+//! Schedules of injected faults, generated from a seed.
 
 use std::time::Duration;
 
@@ -7,12 +7,12 @@
 
 use crate::proxy::{Flow, LinkMode};
 
-/// A link of the deployment.
+/// A link of the deployment. Controllers are given by their index.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LinkId {
     /// From a controller to the key-value store.
     Store(usize),
-    /// From a controller to another one.
+    /// From the first controller to the second one.
     Peer(usize, usize),
     /// From the workers of a zone (0 or 1) to a controller.
     Workers(usize, usize),
@@ -23,44 +23,44 @@
 pub struct LinkFault {
     /// Start, relative to the start of the schedule.
     pub at: Duration,
-    /// Its duration.
+    /// Time from the start to the end of the fault.
     pub duration: Duration,
     /// The affected link.
     pub link: LinkId,
-    /// The mode of the link meanwhile.
+    /// Mode of the link during the fault; at its end the link is healed.
     pub mode: LinkMode,
 }
 
-/// A fault with its time.
+/// A fault with its time, relative to the start of the schedule.
 #[derive(Debug, Clone, Copy)]
 pub enum ScheduledFault {
-    /// A link fault.
+    /// One link is in a faulty mode.
     Link(LinkFault),
-    /// Transactions are refused; reads and leases are served.
+    /// The store refuses transactions that contain changes; it serves reads and lease requests.
     WritesRefused {
-        /// Its start.
+        /// Start of the fault.
         at: Duration,
-        /// Its duration.
+        /// Time from the start to the end of the fault.
         duration: Duration,
     },
-    /// Outage of the key-value store.
+    /// Outage of the store: it refuses all requests but watches, which wait.
     StoreOutage {
-        /// Its start.
+        /// Start of the fault.
         at: Duration,
-        /// Its duration.
+        /// Time from the start to the end of the fault.
         duration: Duration,
     },
     /// Crash and immediate restart of a controller.
     Restart {
-        /// Its start.
+        /// Start of the fault.
         at: Duration,
-        /// The controller.
+        /// Index of the controller.
         controller: usize,
     },
 }
 
 impl ScheduledFault {
-    /// Time at which the fault starts.
+    /// Start, relative to the start of the schedule.
     pub fn starts_at(&self) -> Duration {
         match self {
             Self::Link(fault) => fault.at,
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Time at which the fault ends.
+    /// End, relative to the start of the schedule. A restart ends when it starts.
     pub fn ends_at(&self) -> Duration {
         match self {
             Self::Link(fault) => fault.at + fault.duration,
@@ -82,7 +82,7 @@
     }
 }
 
-fn mode(rng: &mut StdRng) -> LinkMode {
+fn random_mode(rng: &mut StdRng) -> LinkMode {
     let delay = Duration::from_millis(rng.random_range(50..900));
     match rng.random_range(0..8) {
         0 => LinkMode::BLACKHOLE,
@@ -108,9 +108,9 @@
     }
 }
 
-fn link(rng: &mut StdRng, controllers: usize) -> LinkId {
-    let controller = rng.random_range(0..controllers);
-    let other = (controller + rng.random_range(1..controllers)) % controllers;
+fn random_link(rng: &mut StdRng, controller_count: usize) -> LinkId {
+    let controller = rng.random_range(0..controller_count);
+    let other = (controller + rng.random_range(1..controller_count)) % controller_count;
     match rng.random_range(0..5) {
         0 | 1 => LinkId::Store(controller),
         2 | 3 => LinkId::Peer(controller, other),
@@ -118,18 +118,19 @@
     }
 }
 
-/// Draws faults from a seed, all of which end by `length`.
+/// Generates `count` faults from a seed, in order of their starts. All end within `schedule_duration`. A flapping
+/// link counts as one fault, with an entry for each of its periods.
 pub fn generate_faults(
     seed: u64,
-    controllers: usize,
-    length: Duration,
+    controller_count: usize,
+    schedule_duration: Duration,
     count: usize,
 ) -> Vec<ScheduledFault> {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut faults = Vec::new();
     for _ in 0..count {
-        let at = length.mul_f64(rng.random_range(0.0..0.8));
-        let duration = (length - at).mul_f64(rng.random_range(0.1..0.9));
+        let at = schedule_duration.mul_f64(rng.random_range(0.0..0.8));
+        let duration = (schedule_duration - at).mul_f64(rng.random_range(0.1..0.9));
         match rng.random_range(0..10) {
             0 => faults.push(ScheduledFault::WritesRefused { at, duration }),
             1 => faults.push(ScheduledFault::StoreOutage {
@@ -138,14 +139,19 @@
             }),
             2 => faults.push(ScheduledFault::Restart {
                 at,
-                controller: rng.random_range(0..controllers),
+                controller: rng.random_range(0..controller_count),
             }),
-            3 => faults.extend(flapping(&mut rng, controllers, at, duration)),
+            3 => faults.extend(flapping_link_faults(
+                &mut rng,
+                controller_count,
+                at,
+                duration,
+            )),
             _ => faults.push(ScheduledFault::Link(LinkFault {
                 at,
                 duration,
-                link: link(&mut rng, controllers),
-                mode: mode(&mut rng),
+                link: random_link(&mut rng, controller_count),
+                mode: random_mode(&mut rng),
             })),
         }
     }
@@ -153,14 +159,14 @@
     faults
 }
 
-/// A flapping link, with a period of two to five seconds.
-fn flapping(
+/// Generates the faults of a flapping link: it is faulty in the first half of each period of 2 s to 5 s.
+fn flapping_link_faults(
     rng: &mut StdRng,
-    controllers: usize,
+    controller_count: usize,
     at: Duration,
     duration: Duration,
 ) -> Vec<ScheduledFault> {
-    let (link, mode) = (link(rng, controllers), mode(rng));
+    let (link, mode) = (random_link(rng, controller_count), random_mode(rng));
     let period = Duration::from_secs_f64(rng.random_range(2.0..5.0));
     let mut link_faults = Vec::new();
     let mut next_at = at;
--- a/crates/testbed/src/worker.rs
+++ b/crates/testbed/src/worker.rs
@@ -1,5 +1,5 @@
-//! A stand-in for a worker agent: heartbeats, leases, epochs, fencing tokens and commands by the published
-//! protocol.
+//! A stand-in for a worker agent: heartbeats, leases, epochs, fencing tokens and commands as the published
+//! protocol defines them.
 
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -10,11 +10,12 @@
 use crate::history::{Event, History};
 use crate::message::{decode, encode, field, number, text};
 
-/// Timeout after which a worker drops the response to a heartbeat.
+/// Time after sending a heartbeat after which a worker discards the response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum TaskState {
+    /// Contains the time at which the task started.
     Running(Instant),
     Done,
     Stopped,
@@ -28,31 +29,37 @@
 }
 
 #[derive(Debug)]
-struct State {
-    up: bool,
+struct WorkerState {
+    /// `false` once the machine is terminated.
+    is_running: bool,
+    /// Advanced when the worker lease expires.
     epoch: u64,
+    /// Sequence number of the last heartbeat.
     sequence: u64,
+    /// Highest fencing token received.
     token: u64,
-    /// Sending time of the last answered heartbeat, or the start of the epoch.
-    lease_from: Instant,
+    /// Time at which the last acknowledged heartbeat was sent, or at which the epoch began.
+    lease_renewed_at: Instant,
     tasks: Vec<Task>,
 }
 
 /// The agent of one machine.
 pub struct Worker {
     name: String,
-    /// Its address for direct commands.
+    /// Address at which the machine receives direct commands.
     pub address: String,
-    /// Its zone.
+    /// Name of the machine's zone.
     pub zone: String,
+    /// Addresses of the controllers, in the order of their names.
     controllers: Vec<String>,
     times: WorkerTimes,
     history: History,
-    state: Mutex<State>,
+    state: Mutex<WorkerState>,
 }
 
 impl Worker {
-    /// A worker that has just started, with its routes to the controllers.
+    /// Creates a worker without tasks, in epoch 1. `controllers` are the addresses at which it reaches them, in
+    /// the order of their names.
     pub fn new(
         name: &str,
         zone: &str,
@@ -68,62 +75,62 @@
             controllers,
             times,
             history,
-            state: Mutex::new(State {
-                up: true,
+            state: Mutex::new(WorkerState {
+                is_running: true,
                 epoch: 1,
                 sequence: 0,
                 token: 0,
-                lease_from: Instant::now(),
+                lease_renewed_at: Instant::now(),
                 tasks: Vec::new(),
             }),
         }
     }
 
-    /// The machine is released, and its tasks end.
-    pub fn end(&self) {
+    /// Terminates the machine and with it all its tasks.
+    pub fn terminate(&self) {
         let mut state = self.state.lock().unwrap();
-        state.up = false;
-        self.kill_all(&mut state);
+        state.is_running = false;
+        self.kill_all_tasks(&mut state);
     }
 
-    fn kill_all(&self, state: &mut State) {
+    fn kill_all_tasks(&self, state: &mut WorkerState) {
         for task in std::mem::take(&mut state.tasks) {
             if matches!(task.state, TaskState::Running(_)) {
-                self.ended(&task.id);
+                self.record_end(&task.id);
             }
         }
     }
 
-    fn ended(&self, task: &str) {
+    fn record_end(&self, task: &str) {
         self.history.record(Event::Ended {
             task: task.to_owned(),
             machine: self.name.clone(),
         });
     }
 
-    /// Applies what is due by time: the expiry of the lease, and the end of tasks.
-    fn tick(&self, state: &mut State) {
+    /// Applies what has happened by the current time: the worker lease expires, and tasks finish.
+    fn apply_elapsed_time(&self, state: &mut WorkerState) {
         let now = Instant::now();
-        if now.duration_since(state.lease_from) > self.times.lease {
-            self.kill_all(state);
+        if now.duration_since(state.lease_renewed_at) > self.times.lease_duration {
+            self.kill_all_tasks(state);
             state.epoch += 1;
-            state.lease_from = now;
+            state.lease_renewed_at = now;
         }
         for task in &mut state.tasks {
             let TaskState::Running(since) = task.state else {
                 continue;
             };
-            if now.duration_since(since) >= self.times.run {
+            if now.duration_since(since) >= self.times.task_duration {
                 task.state = TaskState::Done;
-                self.ended(&task.id);
+                self.record_end(&task.id);
             }
         }
     }
 
-    /// The next heartbeat, with its sequence number.
+    /// Returns the next heartbeat; each one has a higher sequence number.
     pub fn heartbeat(&self) -> Value {
         let mut state = self.state.lock().unwrap();
-        self.tick(&mut state);
+        self.apply_elapsed_time(&mut state);
         state.sequence += 1;
         let tasks: Vec<Value> = state.tasks.iter().map(task_status).collect();
         let heartbeat = cbor!({
@@ -135,47 +142,48 @@
         heartbeat.unwrap()
     }
 
-    /// Executes a direct command. Returns whether it was accepted, and the heartbeat after it.
-    pub fn command(&self, body: &Value) -> (bool, Value) {
+    /// Executes direct commands, unless their token is lower than the last one or their epoch is another one.
+    /// Returns whether they were executed, and a heartbeat with the state afterwards.
+    pub fn execute_direct_commands(&self, body: &Value) -> (bool, Value) {
         let executed = {
             let mut state = self.state.lock().unwrap();
-            self.tick(&mut state);
+            self.apply_elapsed_time(&mut state);
             let (token, epoch) = (number(body, "baton"), number(body, "tenure"));
             let valid = token >= state.token && epoch == state.epoch;
             if valid {
                 state.token = token;
-                self.execute(&mut state, body, token);
+                self.execute_commands(&mut state, body, token);
             }
             valid
         };
         (executed, self.heartbeat())
     }
 
-    /// Handles the 200 response to a heartbeat sent at `sent` in `epoch`.
-    fn answered(&self, sent: Instant, epoch: u64, body: &Value) {
+    /// Handles the response with status 200 to a heartbeat that was sent at `sent_at` in `epoch`.
+    fn handle_response(&self, sent_at: Instant, epoch: u64, body: &Value) {
         let mut state = self.state.lock().unwrap();
-        self.tick(&mut state);
+        self.apply_elapsed_time(&mut state);
         let token = number(body, "baton");
-        let dropped = epoch != state.epoch || token < state.token || !state.up;
-        if dropped || sent.elapsed() > RESPONSE_TIMEOUT {
+        let outdated = epoch != state.epoch || token < state.token || !state.is_running;
+        if outdated || sent_at.elapsed() > RESPONSE_TIMEOUT {
             return;
         }
         state.token = token;
-        state.lease_from = sent;
-        self.execute(&mut state, body, token);
+        state.lease_renewed_at = sent_at;
+        self.execute_commands(&mut state, body, token);
     }
 
-    fn execute(&self, state: &mut State, body: &Value, token: u64) {
-        let Some(Value::Array(orders)) = field(body, "orders") else {
+    fn execute_commands(&self, state: &mut WorkerState, body: &Value, token: u64) {
+        let Some(Value::Array(commands)) = field(body, "orders") else {
             return;
         };
-        for order in orders {
-            let (id, attempt) = (text(order, "strand"), number(order, "try"));
-            let found = state
+        for command in commands {
+            let (id, attempt) = (text(command, "strand"), number(command, "try"));
+            let position = state
                 .tasks
                 .iter()
                 .position(|task| task.id == id && task.attempt == attempt);
-            match (text(order, "verb").as_str(), found) {
+            match (text(command, "verb").as_str(), position) {
                 ("run", None) => {
                     self.history.record(Event::Started {
                         task: id.clone(),
@@ -189,17 +197,17 @@
                         state: TaskState::Running(Instant::now()),
                     });
                 }
-                ("kill", Some(at)) => {
-                    let task = &mut state.tasks[at];
+                ("kill", Some(index)) => {
+                    let task = &mut state.tasks[index];
                     if matches!(task.state, TaskState::Running(_)) {
                         task.state = TaskState::Stopped;
-                        self.ended(&id);
+                        self.record_end(&id);
                     }
                 }
-                ("clear", Some(at)) => {
-                    let running = matches!(state.tasks[at].state, TaskState::Running(_));
+                ("clear", Some(index)) => {
+                    let running = matches!(state.tasks[index].state, TaskState::Running(_));
                     if !running {
-                        state.tasks.remove(at);
+                        state.tasks.remove(index);
                     }
                 }
                 _ => {}
@@ -207,8 +215,8 @@
         }
     }
 
-    fn up(&self) -> bool {
-        self.state.lock().unwrap().up
+    fn is_running(&self) -> bool {
+        self.state.lock().unwrap().is_running
     }
 }
 
@@ -226,38 +234,40 @@
     status.unwrap()
 }
 
-/// The worker's loop: one heartbeat in flight at a time, to one controller at a time.
-pub async fn run(worker: Arc<Worker>) {
+/// Sends heartbeats until the machine is terminated, one at a time. A worker stays with one controller until
+/// a heartbeat fails or a 421 response names another one.
+pub async fn send_heartbeats(worker: Arc<Worker>) {
     let http = awc::Client::builder().timeout(RESPONSE_TIMEOUT).finish();
-    let mut at = 0;
-    while worker.up() && !worker.controllers.is_empty() {
-        tokio::time::sleep(worker.times.heartbeat).await;
+    let mut index = 0;
+    while worker.is_running() && !worker.controllers.is_empty() {
+        tokio::time::sleep(worker.times.heartbeat_interval).await;
         let heartbeat = worker.heartbeat();
         let epoch = number(&heartbeat, "tenure");
-        let url = format!("http://{}/hello", worker.controllers[at]);
-        let sent = Instant::now();
-        let answer = http.post(url).send_body(encode(&heartbeat)).await;
-        let next = (at + 1) % worker.controllers.len();
-        let Ok(mut answer) = answer else {
-            at = next;
-            tokio::time::sleep(worker.times.next_controller).await;
+        let url = format!("http://{}/hello", worker.controllers[index]);
+        let sent_at = Instant::now();
+        let result = http.post(url).send_body(encode(&heartbeat)).await;
+        let next = (index + 1) % worker.controllers.len();
+        let Ok(mut response) = result else {
+            index = next;
+            tokio::time::sleep(worker.times.failover_delay).await;
             continue;
         };
-        let body = answer.body().await;
+        let body = response.body().await;
         let body = body.map_or(Value::Null, |bytes| decode(&bytes));
-        match answer.status().as_u16() {
-            200 => worker.answered(sent, epoch, &body),
-            421 => at = controller_named(&text(&body, "answerTo"), &worker, at).unwrap_or(next),
+        match response.status().as_u16() {
+            200 => worker.handle_response(sent_at, epoch, &body),
+            421 => index = index_by_name(&text(&body, "answerTo"), &worker, index).unwrap_or(next),
             _ => {
-                at = next;
-                tokio::time::sleep(worker.times.next_controller).await;
+                index = next;
+                tokio::time::sleep(worker.times.failover_delay).await;
             }
         }
     }
 }
 
-/// The controller with this name, unless it is the present one. They are named `knot-0` and so on.
-fn controller_named(name: &str, worker: &Worker, at: usize) -> Option<usize> {
-    let number: usize = name.strip_prefix("knot-")?.parse().ok()?;
-    (number != at && number < worker.controllers.len()).then_some(number)
+/// Returns the index of the controller with this name (`knot-0` and so on); `None` if the name is unknown or
+/// is that of the current controller.
+fn index_by_name(name: &str, worker: &Worker, current: usize) -> Option<usize> {
+    let index: usize = name.strip_prefix("knot-")?.parse().ok()?;
+    (index != current && index < worker.controllers.len()).then_some(index)
 }
--- a/examples/row_cost.rs
+++ b/examples/row_cost.rs
@@ -1,7 +1,7 @@
-//! What the rows of the connectivity matrix cost a controller, natively: `cargo run --release --example
-//! row_cost -- 4000 7` for 4,000 workers and seven controllers.
+//! Measures the time that the rows of the connectivity matrix take a controller on this machine, without network:
+//! `cargo run --release --example row_cost -- 4000 7` for 4,000 workers and seven controllers.
 
-// A measurement that can't go on ends with its reason.
+// An unexpected state ends the measurement with a panic.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 use std::time::{Duration, Instant, SystemTime};
@@ -12,15 +12,15 @@
 use knotlanding::service::Shared;
 use knotlanding::wire::Heartbeat;
 
-/// Rows of each controller that are measured.
+/// Number of rows, and of handover decisions, over which a measurement is averaged.
 const ROWS: u32 = 200;
 
-fn shared(member: usize, count: usize) -> std::sync::Arc<Shared> {
-    let text = include_str!("../deploy/example.toml");
-    let mut settings = Settings::parse(text, "example").unwrap();
-    settings.member = format!("knot-{member}");
-    let others = (0..count).filter(|other| *other != member);
-    settings.peers = others
+fn controller(index: usize, count: usize) -> std::sync::Arc<Shared> {
+    let example = include_str!("../deploy/example.toml");
+    let mut settings = Settings::parse(example, "example").unwrap();
+    settings.member = format!("knot-{index}");
+    let peers = (0..count).filter(|other| *other != index);
+    settings.peers = peers
         .map(|other| Peer {
             member: format!("knot-{other}"),
             zone: String::new(),
@@ -49,35 +49,35 @@
 fn main() {
     let mut arguments = std::env::args()
         .skip(1)
-        .map(|a| a.parse::<usize>().unwrap());
+        .map(|argument| argument.parse::<usize>().unwrap());
     let workers = arguments.next().unwrap_or(4_000);
     let count = arguments.next().unwrap_or(7);
-    let controllers: Vec<_> = (0..count).map(|member| shared(member, count)).collect();
-    let start = Instant::now();
-    let began = Instant::now();
+    let controllers: Vec<_> = (0..count).map(|index| controller(index, count)).collect();
+    let simulated_start = Instant::now();
+    let recording_started_at = Instant::now();
     for sequence in 1..=2 {
-        let at = start + Duration::from_secs(3 * sequence);
+        let received_at = simulated_start + Duration::from_secs(3 * sequence);
         for number in 0..workers {
             let links = &controllers[number % count].links;
-            links.record_worker_heartbeat(&heartbeat(number, sequence), at);
+            links.record_worker_heartbeat(&heartbeat(number, sequence), received_at);
             links.record_worker_response(&format!("m-{number:06}"));
         }
     }
-    let per_report = began.elapsed() / (2 * workers as u32);
-    let now = start + Duration::from_secs(7);
-    let (mut made, mut taken, mut bytes) = (Duration::ZERO, Duration::ZERO, 0);
+    let per_heartbeat = recording_started_at.elapsed() / (2 * workers as u32);
+    let now = simulated_start + Duration::from_secs(7);
+    let (mut encode_time, mut accept_time, mut row_bytes) = (Duration::ZERO, Duration::ZERO, 0);
     for _ in 0..ROWS {
-        let began = Instant::now();
+        let encode_started_at = Instant::now();
         let active = controllers[0].links.active().unwrap();
         active.evaluate(now);
         let row = active.next_row(Some(1), now, SystemTime::now());
         let encoded = knotlanding::peer::encode(&row.to_message()).unwrap();
-        made += began.elapsed();
-        bytes = encoded.len();
-        let began = Instant::now();
+        encode_time += encode_started_at.elapsed();
+        row_bytes = encoded.len();
+        let accept_started_at = Instant::now();
         let receiver = controllers[1].links.active().unwrap();
         accept_encoded_row(receiver, &encoded, now, SystemTime::now()).unwrap();
-        taken += began.elapsed();
+        accept_time += accept_started_at.elapsed();
     }
     for sender in &controllers[1..] {
         let row = sender
@@ -89,17 +89,18 @@
         let receiver = controllers[0].links.active().unwrap();
         accept_encoded_row(receiver, &encoded, now, SystemTime::now()).unwrap();
     }
-    let began = Instant::now();
+    let decisions_started_at = Instant::now();
     for _ in 0..ROWS {
         controllers[0].links.active().unwrap().decide_handover(now);
     }
-    let decided = began.elapsed();
+    let decision_time = decisions_started_at.elapsed();
     println!("{workers} workers, {count} controllers");
-    println!("a row: {bytes} bytes");
-    println!("evidence of a report: {per_report:?}");
-    println!("making a row: {:?}", made / ROWS);
-    println!("taking a row: {:?}", taken / ROWS);
-    println!("a decision on the lead: {:?}", decided / ROWS);
-    let second = made / ROWS + (taken / ROWS) * (count as u32 - 1) + decided / ROWS;
-    println!("a second of a leader: {second:?}");
+    println!("size of a row: {row_bytes} bytes");
+    println!("recording a heartbeat and its response: {per_heartbeat:?}");
+    println!("evaluating and encoding a row: {:?}", encode_time / ROWS);
+    println!("decoding and accepting a row: {:?}", accept_time / ROWS);
+    println!("handover decision: {:?}", decision_time / ROWS);
+    let per_second =
+        encode_time / ROWS + (accept_time / ROWS) * (count as u32 - 1) + decision_time / ROWS;
+    println!("total of a leader per second: {per_second:?}");
 }
