--- a/crates/testbed/src/checker.rs
+++ b/crates/testbed/src/checker.rs
@@ -16,8 +16,8 @@
     pub response_timeout: Duration,
     /// Time after a confirmed cancellation by which the job's tasks have ended, and after which none starts.
     pub cancellation_deadline: Duration,
-    /// Time after the store begins to refuse writes by which the leader has detected this, from two refused
-    /// transactions, and commands that it sent before have arrived.
+    /// Time within which a leader detects, from two refused transactions, that the store refuses writes, and
+    /// commands that it sent before have arrived.
     pub unwritable_detection: Duration,
     /// Time without a status response after which a job counts as lost.
     pub status_response_deadline: Duration,
--- a/crates/testbed/src/deployment.rs
+++ b/crates/testbed/src/deployment.rs
@@ -17,9 +17,9 @@
 
 /// Timeout of user and admin requests.
 const CLIENT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time after the store begins to refuse writes by which the leader has detected this. The leader writes within
-/// 2 s, to record completed tasks, and makes a second attempt; a heartbeat response with a start may be in flight
-/// for 4 s.
+/// Time within which a leader detects that the store refuses writes, and commands that it sent before have
+/// arrived. The leader writes within 2 s, to record completed tasks, and makes a second attempt; a heartbeat
+/// response with a start may be in flight for 4 s.
 const UNWRITABLE_DETECTION: Duration = Duration::from_secs(8);
 /// Interval at which [`Deployment::inject`] checks whether the next fault is due.
 const SCHEDULE_POLL_INTERVAL: Duration = Duration::from_millis(50);
@@ -295,7 +295,7 @@
         self.store.set_writes_refused(false);
     }
 
-    /// Injects the scheduled faults, returns after the end of the last one and then ends all faults.
+    /// Injects the scheduled faults, waits for the end of the last one and then ends all faults.
     pub async fn inject(&mut self, faults: &[ScheduledFault]) {
         let started_at = Instant::now();
         let mut changes: Vec<(Duration, ScheduledFault, bool)> = Vec::new();
