--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -17,7 +17,7 @@
 };
 use knotlanding::store::{Change, TransactionOutcome};
 use knotlanding::wire;
-use scene::{array, gang, Scene};
+use scene::{array_job, gang_job, TestLeader};
 
 const MACHINES: usize = 4_000;
 
@@ -32,10 +32,10 @@
 }
 
 /// A cluster with machines that have sent a heartbeat each.
-fn fleet_with_heartbeats(count: usize) -> Scene {
-    let mut scene = Scene::new();
+fn fleet_with_heartbeats(count: usize) -> TestLeader {
+    let mut scene = TestLeader::new();
     for name in machine_names(count) {
-        scene.heartbeat(&name, &[]);
+        scene.receive_heartbeat(&name, &[]);
     }
     scene
 }
@@ -59,7 +59,7 @@
         // The store measures the size of a value in its JSON encoding.
         let json = serde_json::to_string(value).unwrap();
         assert!(json.len() as f64 <= limits.value_kb * 1024.0, "{key}");
-        scene.record(key.clone(), value.clone());
+        scene.put_record(key.clone(), value.clone());
     }
     for (revision, write) in writes.iter().enumerate() {
         let outcome = TransactionOutcome::Committed(1_000 + revision as u64);
@@ -100,14 +100,14 @@
         machine.address = format!("10.{}.{}.7:9000", number / 250, number % 250);
     }
     for number in 0..20_000 {
-        let spec = array(&format!("wk-{:06}", 100_000 + number), 1);
-        for (key, value) in scene::accepted(&spec, false) {
+        let spec = array_job(&format!("wk-{:06}", 100_000 + number), 1);
+        for (key, value) in scene::accepted_job_records(&spec, false) {
             scene.records.push((key, value));
         }
     }
     let replica = scene.replica();
     for id in replica.descriptions.keys() {
-        let wall = scene::wall();
+        let wall = scene::fixed_wall_time();
         scene.cluster.sync_job(id, &replica, scene.now, wall, false);
     }
     let mut contents = scene.cluster.full_summary();
@@ -176,13 +176,13 @@
 
 #[test]
 fn new_leader_queries_each_of_4000_machines_once_in_at_most_100_cycles() {
-    let mut scene = Scene::new();
+    let mut scene = TestLeader::new();
     let names = machine_names(MACHINES);
     for (shard, part) in names.chunks(250).enumerate() {
         let machines: Vec<String> = part.to_vec();
         let record = knotlanding::store::keys::InventoryRecord { machines };
         let key = knotlanding::store::keys::inventory(shard);
-        scene.record(key, knotlanding::store::to_value(&record));
+        scene.put_record(key, knotlanding::store::to_value(&record));
     }
     scene.recover(2);
     for machine in scene.cluster.machines.values_mut() {
@@ -205,11 +205,11 @@
             );
         }
         // The shortest time between two scheduling cycles.
-        scene.pass(0.15);
+        scene.advance_clock(0.15);
     }
     // Every machine then sends a heartbeat; the first one reconciles the machine.
     for name in &names {
-        scene.report_as(name, (1, 1, 2), &[], true);
+        scene.receive_heartbeat_with(name, (1, 1, 2), &[], true);
     }
     assert!(scene.cluster.unreconciled.is_empty());
     assert!(scene
@@ -222,12 +222,12 @@
 #[test]
 fn scheduling_cycles_start_whole_gangs_on_4000_machines_with_records_within_the_limits() {
     let mut scene = fleet_with_heartbeats(MACHINES);
-    scene.write(true);
+    scene.write_records(true);
     let limits = scene.settings.params.store.clone();
     // The gangs need less than the whole capacity: gangs bound to one zone cannot use what is left in both.
     let gangs = 120;
     for number in 0..gangs {
-        let mut spec = gang(&format!("wk-{:06}", 100 + number), 16);
+        let mut spec = gang_job(&format!("wk-{:06}", 100 + number), 16);
         spec.single_zone = number % 2 == 0;
         scene.submit(spec);
     }
@@ -264,7 +264,7 @@
                 .cluster
                 .apply_write_outcome(&write.kind, &TransactionOutcome::Committed(5_000));
         }
-        scene.pass(0.2);
+        scene.advance_clock(0.2);
     }
     let busy_machines = scene
         .cluster
@@ -291,6 +291,6 @@
             .remove_terminated_machine(&MachineId(format!("m-z{number:06}").into()));
     }
     const { assert!(REMOVED_MACHINES_MAX > 2 * MACHINES) };
-    scene.heartbeat("m-c000000n", &[]);
+    scene.receive_heartbeat("m-c000000n", &[]);
     assert!(!scene.cluster.machines.contains_key(&removed));
 }
--- a/tests/links_service.rs
+++ b/tests/links_service.rs
@@ -11,11 +11,11 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-use knotlanding_testbed::checker::{check, Violations};
+use knotlanding_testbed::checker::{check_history, Violations};
 use knotlanding_testbed::deployment::{Deployment, DeploymentPlan, DeploymentTimes};
 use knotlanding_testbed::history::Event;
 use knotlanding_testbed::proxy::{Flow, LinkMode};
-use knotlanding_testbed::schedule::{draw, LinkId, ScheduledFault};
+use knotlanding_testbed::schedule::{generate_faults, LinkId, ScheduledFault};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_knotlanding");
 /// Limit of each wait. It is generous for slow machines, since no test here asserts a duration.
@@ -52,7 +52,7 @@
 
 fn violations(deployment: &Deployment) -> Violations {
     let entries = deployment.history.entries();
-    check(&entries, &deployment.rules(), Instant::now())
+    check_history(&entries, &deployment.invariant_limits(), Instant::now())
 }
 
 /// Evaluates the condition repeatedly until it holds; `what` is the message if it does not hold in time.
@@ -69,7 +69,7 @@
 
 async fn submit_until_accepted(deployment: &Deployment, id: &str, kind: &str, tasks: u64) {
     wait_until(&format!("job {id} is not accepted"), || async {
-        for controller in 0..deployment.controllers() {
+        for controller in 0..deployment.controller_count() {
             if deployment.submit(controller, id, kind, tasks).await {
                 return true;
             }
@@ -83,7 +83,7 @@
     wait_until(
         &format!("job {id} does not reach status {status}"),
         || async {
-            for controller in 0..deployment.controllers() {
+            for controller in 0..deployment.controller_count() {
                 if deployment.poll(controller, id).await.as_deref() == Some(status) {
                     return true;
                 }
@@ -98,7 +98,7 @@
 async fn find_leader(deployment: &Deployment) -> usize {
     let started_at = Instant::now();
     loop {
-        for controller in 0..deployment.controllers() {
+        for controller in 0..deployment.controller_count() {
             let status = status(deployment, controller).await;
             if status["leading"] == true {
                 return controller;
@@ -113,12 +113,12 @@
 }
 
 async fn status(deployment: &Deployment, controller: usize) -> serde_json::Value {
-    let text = deployment.admin(controller, "status").await;
+    let text = deployment.admin_response(controller, "status").await;
     serde_json::from_str(&text.unwrap_or_default()).unwrap_or_default()
 }
 
 async fn links(deployment: &Deployment, controller: usize) -> serde_json::Value {
-    let text = deployment.admin(controller, "links").await;
+    let text = deployment.admin_response(controller, "links").await;
     serde_json::from_str(&text.unwrap_or_default()).unwrap_or_default()
 }
 
@@ -187,13 +187,13 @@
     let response = links(&deployment, 0).await;
     assert!(response["matrix"]["knot-1"].is_null(), "{response}");
     assert!(deployment
-        .admin(1, "links")
+        .admin_response(1, "links")
         .await
         .unwrap()
         .contains("not turned on"));
     // Any one controller may be terminated, and the others still complete jobs.
     for number in 0..3 {
-        deployment.end_controller(number);
+        deployment.kill_controller(number);
         let id = format!("wk-00001{number}");
         submit_until_accepted(&deployment, &id, "group", 2).await;
         wait_for_status(&deployment, &id, "done").await;
@@ -224,7 +224,7 @@
     })
     .await;
     wait_until("the job does not show its pending reason", || async {
-        let job = deployment.admin(leader, "jobs/wk-000001").await;
+        let job = deployment.admin_response(leader, "jobs/wk-000001").await;
         job.unwrap_or_default()
             .contains("this controller can't write")
     })
@@ -246,7 +246,7 @@
     refuse_transactions_while_tasks_start(&deployment).await;
     let leader_before = find_leader(&deployment).await;
     // Commands in flight arrive within half of this time; in the other half, many more tasks could start.
-    tokio::time::sleep(deployment.rules().unwritable_detection * 2).await;
+    tokio::time::sleep(deployment.invariant_limits().unwritable_detection * 2).await;
     assert_eq!(
         find_leader(&deployment).await,
         leader_before,
@@ -273,14 +273,14 @@
     let old_leader = find_leader(&deployment).await;
     deployment
         .link(LinkId::Store(old_leader))
-        .set(LinkMode::BLACKHOLE);
+        .set_mode(LinkMode::BLACKHOLE);
     for other in (0..3).filter(|other| *other != old_leader) {
         deployment
             .link(LinkId::Peer(old_leader, other))
-            .set(LinkMode::BLACKHOLE);
+            .set_mode(LinkMode::BLACKHOLE);
         deployment
             .link(LinkId::Peer(other, old_leader))
-            .set(LinkMode::BLACKHOLE);
+            .set_mode(LinkMode::BLACKHOLE);
     }
     let others: Vec<usize> = (0..3).filter(|other| *other != old_leader).collect();
     wait_until("the cancellation is not accepted", || async {
@@ -302,7 +302,7 @@
         },
     )
     .await;
-    tokio::time::sleep(deployment.rules().cancellation_deadline).await;
+    tokio::time::sleep(deployment.invariant_limits().cancellation_deadline).await;
     deployment.heal();
     wait_until(
         "the cancellation of the other job is not accepted",
@@ -342,7 +342,7 @@
     };
     deployment
         .link(LinkId::Peer(follower, leader))
-        .set(hold_responses);
+        .set_mode(hold_responses);
     wait_until(
         "the follower does not show its link to the leader as down",
         || async {
@@ -390,7 +390,7 @@
         for controller in 0..3 {
             deployment
                 .link(LinkId::Workers(zone, controller))
-                .set(LinkMode::BLACKHOLE);
+                .set_mode(LinkMode::BLACKHOLE);
         }
     }
     wait_until("the leader still reports healthy workers", || async {
@@ -399,7 +399,9 @@
     })
     .await;
     for follower in (0..3).filter(|other| *other != leader) {
-        let machine = deployment.admin(follower, "machines/m-000001").await;
+        let machine = deployment
+            .admin_response(follower, "machines/m-000001")
+            .await;
         let machine = machine.unwrap_or_default();
         assert!(!machine.contains("healthy"), "{machine}");
     }
@@ -433,7 +435,7 @@
         submit_until_accepted(&deployment, &id, kind, tasks).await;
         open_jobs.push(id);
     }
-    let faults = draw(seed, 3, length, 12);
+    let faults = generate_faults(seed, 3, length, 12);
     let half = faults.partition_point(|fault| fault.starts_at() < length / 2);
     let (first, second) = faults.split_at(half);
     deployment.inject(first).await;
@@ -460,7 +462,7 @@
     for id in &open_jobs {
         wait_for_completion(&deployment, id).await;
     }
-    tokio::time::sleep(deployment.rules().cancellation_deadline).await;
+    tokio::time::sleep(deployment.invariant_limits().cancellation_deadline).await;
     violations(&deployment)
 }
 
@@ -477,7 +479,7 @@
 
 async fn poll_all_jobs(deployment: &Deployment, ids: &[String]) {
     for id in ids {
-        for controller in 0..deployment.controllers() {
+        for controller in 0..deployment.controller_count() {
             deployment.poll(controller, id).await;
         }
     }
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -36,7 +36,7 @@
     assert_eq!(number(&done, "done"), 5);
     controller.wait_for_status("wk-000002", "done").await;
     assert!(
-        environment.cloud.count() >= 3,
+        environment.cloud.machine_count() >= 3,
         "each member of the gang of three needs a whole machine"
     );
     drop(controller);
@@ -247,7 +247,7 @@
     controller
         .submit_until_accepted(&job("wk-000900", "array", 5000, 16.0))
         .await;
-    let requests_before = environment.store.requests();
+    let requests_before = environment.store.request_count();
     let queries = 400;
     let (known, unknown): (Vec<_>, Vec<_>) = {
         let known = (0..queries / 2).map(|_| controller.poll("wk-000900"));
@@ -260,7 +260,7 @@
     };
     assert!(known.iter().all(|(status, _)| *status == 200));
     assert!(unknown.iter().all(|(status, _)| *status == 404));
-    let store_requests = environment.store.requests() - requests_before;
+    let store_requests = environment.store.request_count() - requests_before;
     assert!(
         store_requests < queries / 4,
         "{store_requests} store requests for {queries} job queries"
