--- a/tests/common/play.rs
+++ b/tests/common/scenario.rs
@@ -9,7 +9,7 @@
 
 use crate::common;
 use crate::scene::{array, gang};
-use crate::world::{Trouble, World};
+use crate::simulation::{Simulation, TimedFault};
 
 /// How long after the last trouble everything must be over.
 pub const SETTLE_TIME_S: f64 = 260.0;
@@ -21,9 +21,9 @@
 }
 
 /// The jobs of every play: gangs in one zone, arrays, single tasks, one team near its limit.
-fn jobs(at: usize) -> (JobSpec, f64) {
-    let id = format!("wk-{:06}", at + 1);
-    match at % 5 {
+fn nth_job(index: usize) -> (JobSpec, f64) {
+    let id = format!("wk-{:06}", index + 1);
+    match index % 5 {
         0 => (gang(&id, 2), 25.0),
         1 => (array(&id, 3), 12.0),
         2 => {
@@ -44,59 +44,68 @@
 
 /// How to play.
 #[derive(Clone, Copy)]
-pub struct Play {
+pub struct Scenario {
     /// Whether links are turned on.
-    pub links_on: bool,
+    pub links_enabled: bool,
 }
 
-impl Play {
+impl Scenario {
     /// Plays the troubles with jobs that come all the while; nothing may break, and all must end.
-    pub fn play(&self, seed: u64, troubles: &[Trouble]) -> World {
-        let mut world = World::with_links(seed, &settings(), self.links_on);
-        let last = troubles.iter().map(|t| t.at + t.lasts).fold(20.0, f64::max);
-        world.calm_from = last;
-        let count = (last / 4.0) as usize;
-        for at in 0..count {
-            world.play(2.0 + at as f64 * 4.0, troubles);
-            let (spec, run_s) = jobs(at);
-            world.want(spec, run_s);
+    pub fn run(&self, seed: u64, faults: &[TimedFault]) -> Simulation {
+        let mut simulation = Simulation::with_links(seed, &settings(), self.links_enabled);
+        let faults_end_at = faults
+            .iter()
+            .map(|fault| fault.starts_at + fault.duration_s)
+            .fold(20.0, f64::max);
+        simulation.faults_end_at = faults_end_at;
+        let job_count = (faults_end_at / 4.0) as usize;
+        for index in 0..job_count {
+            simulation.run_until(2.0 + index as f64 * 4.0, faults);
+            let (spec, run_s) = nth_job(index);
+            simulation.submit_job(spec, run_s);
         }
-        world.play(last + SETTLE_TIME_S, troubles);
+        simulation.run_until(faults_end_at + SETTLE_TIME_S, faults);
         assert_eq!(
-            world.broken,
+            simulation.violations,
             Vec::<String>::new(),
-            "seed {seed}: {troubles:?}"
+            "seed {seed}: {faults:?}"
         );
-        let unfinished = world.unfinished();
-        let why: Vec<String> = unfinished.iter().map(|id| world.explain(id)).collect();
+        let unfinished = simulation.unfinished();
+        let details: Vec<String> = unfinished
+            .iter()
+            .map(|id| simulation.describe_job(id))
+            .collect();
         assert!(
             unfinished.is_empty(),
-            "seed {seed}: {unfinished:?}: {why:#?}\n{troubles:?}"
+            "seed {seed}: {unfinished:?}: {details:#?}\n{faults:?}"
         );
-        assert!(world.starts >= count, "seed {seed}: work was done");
-        note_hash(seed, &world);
-        world
+        assert!(
+            simulation.task_starts >= job_count,
+            "seed {seed}: fewer task task_starts than jobs"
+        );
+        append_run_hash(seed, &simulation);
+        simulation
     }
 
     /// Plays the same troubles with each seed, begun at a moment that differs.
-    pub fn seeds(
+    pub fn run_seeds(
         &self,
         seeds: std::ops::Range<u64>,
-        troubles: impl Fn(f64) -> Vec<Trouble>,
-    ) -> Vec<World> {
+        faults: impl Fn(f64) -> Vec<TimedFault>,
+    ) -> Vec<Simulation> {
         seeds
-            .map(|seed| self.play(seed, &troubles((seed % 7) as f64)))
+            .map(|seed| self.run(seed, &faults((seed % 7) as f64)))
             .collect()
     }
 }
 
 /// Appends the hash of a run to the file that `KNOTLANDING_RUN_HASHES` names, if it is set: sorted,
 /// the lines of two versions that behave alike are the same.
-fn note_hash(seed: u64, world: &World) {
+fn append_run_hash(seed: u64, simulation: &Simulation) {
     let Some(file) = std::env::var_os("KNOTLANDING_RUN_HASHES") else {
         return;
     };
-    let line = format!("{seed} {:016x}\n", world.run_hash());
+    let line = format!("{seed} {:016x}\n", simulation.run_hash());
     let mut file = OpenOptions::new()
         .create(true)
         .append(true)
@@ -106,7 +115,7 @@
 }
 
 /// Seeds of every scene; more are played by `KNOTLANDING_SEEDS` when hunting.
-pub fn drawn() -> std::ops::Range<u64> {
-    let more = std::env::var("KNOTLANDING_SEEDS").ok();
-    1..more.and_then(|n| n.parse().ok()).unwrap_or(5)
+pub fn seed_range() -> std::ops::Range<u64> {
+    let limit = std::env::var("KNOTLANDING_SEEDS").ok();
+    1..limit.and_then(|text| text.parse().ok()).unwrap_or(5)
 }
--- /dev/null
+++ b/tests/common/simulation.rs
@@ -0,0 +1,362 @@
+//! A model of everything around the controllers: state service, network, cloud, workers, users.
+//!
+//! The controllers' own parts (replica, role, cluster state, round, the handler of reports) run as they
+//! are; what their actors do between them is played here step by step, in an order that a seed
+//! draws. After every step the protocol's rules are checked as invariants.
+
+#![allow(dead_code)]
+
+#[path = "simulation/cloud.rs"]
+mod cloud;
+#[path = "simulation/controllers.rs"]
+mod controllers;
+#[path = "simulation/delivery.rs"]
+mod delivery;
+#[path = "simulation/faults.rs"]
+mod faults;
+#[path = "simulation/forwarding.rs"]
+mod forwarding;
+#[path = "simulation/invariants.rs"]
+mod invariants;
+#[path = "simulation/links.rs"]
+mod links;
+#[path = "simulation/run_hash.rs"]
+mod run_hash;
+#[path = "simulation/state_service.rs"]
+mod state_service;
+#[path = "simulation/users.rs"]
+mod users;
+#[path = "simulation/workers.rs"]
+mod workers;
+
+use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::sync::Arc;
+use std::time::{Duration, Instant, SystemTime};
+
+use actix_web::HttpResponse;
+use futures_util::FutureExt;
+use knotlanding::api::workers::{receive_heartbeat, HeartbeatOutcome};
+use knotlanding::cluster::{
+    AddressedCommand, Cluster, HeartbeatOrdering, HeartbeatSource, Machine, RecordKind,
+};
+use knotlanding::config::{Peer, Settings, WorkerSettings};
+use knotlanding::demand::UnmetDemand;
+use knotlanding::fleet::{self, CapacityBackoff, FleetView, IdlePolicy, ScalingAction};
+use knotlanding::leader::Leadership;
+use knotlanding::model::{
+    FencingToken, JobId, JobKind, JobSpec, MachineId, MachinePool, Resources, Term, Verdict,
+};
+use knotlanding::policy::SchedulingPolicy;
+use knotlanding::sched::{self, Decisions};
+use knotlanding::service::Shared;
+use knotlanding::store::keys::{self, JobDescription, JobRecord, LeaderRecord, TermRecord};
+use knotlanding::store::replica::VerdictState;
+use knotlanding::store::{
+    to_value, Change, Condition, KeyValue, StoreError, Transaction, TransactionOutcome, Value,
+    WatchEvent,
+};
+use knotlanding::timing::{lease_renewal_interval, LEADER_LEASE_MIN};
+use knotlanding::wire::{
+    self, ExitCause, Heartbeat, HeartbeatResponse, ListedMachine, Redirect, TaskPhase, TaskStatus,
+    WorkerCommand,
+};
+use rand::rngs::StdRng;
+use rand::{Rng, SeedableRng};
+
+use crate::scene::machine_types;
+use controllers::Controller;
+use delivery::Message;
+pub use faults::{timed_fault, Fault, TimedFault};
+pub use forwarding::BatchFaults;
+use forwarding::ForwardingState;
+pub use links::TimedLinkFault;
+use links::{ControllerLinks, RowOutcome};
+use run_hash::RunHash;
+use state_service::{RequestPurpose, Store, StoreRequest, StoreResponse};
+use users::UserJob;
+use workers::{occupies_machine, task_parts, Task, Worker};
+
+/// Time of one step.
+const STEP_S: f64 = 0.05;
+/// A request to the state service without an answer by then has an unknown outcome.
+const STORE_TIMEOUT_S: f64 = 1.5;
+/// A worker gives an answer up.
+const WORKER_TIMEOUT_S: f64 = 4.0;
+/// Machines that the cloud has of each type.
+const MACHINES_PER_TYPE_MAX: usize = 8;
+
+/// Everything.
+pub struct Simulation {
+    rng: StdRng,
+    pub now_s: f64,
+    started_at: Instant,
+    settings: Settings,
+    policy: SchedulingPolicy,
+    store: Store,
+    store_out_until: f64,
+    store_delay: (f64, f64),
+    controller_refused: Option<(usize, f64)>,
+    controller_without_reads: Option<(usize, f64)>,
+    controller_cut_from_workers: Option<(usize, f64)>,
+    unanswered_transactions: (f64, bool, f64),
+    duplicate_heartbeats: (f64, bool, f64),
+    cancel_at_completion: (f64, f64),
+    batch_faults: (BatchFaults, f64),
+    isolated_follower: Option<(usize, f64)>,
+    /// Links are turned on at every node.
+    links_enabled: bool,
+    link_faults: Vec<TimedLinkFault>,
+    writes_refused_until: f64,
+    /// Leads that were handed over by what the matrix said.
+    pub handovers: usize,
+    /// Batches that followers sent.
+    pub batches_sent: usize,
+    /// Batches that were refused for their age.
+    pub stale_batches: usize,
+    /// Answers that followers passed on.
+    pub responses_relayed: usize,
+    kept_heartbeats: Vec<Heartbeat>,
+    controllers: Vec<Controller>,
+    workers: BTreeMap<String, Worker>,
+    machines_created: usize,
+    /// Gone machines that the list still shows, with the time until which it does.
+    failed_machines: BTreeMap<String, (MachinePool, f64)>,
+    in_flight: Vec<(f64, u64, Message)>,
+    messages_posted: u64,
+    jobs: BTreeMap<String, UserJob>,
+    completed_tasks: BTreeSet<String>,
+    pub violations: Vec<String>,
+    /// Starts of a task whose job's user had been told of its cancellation.
+    pub starts_of_cancelled_jobs: usize,
+    /// Started tasks.
+    pub task_starts: usize,
+    pub failovers: usize,
+    pub kept_heartbeats_delivered: usize,
+    /// The nodes refuse each other's connections.
+    pub peers_refuse_connections: bool,
+    /// From then on there are no troubles, and nobody waits for nothing.
+    pub faults_end_at: f64,
+    /// Since when jobs wait though there is room for them.
+    placeable_since: BTreeMap<String, f64>,
+    run_hash: RunHash,
+}
+
+impl Simulation {
+    pub fn new(seed: u64, settings_text: &str) -> Self {
+        Self::with_links(seed, settings_text, false)
+    }
+
+    /// The same with links turned on, or not.
+    pub fn with_links(seed: u64, settings_text: &str, links_enabled: bool) -> Self {
+        let settings = Settings::parse(settings_text, "a test").unwrap();
+        let started_at = Instant::now();
+        let mut simulation = Self {
+            rng: StdRng::seed_from_u64(seed),
+            now_s: 0.0,
+            started_at,
+            policy: SchedulingPolicy::new(&settings),
+            store: Store::default(),
+            store_out_until: 0.0,
+            store_delay: (0.0, 0.0),
+            controller_refused: None,
+            controller_without_reads: None,
+            controller_cut_from_workers: None,
+            unanswered_transactions: (0.0, false, 0.0),
+            duplicate_heartbeats: (0.0, false, 0.0),
+            cancel_at_completion: (0.0, 0.0),
+            batch_faults: (BatchFaults::default(), 0.0),
+            isolated_follower: None,
+            links_enabled,
+            link_faults: Vec::new(),
+            writes_refused_until: 0.0,
+            handovers: 0,
+            batches_sent: 0,
+            stale_batches: 0,
+            responses_relayed: 0,
+            kept_heartbeats: Vec::new(),
+            controllers: Vec::new(),
+            workers: BTreeMap::new(),
+            machines_created: 0,
+            failed_machines: BTreeMap::new(),
+            in_flight: Vec::new(),
+            messages_posted: 0,
+            jobs: BTreeMap::new(),
+            completed_tasks: BTreeSet::new(),
+            violations: Vec::new(),
+            starts_of_cancelled_jobs: 0,
+            task_starts: 0,
+            failovers: 0,
+            kept_heartbeats_delivered: 0,
+            // What peers tell only makes things faster; nothing may hang on it.
+            peers_refuse_connections: seed % 2 == 1,
+            faults_end_at: f64::INFINITY,
+            placeable_since: BTreeMap::new(),
+            run_hash: RunHash::default(),
+            settings,
+        };
+        for number in 0..3 {
+            let controller = simulation.new_controller(number, 1);
+            simulation.controllers.push(controller);
+        }
+        for at in 0..6 {
+            let pool = MachinePool {
+                machine_type: if at % 2 == 0 { "cpu16" } else { "gpu2" }.to_owned(),
+                zone: if at % 4 < 2 { "north" } else { "south" }.to_owned(),
+                spot: false,
+            };
+            let name = simulation.new_machine_name();
+            simulation.boot_machine(name, pool);
+        }
+        simulation
+    }
+
+    fn instant(&self) -> Instant {
+        self.started_at + Duration::from_secs_f64(self.now_s)
+    }
+
+    fn wall_clock(&self) -> SystemTime {
+        crate::scene::wall() + Duration::from_secs_f64(self.now_s)
+    }
+
+    /// The time of day by a node's own clock: they differ by the bound in the settings.
+    fn wall_clock_of(&self, controller: usize) -> SystemTime {
+        let skew = Duration::from_secs_f64(self.settings.params.clock_off_ms / 1_000.0);
+        match controller {
+            0 => self.wall_clock() - skew,
+            1 => self.wall_clock(),
+            _ => self.wall_clock() + skew,
+        }
+    }
+
+    /// How long the gates of the present processes have refused placements, in seconds.
+    pub fn gates_refused_s(&self) -> f64 {
+        let now = self.instant();
+        let active = self
+            .controllers
+            .iter()
+            .filter_map(|controller| controller.shared.links.active());
+        let refused = active.map(|links| links.table.lock().gate_refused_for(now));
+        refused.sum::<Duration>().as_secs_f64()
+    }
+
+    fn worker_settings(&self) -> WorkerSettings {
+        self.settings.params.workers.clone()
+    }
+
+    fn draw_latency(&mut self) -> f64 {
+        if self.rng.random_bool(0.03) {
+            self.rng.random_range(0.05..0.4)
+        } else {
+            self.rng.random_range(0.001..0.03)
+        }
+    }
+
+    fn deliver_after(&mut self, after: f64, message: Message) {
+        self.messages_posted += 1;
+        self.in_flight
+            .push((self.now_s + after, self.messages_posted, message));
+    }
+
+    fn send(&mut self, message: Message) {
+        let after = self.draw_latency();
+        self.deliver_after(after, message);
+    }
+
+    /// Plays until then.
+    pub fn run_until(&mut self, until: f64, faults: &[TimedFault]) {
+        while self.now_s < until && self.violations.is_empty() {
+            self.now_s += STEP_S;
+            let now_s = self.now_s;
+            for fault in faults {
+                if fault.starts_at > now_s - STEP_S && fault.starts_at <= now_s {
+                    self.start_fault(fault);
+                }
+            }
+            let mut due: Vec<(f64, u64, Message)> = Vec::new();
+            let mut later = Vec::new();
+            for message in std::mem::take(&mut self.in_flight) {
+                if message.0 <= now_s {
+                    due.push(message);
+                } else {
+                    later.push(message);
+                }
+            }
+            self.in_flight = later;
+            due.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
+            due.into_iter()
+                .for_each(|(_, _, message)| self.deliver(message));
+            (0..3).for_each(|controller| self.step_controller(controller));
+            let names: Vec<String> = self.workers.keys().cloned().collect();
+            names.iter().for_each(|name| self.step_worker(name));
+            self.step_users();
+            self.hash_step();
+            self.check_invariants();
+            // Once a second is enough for a wait of ninety.
+            if now_s > self.faults_end_at && ((now_s / STEP_S) as u64).is_multiple_of(20) {
+                self.check_waiting_jobs();
+            }
+        }
+    }
+
+    /// Workers by the node to which they report.
+    pub fn workers_by_controller(&self) -> Vec<usize> {
+        let at = |controller| {
+            self.workers
+                .values()
+                .filter(|w| w.controller == controller)
+                .count()
+        };
+        (0..self.controllers.len()).map(at).collect()
+    }
+
+    /// Sessions that ended with their lease, on the machines that are there.
+    pub fn sessions_ended(&self) -> u64 {
+        self.workers.values().map(|w| w.epoch - 1).sum()
+    }
+
+    /// Who leads.
+    pub fn leading_controller(&self) -> Option<usize> {
+        self.leader()
+    }
+
+    /// Jobs that are neither over nor known to be, for the test that everything ends.
+    pub fn unfinished(&self) -> Vec<String> {
+        let unfinished = self.jobs.iter().filter(|(_, job)| {
+            job.observed_done_at.is_none() && job.observed_cancelled_at.is_none()
+        });
+        unfinished.map(|(id, _)| id.clone()).collect()
+    }
+
+    /// Where a job's tasks are by the leader's cluster state, and by the machines themselves.
+    pub fn describe_job(&self, id: &str) -> String {
+        let mut lines = Vec::new();
+        for (index, controller) in self.controllers.iter().enumerate() {
+            if let Some(cluster) = controller.shared.cluster.lock().as_ref() {
+                let job = cluster.jobs.get(&JobId::parse(id).unwrap());
+                lines.push(format!(
+                    "knot-{index}: {job:?}, unreconciled {:?}",
+                    cluster.unreconciled
+                ));
+            }
+        }
+        for (name, worker) in &self.workers {
+            for ((task, attempt), state) in &worker.tasks {
+                if task_parts(task).0 == id {
+                    lines.push(format!("{name}: {task}#{attempt:x} {state:?}"));
+                }
+            }
+        }
+        lines.join("\n")
+    }
+
+    /// How many were told as done, and as cancelled.
+    pub fn ended_job_counts(&self) -> (usize, usize) {
+        let jobs = || self.jobs.values();
+        (
+            jobs().filter(|job| job.observed_done_at.is_some()).count(),
+            jobs()
+                .filter(|job| job.observed_cancelled_at.is_some())
+                .count(),
+        )
+    }
+}
--- /dev/null
+++ b/tests/common/simulation/controllers.rs
@@ -0,0 +1,623 @@
+//! The model's controllers: their own parts run as they are, their actors are played.
+
+use super::*;
+
+pub(super) struct Controller {
+    pub(super) name: String,
+    pub(super) shared: Arc<Shared>,
+    pub(super) incarnation: u64,
+    pub(super) is_running: bool,
+    pub(super) restart_at: f64,
+    pub(super) paused_until: f64,
+    pub(super) replica_loaded: bool,
+    pub(super) read_in_flight: bool,
+    pub(super) next_read_at: f64,
+    pub(super) next_election_at: f64,
+    pub(super) election_in_flight: bool,
+    pub(super) renewal_in_flight: bool,
+    pub(super) next_cycle_at: f64,
+    pub(super) cycle_due: Option<(Term, f64)>,
+    pub(super) writes_paused_until: f64,
+    pub(super) next_fleet_step_at: f64,
+    pub(super) unmet_demand: Vec<UnmetDemand>,
+    pub(super) capacity_backoff: CapacityBackoff,
+    pub(super) held_messages: Vec<Message>,
+    pub(super) forwarding_state: ForwardingState,
+    pub(super) links: ControllerLinks,
+}
+
+impl Simulation {
+    pub(super) fn new_controller(&self, number: usize, incarnation: u64) -> Controller {
+        let mut settings = self.settings.clone();
+        settings.member = format!("knot-{number}");
+        let others = (0..3).filter(|other| *other != number);
+        settings.peers = others
+            .map(|other| Peer {
+                member: format!("knot-{other}"),
+                zone: "north".to_owned(),
+                peer_addr: "127.0.0.1:9".parse().unwrap(),
+            })
+            .collect();
+        let shared = Shared::with_features(settings, self.features());
+        *shared.catalog.lock() = Some(Arc::new(machine_types()));
+        Controller {
+            name: format!("knot-{number}"),
+            shared,
+            incarnation,
+            is_running: true,
+            restart_at: 0.0,
+            paused_until: 0.0,
+            replica_loaded: false,
+            read_in_flight: false,
+            next_read_at: self.now_s,
+            next_election_at: self.now_s,
+            election_in_flight: false,
+            renewal_in_flight: false,
+            next_cycle_at: self.now_s,
+            cycle_due: None,
+            writes_paused_until: 0.0,
+            next_fleet_step_at: self.now_s + 1.0,
+            unmet_demand: Vec::new(),
+            capacity_backoff: CapacityBackoff::default(),
+            held_messages: Vec::new(),
+            forwarding_state: ForwardingState::default(),
+            links: ControllerLinks::default(),
+        }
+    }
+
+    pub(super) fn handle_store_response(
+        &mut self,
+        controller: usize,
+        response: StoreResponse,
+        purpose: RequestPurpose,
+        sent: f64,
+    ) {
+        let (now, wall_clock) = (self.instant(), self.wall_clock_of(controller));
+        let sent_at = self.started_at + Duration::from_secs_f64(sent);
+        let shared = self.controllers[controller].shared.clone();
+        let failed = response.failure().cloned();
+        if failed.as_ref().is_some_and(StoreError::shows_outage) {
+            shared.election.lock().freshness().invalidate(now);
+        }
+        self.record_store_outcome(controller, &purpose, failed.as_ref(), sent);
+        match (&purpose, response) {
+            (RequestPurpose::Load, StoreResponse::Rows(rows, revision)) => {
+                let changes = shared.replica.lock().load(rows, revision);
+                shared.replica_changed_at(&changes, now, wall_clock);
+                shared.replica_complete(sent_at);
+                self.controllers[controller].replica_loaded = true;
+            }
+            (
+                RequestPurpose::Read | RequestPurpose::Poll(_) | RequestPurpose::CancelRead(_),
+                StoreResponse::Events(events, revision),
+            ) => {
+                let changes = shared.replica.lock().apply(&events, revision);
+                shared.replica_changed_at(&changes, now, wall_clock);
+                shared.replica_complete(sent_at);
+            }
+            (RequestPurpose::Grant, StoreResponse::Lease(id)) => {
+                shared.election.lock().hold_lease(id, sent_at);
+                self.send_election(controller, id);
+                return;
+            }
+            (RequestPurpose::Renew(id), StoreResponse::Acknowledged) => {
+                shared.election.lock().lease_renewed(*id, sent_at)
+            }
+            (RequestPurpose::Renew(_), StoreResponse::LeaseExpired) => self.step_down(controller),
+            (RequestPurpose::Write(kind, term), StoreResponse::TransactionOutcome(outcome)) => {
+                self.apply_write_outcome(controller, kind, *term, &outcome);
+            }
+            (RequestPurpose::Write(kind, term), StoreResponse::Failed(error)) => {
+                self.apply_write_outcome(
+                    controller,
+                    kind,
+                    *term,
+                    &TransactionOutcome::Failed(error),
+                );
+            }
+            (
+                RequestPurpose::Submit(id),
+                StoreResponse::TransactionOutcome(TransactionOutcome::Committed(_)),
+            ) => {
+                // The answer reaches the user a little later; by then others may know more.
+                self.observe_verdict(id, sent, Some(Verdict::Accepted));
+            }
+            (
+                RequestPurpose::Submit(id),
+                StoreResponse::TransactionOutcome(TransactionOutcome::Conflict { .. }),
+            ) => self.poll(id),
+            (
+                RequestPurpose::Cancel(id),
+                StoreResponse::TransactionOutcome(TransactionOutcome::Committed(_)),
+            ) => {
+                self.notify_cancellation(controller, id);
+                self.observe_verdict(id, sent, Some(Verdict::Cancelled));
+            }
+            _ => {}
+        }
+        self.finish_store_request(controller, purpose, failed.is_none(), sent);
+    }
+
+    /// A cancellation is on record: the node tells its peers.
+    fn notify_cancellation(&mut self, controller: usize, id: &str) {
+        let shared = self.controllers[controller].shared.clone();
+        let job = JobId::parse(id).unwrap();
+        shared.cancellation_recorded(&job);
+        let jobs = shared.cancellations.take();
+        let refuse = self.peers_refuse_connections;
+        for peer in (0..3).filter(|peer| *peer != controller && !refuse) {
+            self.send(Message::CancellationNotice(peer, jobs.clone()));
+        }
+    }
+
+    /// What follows the end of a request, whatever its answer was.
+    fn finish_store_request(
+        &mut self,
+        controller: usize,
+        purpose: RequestPurpose,
+        succeeded: bool,
+        sent: f64,
+    ) {
+        let shared = self.controllers[controller].shared.clone();
+        match purpose {
+            RequestPurpose::Load | RequestPurpose::Read => {
+                self.controllers[controller].read_in_flight = false
+            }
+            RequestPurpose::Renew(_) => self.controllers[controller].renewal_in_flight = false,
+            RequestPurpose::Grant | RequestPurpose::Elect(_) => {
+                self.controllers[controller].election_in_flight = false;
+                self.controllers[controller].next_election_at =
+                    self.now_s + self.rng.random_range(0.15..0.3);
+            }
+            RequestPurpose::Poll(id) if succeeded => {
+                let verdict = shared.replica.lock().verdict(&JobId::parse(&id).unwrap());
+                let verdict = known_verdict(verdict);
+                self.observe_verdict(&id, sent, verdict);
+            }
+            RequestPurpose::CancelRead(id) if succeeded => {
+                self.write_cancellation(controller, &id, sent)
+            }
+            _ => {}
+        }
+    }
+
+    pub(super) fn write_cancellation(&mut self, controller: usize, id: &str, sent: f64) {
+        let job = JobId::parse(id).unwrap();
+        let shared = self.controllers[controller].shared.clone();
+        let (verdict, version, description) = {
+            let replica = shared.replica.lock();
+            let description = replica
+                .descriptions
+                .get(&job)
+                .map(|replicated| replicated.record.clone());
+            let verdict = known_verdict(replica.verdict(&job));
+            (verdict, replica.job_version(&job), description)
+        };
+        if verdict != Some(Verdict::Accepted) {
+            self.observe_verdict(id, sent, verdict);
+            return;
+        }
+        let record = JobRecord {
+            verdict: Verdict::Cancelled,
+            tasks: self.jobs[id].spec.tasks,
+            description,
+        };
+        let transaction = Transaction {
+            conditions: vec![Condition::new(keys::job(&job), version)],
+            changes: vec![Change::put(keys::job(&job), to_value(&record))],
+        };
+        self.send_store_request(
+            controller,
+            StoreRequest::Commit(transaction),
+            RequestPurpose::Cancel(id.to_owned()),
+        );
+    }
+
+    /// The election's transaction under a lease just granted.
+    pub(super) fn send_election(&mut self, controller: usize, lease: u64) {
+        let (term, version) = {
+            let replica = self.controllers[controller].shared.replica.lock();
+            (Term(replica.term.record.0 + 1), replica.term.version)
+        };
+        let record = LeaderRecord {
+            member: self.controllers[controller].name.clone(),
+            address: String::new(),
+            term,
+            lease,
+        };
+        let transaction = Transaction {
+            conditions: vec![
+                Condition::new(keys::LEADER, 0),
+                Condition::new(keys::TERM, version),
+            ],
+            changes: vec![
+                Change::Put {
+                    key: keys::LEADER.to_owned(),
+                    value: to_value(&record),
+                    lease: Some(lease),
+                },
+                Change::put(keys::TERM, to_value(&TermRecord { term })),
+            ],
+        };
+        self.send_store_request(
+            controller,
+            StoreRequest::Commit(transaction),
+            RequestPurpose::Elect(lease),
+        );
+    }
+
+    pub(super) fn step_down(&mut self, controller: usize) {
+        let shared = &self.controllers[controller].shared;
+        let mut election = shared.election.lock();
+        election.step_down();
+        *shared.cluster.lock() = None;
+    }
+
+    pub(super) fn step_down_and_revoke_lease(&mut self, controller: usize) {
+        let lease = self.controllers[controller]
+            .shared
+            .election
+            .lock()
+            .lease()
+            .map(|lease| lease.id());
+        self.step_down(controller);
+        if let Some(lease) = lease {
+            self.send_store_request(
+                controller,
+                StoreRequest::Revoke(lease),
+                RequestPurpose::Revoke,
+            );
+        }
+    }
+
+    pub(super) fn step_election(&mut self, controller: usize) {
+        let shared = self.controllers[controller].shared.clone();
+        let now = self.instant();
+        let leader = shared.replica.lock().leader.clone();
+        let Some(leader) = leader else {
+            let in_backoff = shared.election.lock().in_backoff(now);
+            let may = self.now_s >= self.controllers[controller].next_election_at && !in_backoff;
+            if !self.controllers[controller].election_in_flight
+                && may
+                && !self.yields_election(controller)
+            {
+                self.step_down_and_revoke_lease(controller);
+                self.controllers[controller].election_in_flight = true;
+                self.send_store_request(controller, StoreRequest::Grant, RequestPurpose::Grant);
+            }
+            return;
+        };
+        self.controllers[controller].links.vacant_since = None;
+        if shared.election.lock().is_own_record(&leader.record) {
+            if shared.election.lock().own_term().is_none() {
+                self.recover(controller, leader.record.term, leader.version);
+            }
+            if shared.election.lock().replica_too_stale_to_lead(now)
+                || self.should_hand_over(controller)
+            {
+                shared.election.lock().start_backoff(now);
+                self.step_down_and_revoke_lease(controller);
+                return;
+            }
+            let lease = shared.election.lock().lease().unwrap();
+            if !self.controllers[controller].renewal_in_flight
+                && now >= lease.renewal_sent_at() + lease_renewal_interval(LEADER_LEASE_MIN)
+            {
+                self.controllers[controller].renewal_in_flight = true;
+                self.send_store_request(
+                    controller,
+                    StoreRequest::Renew(lease.id()),
+                    RequestPurpose::Renew(lease.id()),
+                );
+            }
+            return;
+        }
+        if shared.election.lock().lease().is_some()
+            && !self.controllers[controller].election_in_flight
+        {
+            self.step_down_and_revoke_lease(controller);
+        }
+        let former = leader.record.member == self.controllers[controller].name;
+        if former
+            && !self.controllers[controller].election_in_flight
+            && self.now_s >= self.controllers[controller].next_election_at
+        {
+            self.controllers[controller].next_election_at = self.now_s + 0.2;
+            self.send_store_request(
+                controller,
+                StoreRequest::Revoke(leader.record.lease),
+                RequestPurpose::Revoke,
+            );
+        }
+    }
+
+    pub(super) fn recover(&mut self, controller: usize, term: Term, version: u64) {
+        self.failovers += 1;
+        let shared = self.controllers[controller].shared.clone();
+        let catalog = shared.catalog.lock().clone().unwrap();
+        let cluster = Cluster::recover(
+            term,
+            &shared.settings,
+            &shared.replica.lock(),
+            catalog,
+            self.instant(),
+            self.wall_clock(),
+        );
+        *shared.cluster.lock() = Some(cluster);
+        shared
+            .election
+            .lock()
+            .become_leader(Leadership { term, version });
+        // Copies that were kept for the next leader come to every node now.
+        for heartbeat in std::mem::take(&mut self.kept_heartbeats) {
+            for recipient in 0..3 {
+                self.kept_heartbeats_delivered += 1;
+                let after = self.rng.random_range(0.0..3.0);
+                let heartbeat = Box::new(heartbeat.clone());
+                self.deliver_after(after, Message::Heartbeat(recipient, heartbeat, None));
+            }
+        }
+    }
+
+    pub(super) fn apply_write_outcome(
+        &mut self,
+        controller: usize,
+        kind: &RecordKind,
+        term: Term,
+        outcome: &TransactionOutcome,
+    ) {
+        if !outcome.committed() {
+            self.controllers[controller].writes_paused_until = self.now_s + 0.4;
+        }
+        let shared = self.controllers[controller].shared.clone();
+        let mut guard = shared.cluster.lock();
+        if let Some(cluster) = guard.as_mut().filter(|c| c.term == term) {
+            cluster.apply_write_outcome(kind, outcome);
+        }
+    }
+
+    pub(super) fn run_scheduling_cycle(&mut self, controller: usize) {
+        let now = self.instant();
+        let shared = self.controllers[controller].shared.clone();
+        let Some(leadership) = shared.election.lock().leadership(now) else {
+            return;
+        };
+        let starting = shared.leadership_for_starts(now).is_some();
+        let due = self.controllers[controller]
+            .cycle_due
+            .replace((leadership.term, self.now_s + 1.0));
+        let direct = {
+            let mut guard = shared.cluster.lock();
+            let Some(cluster) = guard.as_mut().filter(|c| c.term == leadership.term) else {
+                return;
+            };
+            if let Some((_, due)) = due.filter(|(term, _)| *term == leadership.term) {
+                if self.now_s - due > 1.5 {
+                    cluster.resume_after_pause(Duration::from_secs_f64(self.now_s - due), now);
+                }
+            }
+            cluster.expire(now);
+            let decisions = if starting {
+                sched::run_cycle(cluster, &self.policy, now)
+            } else {
+                Decisions::default()
+            };
+            sched::apply(cluster, &decisions, now);
+            cluster.scheduling_needed = false;
+            if starting {
+                self.controllers[controller].unmet_demand = decisions.unmet_demand;
+            }
+            cluster.direct_commands(now)
+        };
+        if self.now_s >= self.controllers[controller].writes_paused_until {
+            self.write_due_records(controller, &leadership);
+        }
+        self.send_direct_commands(controller, direct);
+    }
+
+    /// Writes the records that are due, on condition that the node still leads.
+    fn write_due_records(&mut self, controller: usize, leadership: &Leadership) {
+        let now = self.instant();
+        let shared = self.controllers[controller].shared.clone();
+        let writes = {
+            let replica = shared.replica.lock();
+            let mut guard = shared.cluster.lock();
+            guard.as_mut().unwrap().due_writes(&replica, now)
+        };
+        for mut write in writes {
+            let condition = Condition::new(keys::LEADER, leadership.version);
+            write.transaction.conditions.push(condition);
+            let purpose = RequestPurpose::Write(write.kind, leadership.term);
+            self.send_store_request(controller, StoreRequest::Commit(write.transaction), purpose);
+        }
+    }
+
+    fn send_direct_commands(&mut self, controller: usize, direct: Vec<AddressedCommand>) {
+        let now = self.instant();
+        for AddressedCommand { machine, body, .. } in direct {
+            let incarnation = self.controllers[controller].incarnation;
+            let machine = machine.0.to_string();
+            let message = Message::DirectCommand(
+                controller,
+                incarnation,
+                machine,
+                body.token,
+                body.epoch,
+                body.commands,
+                now,
+            );
+            if !self.is_cut_from_workers(controller) {
+                self.send(message);
+            }
+        }
+    }
+
+    pub(super) fn is_cut_from_workers(&self, controller: usize) -> bool {
+        self.controller_cut_from_workers
+            .is_some_and(|(affected, until)| affected == controller && self.now_s < until)
+    }
+
+    pub(super) fn step_fleet(&mut self, controller: usize) {
+        let now = self.instant();
+        let shared = self.controllers[controller].shared.clone();
+        if shared.election.lock().leadership(now).is_none() {
+            return;
+        }
+        let machine_list = self.machine_list();
+        let incarnation = self.controllers[controller].incarnation;
+        let actions = {
+            let mut guard = shared.cluster.lock();
+            let Some(cluster) = guard.as_mut() else {
+                return;
+            };
+            cluster.apply_machine_list(&machine_list, now);
+            let unheard = cluster
+                .machines
+                .values()
+                .any(Machine::awaits_first_heartbeat);
+            if unheard
+                && now.saturating_duration_since(cluster.observing_since) < Duration::from_secs(5)
+            {
+                return;
+            }
+            fleet::detect_partitions(cluster, now);
+            let actions = fleet::plan(&FleetView {
+                cluster,
+                policy: &self.policy,
+                unmet_demand: &self.controllers[controller].unmet_demand,
+                capacity_backoff: &self.controllers[controller].capacity_backoff,
+                idle_policy: IdlePolicy::default(),
+                now,
+            });
+            for action in &actions {
+                if let ScalingAction::Release(ids, _) = action {
+                    for id in ids {
+                        if let Some(machine) = cluster.machines.get_mut(id) {
+                            machine.releasing = true;
+                        }
+                    }
+                }
+            }
+            actions
+        };
+        for action in actions {
+            match action {
+                ScalingAction::Rent(pool, count) => {
+                    self.send(Message::RentMachines(controller, incarnation, pool, count))
+                }
+                ScalingAction::Release(ids, _) => {
+                    self.send(Message::ReleaseMachines(controller, incarnation, ids))
+                }
+            }
+        }
+    }
+
+    pub(super) fn step_controller(&mut self, controller: usize) {
+        if !self.controllers[controller].is_running {
+            if self.now_s >= self.controllers[controller].restart_at {
+                let incarnation = self.controllers[controller].incarnation + 1;
+                self.controllers[controller] = self.new_controller(controller, incarnation);
+                self.raise_incarnation(controller, incarnation);
+            }
+            return;
+        }
+        if self.controllers[controller].paused_until > self.now_s {
+            return;
+        }
+        for message in std::mem::take(&mut self.controllers[controller].held_messages) {
+            self.deliver(message);
+        }
+        let now = self.instant();
+        let wants = self.controllers[controller]
+            .shared
+            .election
+            .lock()
+            .needs_confirming_read(now);
+        let due = self.now_s >= self.controllers[controller].next_read_at || wants;
+        if !self.controllers[controller].read_in_flight && due {
+            self.controllers[controller].read_in_flight = true;
+            self.controllers[controller].next_read_at =
+                self.now_s + self.rng.random_range(0.2..1.2);
+            if self.controllers[controller].replica_loaded {
+                let after = self.controllers[controller].shared.replica.lock().revision;
+                self.send_store_request(
+                    controller,
+                    StoreRequest::Read(after),
+                    RequestPurpose::Read,
+                );
+            } else {
+                self.send_store_request(controller, StoreRequest::Load, RequestPurpose::Load);
+            }
+        }
+        if self.controllers[controller].replica_loaded {
+            self.step_election(controller);
+        }
+        self.step_forwarding(controller);
+        self.step_links(controller);
+        if self.now_s >= self.controllers[controller].next_cycle_at {
+            self.controllers[controller].next_cycle_at =
+                self.now_s + self.rng.random_range(0.15..0.6);
+            self.run_scheduling_cycle(controller);
+        }
+        if self.now_s >= self.controllers[controller].next_fleet_step_at {
+            self.controllers[controller].next_fleet_step_at = self.now_s + 1.0;
+            self.step_fleet(controller);
+        }
+    }
+
+    /// Whether what came for a node is taken now; held while it stands still, lost with its life.
+    pub(super) fn accepts_message(
+        &mut self,
+        controller: usize,
+        incarnation: Option<u64>,
+        again: impl Fn() -> Message,
+    ) -> bool {
+        let state = &mut self.controllers[controller];
+        if !state.is_running
+            || incarnation.is_some_and(|incarnation| incarnation != state.incarnation)
+        {
+            return false;
+        }
+        if state.paused_until > self.now_s {
+            state.held_messages.push(again());
+            return false;
+        }
+        true
+    }
+
+    pub(super) fn leader(&self) -> Option<usize> {
+        let leads = |controller: &Controller| {
+            controller.is_running && controller.shared.election.lock().own_term().is_some()
+        };
+        let mut leading: Vec<usize> = (0..3)
+            .filter(|controller| leads(&self.controllers[*controller]))
+            .collect();
+        leading.sort_by_key(|controller| {
+            self.controllers[*controller]
+                .shared
+                .election
+                .lock()
+                .own_term()
+        });
+        leading.pop()
+    }
+
+    pub(super) fn draw_running_controller(&mut self) -> Option<usize> {
+        let is_running: Vec<usize> = (0..3)
+            .filter(|controller| {
+                self.controllers[*controller].is_running
+                    && self.controllers[*controller].paused_until <= self.now_s
+            })
+            .collect();
+        (!is_running.is_empty()).then(|| is_running[self.rng.random_range(0..is_running.len())])
+    }
+}
+
+/// The verdict in a replica without a bound on final verdicts, which evicts none.
+fn known_verdict(state: VerdictState) -> Option<Verdict> {
+    match state {
+        VerdictState::Recorded(verdict) => Some(verdict.verdict),
+        VerdictState::NoSuchJob => None,
+        VerdictState::MayBeEvicted => panic!("a verdict was evicted"),
+    }
+}
--- /dev/null
+++ b/tests/common/simulation/forwarding.rs
@@ -0,0 +1,288 @@
+//! The model's part for reports that followers forward: batches on their way, lost, held or doubled.
+
+use std::collections::HashMap;
+use std::time::Duration;
+
+use futures_util::FutureExt;
+use knotlanding::api::workers::{relay_response, upstream_unavailable};
+use knotlanding::forwarding::messages::{BatchAnswer, HeartbeatBatch, BATCH_VERSION};
+use knotlanding::forwarding::{
+    batch_delay, PendingHeartbeat, QueuedHeartbeat, UpstreamFailure, BATCH_TIMEOUT, RELAY_TIMEOUT,
+};
+use knotlanding::leader::Role;
+use knotlanding::peer::heartbeats::{answer_batch, BatchError};
+use knotlanding::peer::{decode, encode};
+use knotlanding::time::unix_ms;
+use knotlanding_testbed::proxy::Flow;
+use knotlanding_testbed::schedule::LinkId;
+use rand::Rng;
+
+use super::{Message, Simulation};
+
+/// What happens to batches, connection with its share.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct BatchFaults {
+    /// They don't arrive.
+    pub lost: f64,
+    /// They arrive seconds to a minute later.
+    pub held: f64,
+    /// They arrive twice, the second time up to two seconds later.
+    pub doubled: f64,
+    /// Their answers are held for seconds.
+    pub answers_held: f64,
+}
+
+/// A worker's connection that waits at a follower.
+struct WaitingConnection {
+    pending: PendingHeartbeat,
+    name: String,
+    epoch: u64,
+    number: u64,
+}
+
+/// A batch under way, with the time by which it is given up.
+struct SentBatch {
+    batch: Vec<QueuedHeartbeat>,
+    leader: knotlanding::leader::LeaderHint,
+    until: f64,
+}
+
+/// What a follower holds of forwarded reports; gone with its life.
+#[derive(Default)]
+pub struct ForwardingState {
+    waiting: Vec<WaitingConnection>,
+    sent_batches: HashMap<u64, SentBatch>,
+    last_batch_at: f64,
+    batches: u64,
+}
+
+impl Simulation {
+    /// A report was queued at a follower.
+    pub(super) fn hold_connection(
+        &mut self,
+        controller: usize,
+        pending: PendingHeartbeat,
+        (name, epoch, number): (String, u64, u64),
+    ) {
+        let waiting = WaitingConnection {
+            pending,
+            name,
+            epoch,
+            number,
+        };
+        self.controllers[controller]
+            .forwarding_state
+            .waiting
+            .push(waiting);
+    }
+
+    /// One step of a follower: sends what has gathered, passes answers on.
+    pub(super) fn step_forwarding(&mut self, controller: usize) {
+        self.time_out_batches(controller);
+        self.relay_responses(controller);
+        let batch_delay_s = batch_delay(&self.settings).as_secs_f64();
+        if self.now_s < self.controllers[controller].forwarding_state.last_batch_at + batch_delay_s
+        {
+            return;
+        }
+        self.controllers[controller].forwarding_state.last_batch_at = self.now_s;
+        let now = self.instant();
+        let shared = self.controllers[controller].shared.clone();
+        let role = shared.election.lock().role(now);
+        let Role::Follower(Some(leader)) = role else {
+            return shared.forwarding.lock().drop_queued();
+        };
+        let to = self
+            .controllers
+            .iter()
+            .position(|other| other.name == leader.member);
+        loop {
+            let batch = shared.forwarding.lock().next_batch(&leader, now);
+            let (Some(batch), Some(to)) = (batch, to) else {
+                return;
+            };
+            if self.peers_refuse_connections {
+                let failure = UpstreamFailure::ConnectionRefused;
+                shared
+                    .forwarding
+                    .lock()
+                    .record_batch_failure(&leader, failure, now);
+                continue;
+            }
+            let message = HeartbeatBatch {
+                version: BATCH_VERSION,
+                member: self.controllers[controller].name.clone(),
+                term: leader.term,
+                sent_at_ms: unix_ms(self.wall_clock_of(controller)),
+                heartbeats: batch
+                    .iter()
+                    .map(|queued| queued.heartbeat.clone())
+                    .collect(),
+            };
+            let bytes = encode(&message).unwrap();
+            let forwarding_state = &mut self.controllers[controller].forwarding_state;
+            forwarding_state.batches += 1;
+            let id = forwarding_state.batches;
+            let until = self.now_s + BATCH_TIMEOUT.as_secs_f64();
+            let sent_batches = SentBatch {
+                batch,
+                leader: leader.clone(),
+                until,
+            };
+            forwarding_state.sent_batches.insert(id, sent_batches);
+            self.batches_sent += 1;
+            self.send_batch(controller, to, id, bytes);
+        }
+    }
+
+    fn send_batch(&mut self, controller: usize, to: usize, id: u64, bytes: Vec<u8>) {
+        let (faults, until) = self.batch_faults;
+        let faults = if self.now_s < until {
+            faults
+        } else {
+            BatchFaults::default()
+        };
+        let isolated = self.isolated_follower;
+        let is_isolated =
+            isolated.is_some_and(|(follower, until)| follower == controller && self.now_s < until);
+        if is_isolated || self.rng.random_bool(faults.lost) {
+            return;
+        }
+        let incarnation = self.controllers[controller].incarnation;
+        let message = |bytes| Message::Batch(to, bytes, controller, incarnation, id);
+        if self.rng.random_bool(faults.held) {
+            let after = self.rng.random_range(2.0..60.0);
+            return self.deliver_after(after, message(bytes));
+        }
+        let link_fault = self.current_link_fault(LinkId::Peer(controller, to));
+        if self.withholds_request(&link_fault, Some(message(bytes.clone()))) {
+            return;
+        }
+        if self.rng.random_bool(faults.doubled) {
+            let after = self.rng.random_range(0.0..2.0);
+            self.deliver_after(after, message(bytes.clone()));
+        }
+        self.send(message(bytes));
+    }
+
+    /// A batch reaches the node that led when it was sent.
+    pub(super) fn receive_batch(
+        &mut self,
+        to: usize,
+        bytes: &[u8],
+        (from, incarnation, id): (usize, u64, u64),
+    ) {
+        let now = self.instant();
+        let wall_clock = self.wall_clock_of(to);
+        let answer = answer_batch(&self.controllers[to].shared, bytes, &|| now, wall_clock);
+        if matches!(answer, Err(BatchError::Stale(_))) {
+            self.stale_batches += 1;
+        }
+        // Only what goes over the wire reaches the follower.
+        let answer = answer.map_err(|error| error.status().as_u16());
+        let answer = answer.map(|answer| encode(&answer).unwrap());
+        let link_fault = self.current_link_fault(LinkId::Peer(from, to));
+        if link_fault.mode.responses != Flow::Pass {
+            return;
+        }
+        let (faults, until) = self.batch_faults;
+        let message = Message::BatchReply(from, incarnation, id, answer);
+        if self.now_s < until && self.rng.random_bool(faults.answers_held) {
+            let after = self.rng.random_range(1.0..8.0);
+            self.deliver_after(after, message);
+        } else {
+            self.send(message);
+        }
+    }
+
+    /// The leader's answer reaches the follower.
+    pub(super) fn receive_batch_reply(
+        &mut self,
+        controller: usize,
+        id: u64,
+        answer: Result<Vec<u8>, u16>,
+    ) {
+        let now = self.instant();
+        let Some(sent_batches) = self.controllers[controller]
+            .forwarding_state
+            .sent_batches
+            .remove(&id)
+        else {
+            return;
+        };
+        let shared = self.controllers[controller].shared.clone();
+        match answer {
+            Ok(bytes) => {
+                let answer: BatchAnswer = decode(&bytes).unwrap();
+                shared
+                    .forwarding
+                    .lock()
+                    .record_batch_success(&sent_batches.leader);
+                for (queued, answer) in sent_batches.batch.into_iter().zip(answer.answers) {
+                    queued.answer(answer);
+                }
+            }
+            Err(status) => {
+                assert_eq!(status, 409, "only the term or the age can be wrong");
+                let failure = UpstreamFailure::NotLeading;
+                shared
+                    .forwarding
+                    .lock()
+                    .record_batch_failure(&sent_batches.leader, failure, now);
+            }
+        }
+    }
+
+    fn time_out_batches(&mut self, controller: usize) {
+        let (now_s, now) = (self.now_s, self.instant());
+        let state = &mut self.controllers[controller];
+        let expired = state.forwarding_state.sent_batches.iter();
+        let expired = expired.filter(|(_, sent_batches)| sent_batches.until < now_s);
+        let expired: Vec<u64> = expired.map(|(id, _)| *id).collect();
+        for id in expired {
+            let Some(sent_batches) = state.forwarding_state.sent_batches.remove(&id) else {
+                continue;
+            };
+            let mut forwarding = state.shared.forwarding.lock();
+            forwarding.record_batch_failure(
+                &sent_batches.leader,
+                UpstreamFailure::Unresponsive,
+                now,
+            );
+        }
+    }
+
+    fn relay_responses(&mut self, controller: usize) {
+        let now = self.instant();
+        let shared = self.controllers[controller].shared.clone();
+        let waiting = std::mem::take(&mut self.controllers[controller].forwarding_state.waiting);
+        for mut connection in waiting {
+            let waited = now.saturating_duration_since(connection.pending.received_at);
+            let answer = match (&mut connection.pending.answer).now_or_never() {
+                Some(Ok(answer)) => relay_response(&connection.pending, answer, now),
+                Some(Err(_)) => upstream_unavailable(&shared, now),
+                None if waited >= RELAY_TIMEOUT + Duration::from_millis(1) => {
+                    upstream_unavailable(&shared, now)
+                }
+                None => {
+                    self.controllers[controller]
+                        .forwarding_state
+                        .waiting
+                        .push(connection);
+                    continue;
+                }
+            };
+            if answer.status() == 200 {
+                self.responses_relayed += 1;
+                shared
+                    .links
+                    .record_worker_response(&connection.pending.machine);
+            }
+            self.send_reply(
+                &connection.name,
+                (connection.epoch, connection.number),
+                answer,
+            );
+        }
+    }
+}
--- /dev/null
+++ b/tests/common/simulation/invariants.rs
@@ -0,0 +1,113 @@
+//! The protocol's rules, checked after every step.
+
+use super::*;
+
+/// How long a job may wait while a machine that fits has room and its team is under its limit.
+const WAIT_WITH_ROOM_MAX_S: f64 = 90.0;
+
+impl Simulation {
+    /// What must hold at every moment.
+    pub(super) fn check_invariants(&mut self) {
+        let cancel_s = self.worker_settings().cancel_s;
+        let mut violations = Vec::new();
+        let mut used: HashMap<String, Resources> = HashMap::new();
+        for (name, worker) in self.workers.iter().filter(|(_, w)| self.may_run_tasks(w)) {
+            for ((task, _), state) in &worker.tasks {
+                let (job, _) = task_parts(task);
+                let Some(job) = self.jobs.get(job).filter(|_| occupies_machine(state)) else {
+                    continue;
+                };
+                let team_total = used.entry(job.spec.team.clone()).or_default();
+                team_total.add(&job.spec.task_resources);
+                let past_limit = job
+                    .observed_cancelled_at
+                    .is_some_and(|at| self.now_s > at + cancel_s);
+                if past_limit && worker.hung_until <= self.now_s {
+                    violations.push(("ran_cancelled", format!("{task} on {name}")));
+                }
+            }
+        }
+        for (team, total) in used {
+            if !self.policy.within_limit(&team, &total) {
+                violations.push(("quota", format!("{team} uses {total:?}")));
+            }
+        }
+        for (rule, detail) in violations {
+            self.record_violation(rule, detail);
+        }
+    }
+
+    /// Whether tasks of the job wait while there is room for them.
+    pub(super) fn waits_despite_room(&self, id: &str) -> bool {
+        let job = &self.jobs[id];
+        let is_ended = job.observed_done_at.is_some() || job.cancel_requested;
+        if job.observed_accepted_at.is_none() || is_ended {
+            return false;
+        }
+        let placed = |task: &str| {
+            let on = |((at, _), state): (&(String, u64), &Task)| {
+                at == task && state.phase != TaskPhase::Exited
+            };
+            self.workers.values().any(|w| w.tasks.iter().any(on))
+        };
+        let tasks = (0..job.spec.tasks).map(|index| format!("{id}/{index}"));
+        let waiting = tasks.filter(|task| !self.completed_tasks.contains(task) && !placed(task));
+        let waiting = waiting.count() as u32;
+        if waiting == 0 {
+            return false;
+        }
+        let is_gang = job.spec.kind == JobKind::Gang;
+        if is_gang && waiting < job.spec.tasks {
+            // The rest of it has to stop first.
+            return false;
+        }
+        let tasks_to_place = if is_gang { waiting } else { 1 };
+        let mut used = job.spec.task_resources.times(tasks_to_place);
+        let mut zones: BTreeMap<&str, u32> = BTreeMap::new();
+        for worker in self.workers.values() {
+            let mut taken = job.spec.task_resources;
+            for ((task, _), state) in &worker.tasks {
+                let other = &self.jobs[task_parts(task).0].spec;
+                if state.phase != TaskPhase::Exited {
+                    taken.add(&other.task_resources);
+                    if other.team == job.spec.team {
+                        used.add(&other.task_resources);
+                    }
+                }
+            }
+            let machine_type = machine_types()
+                .into_iter()
+                .find(|known| known.name == worker.machine_type);
+            if machine_type.is_some_and(|machine_type| taken.fits(&machine_type.capacity)) {
+                *zones.entry(&worker.zone).or_default() += 1;
+            }
+        }
+        let has_room = zones.values().any(|count| *count >= tasks_to_place);
+        // An array bound to one zone has room where its other tasks are, or anywhere without any.
+        let bound_to_zone = job.spec.single_zone && !is_gang && waiting < job.spec.tasks;
+        has_room && !bound_to_zone && self.policy.within_limit(&job.spec.team, &used)
+    }
+
+    /// Nobody waits for nothing once the troubles are over.
+    pub(super) fn check_waiting_jobs(&mut self) {
+        let ids: Vec<String> = self.jobs.keys().cloned().collect();
+        for id in ids {
+            if !self.waits_despite_room(&id) {
+                self.placeable_since.remove(&id);
+                continue;
+            }
+            let now_s = self.now_s;
+            let waiting_since = *self.placeable_since.entry(id.clone()).or_insert(now_s);
+            if now_s - waiting_since > WAIT_WITH_ROOM_MAX_S {
+                self.record_violation("placeable_since", id);
+            }
+        }
+    }
+
+    pub(super) fn record_violation(&mut self, rule: &str, detail: String) {
+        let line = format!("{:.2}s {rule}: {detail}", self.now_s);
+        if self.violations.len() < 20 {
+            self.violations.push(line);
+        }
+    }
+}
--- a/tests/common/world/run_hash.rs
+++ b/tests/common/simulation/run_hash.rs
@@ -21,13 +21,13 @@
     }
 }
 
-impl World {
+impl Simulation {
     /// Takes in the state after a step.
     pub(super) fn hash_step(&mut self) {
         let mut run = std::mem::take(&mut self.run_hash);
         let hasher = &mut run.hasher;
-        self.t.to_bits().hash(hasher);
-        self.posted.hash(hasher);
+        self.now_s.to_bits().hash(hasher);
+        self.messages_posted.hash(hasher);
         self.store.revision.hash(hasher);
         for (version, event) in &self.store.events[run.events..] {
             version.hash(hasher);
@@ -38,7 +38,13 @@
         run.events = self.store.events.len();
         for (name, worker) in &self.workers {
             name.hash(hasher);
-            (worker.epoch, worker.sequence, worker.token, worker.node).hash(hasher);
+            (
+                worker.epoch,
+                worker.sequence,
+                worker.token,
+                worker.controller,
+            )
+                .hash(hasher);
             for ((task, attempt), state) in &worker.tasks {
                 (task, attempt).hash(hasher);
                 wire::encode(&state.phase).hash(hasher);
@@ -48,8 +54,8 @@
         }
         for (id, job) in &self.jobs {
             id.hash(hasher);
-            job.told_done.map(f64::to_bits).hash(hasher);
-            job.told_cancelled.map(f64::to_bits).hash(hasher);
+            job.observed_done_at.map(f64::to_bits).hash(hasher);
+            job.observed_cancelled_at.map(f64::to_bits).hash(hasher);
         }
         self.run_hash = run;
     }
--- /dev/null
+++ b/tests/common/simulation/users.rs
@@ -0,0 +1,156 @@
+//! The model's users: they submit, ask, cancel, and remember what they were told.
+
+use super::*;
+
+pub(super) struct UserJob {
+    pub(super) spec: JobSpec,
+    pub(super) run_s: f64,
+    pub(super) observed_accepted_at: Option<f64>,
+    pub(super) cancel_requested: bool,
+    pub(super) observed_cancelled_at: Option<f64>,
+    pub(super) observed_done_at: Option<f64>,
+    pub(super) cancel_at_completion: bool,
+}
+
+impl Simulation {
+    pub fn submit_job(&mut self, spec: JobSpec, run_s: f64) {
+        let id = spec.id.to_string();
+        let (share, until) = self.cancel_at_completion;
+        let cancel_at_completion = self.now_s < until && self.rng.random_bool(share);
+        let job = UserJob {
+            spec,
+            run_s,
+            observed_accepted_at: None,
+            cancel_requested: false,
+            observed_cancelled_at: None,
+            observed_done_at: None,
+            cancel_at_completion,
+        };
+        self.jobs.insert(id.clone(), job);
+        self.send_submission(&id);
+    }
+
+    pub(super) fn send_submission(&mut self, id: &str) {
+        let Some(controller) = self.draw_running_controller() else {
+            return;
+        };
+        let record = JobRecord {
+            verdict: Verdict::Accepted,
+            tasks: self.jobs[id].spec.tasks,
+            description: Some(JobDescription {
+                spec: self.jobs[id].spec.clone(),
+                submitted_ms: self
+                    .wall_clock()
+                    .duration_since(SystemTime::UNIX_EPOCH)
+                    .unwrap()
+                    .as_millis() as u64,
+                started: false,
+                hosts: None,
+            }),
+        };
+        let key = keys::job(&JobId::parse(id).unwrap());
+        let transaction = Transaction {
+            conditions: vec![Condition::new(key.clone(), 0)],
+            changes: vec![Change::put(key, to_value(&record))],
+        };
+        self.send_store_request(
+            controller,
+            StoreRequest::Commit(transaction),
+            RequestPurpose::Submit(id.to_owned()),
+        );
+    }
+
+    pub fn cancel(&mut self, id: &str) {
+        let Some(controller) = self
+            .draw_running_controller()
+            .filter(|controller| self.controllers[*controller].replica_loaded)
+        else {
+            return;
+        };
+        if let Some(job) = self.jobs.get_mut(id) {
+            job.cancel_requested = true;
+        }
+        let after = self.controllers[controller].shared.replica.lock().revision;
+        self.send_store_request(
+            controller,
+            StoreRequest::Read(after),
+            RequestPurpose::CancelRead(id.to_owned()),
+        );
+    }
+
+    pub(super) fn poll(&mut self, id: &str) {
+        let Some(controller) = self
+            .draw_running_controller()
+            .filter(|controller| self.controllers[*controller].replica_loaded)
+        else {
+            return;
+        };
+        let after = self.controllers[controller].shared.replica.lock().revision;
+        self.send_store_request(
+            controller,
+            StoreRequest::Read(after),
+            RequestPurpose::Poll(id.to_owned()),
+        );
+    }
+
+    /// Users' habits in one step.
+    pub(super) fn step_users(&mut self) {
+        let ids: Vec<String> = self.jobs.keys().cloned().collect();
+        for id in ids {
+            let job = &self.jobs[&id];
+            let is_ended = job.observed_cancelled_at.is_some() || job.observed_done_at.is_some();
+            if job.observed_accepted_at.is_none() && self.rng.random_bool(STEP_S) {
+                self.send_submission(&id);
+            } else if self
+                .rng
+                .random_bool(if is_ended { 0.004 } else { STEP_S / 4.0 })
+            {
+                self.poll(&id);
+            }
+            let job = &self.jobs[&id];
+            let repeats_cancel = job.cancel_requested && !is_ended && self.rng.random_bool(STEP_S);
+            let starts_cancel =
+                job.cancel_at_completion && !job.cancel_requested && self.all_tasks_completed(&id);
+            if repeats_cancel || starts_cancel {
+                self.cancel(&id);
+            }
+        }
+    }
+
+    pub(super) fn all_tasks_completed(&self, id: &str) -> bool {
+        let tasks = self.jobs[id].spec.tasks;
+        (0..tasks).all(|index| self.completed_tasks.contains(&format!("{id}/{index}")))
+    }
+
+    /// What a user is told, against all that anybody was told before the question was sent.
+    pub(super) fn observe_verdict(&mut self, id: &str, sent: f64, verdict: Option<Verdict>) {
+        let job = &self.jobs[id];
+        let before = |at: Option<f64>| at.is_some_and(|at| at < sent);
+        let violation = match verdict {
+            None if before(job.observed_accepted_at) => Some("forgotten"),
+            Some(Verdict::Accepted | Verdict::Done) if before(job.observed_cancelled_at) => {
+                Some("went_back")
+            }
+            Some(Verdict::Accepted | Verdict::Cancelled) if before(job.observed_done_at) => {
+                Some("went_back")
+            }
+            Some(Verdict::Cancelled) if !job.cancel_requested => Some("went_back"),
+            Some(Verdict::Done) if !self.all_tasks_completed(id) => Some("not_done"),
+            _ => None,
+        };
+        if let Some(rule) = violation {
+            self.record_violation(rule, format!("{id} {verdict:?}"));
+        }
+        let now_s = self.now_s;
+        if let Some(job) = self.jobs.get_mut(id) {
+            let at = match verdict {
+                None => return,
+                Some(Verdict::Accepted) => &mut job.observed_accepted_at,
+                Some(Verdict::Done) => &mut job.observed_done_at,
+                Some(Verdict::Cancelled) => &mut job.observed_cancelled_at,
+            };
+            at.get_or_insert(now_s);
+            job.observed_accepted_at.get_or_insert(now_s);
+        }
+    }
+}
--- a/tests/common/world/workers.rs
+++ b/tests/common/simulation/workers.rs
@@ -7,7 +7,7 @@
     pub(super) phase: TaskPhase,
     pub(super) cause: Option<ExitCause>,
     pub(super) until: f64,
-    pub(super) began: f64,
+    pub(super) phase_started_at: f64,
     pub(super) missing_since: Option<f64>,
 }
 
@@ -18,18 +18,18 @@
     pub(super) epoch: u64,
     pub(super) sequence: u64,
     pub(super) token: u64,
-    pub(super) base: f64,
-    pub(super) node: usize,
-    pub(super) next_report: f64,
+    pub(super) lease_started_at: f64,
+    pub(super) controller: usize,
+    pub(super) next_heartbeat_at: f64,
     /// Number, session and time of the report under way.
-    pub(super) waits: Option<(u64, u64, f64)>,
-    pub(super) changed: bool,
-    pub(super) last_report: f64,
-    pub(super) rose_at: f64,
+    pub(super) awaited_reply: Option<(u64, u64, f64)>,
+    pub(super) state_changed: bool,
+    pub(super) last_heartbeat_at: f64,
+    pub(super) token_raised_at: f64,
     pub(super) hung_until: f64,
-    pub(super) deaf_until: f64,
-    pub(super) mute_until: f64,
-    pub(super) held: Vec<Mail>,
+    pub(super) responses_lost_until: f64,
+    pub(super) heartbeats_lost_until: f64,
+    pub(super) held_messages: Vec<Message>,
     pub(super) tasks: BTreeMap<(String, u64), Task>,
 }
 
@@ -38,15 +38,15 @@
     (job, index.parse().unwrap())
 }
 
-pub(super) fn on_machine(task: &Task) -> bool {
+pub(super) fn occupies_machine(task: &Task) -> bool {
     matches!(
         task.phase,
         TaskPhase::AwaitingGang | TaskPhase::Running | TaskPhase::Checkpointing
     )
 }
 
-impl World {
-    pub(super) fn report_of(&mut self, name: &str) -> Box<Heartbeat> {
+impl Simulation {
+    pub(super) fn next_heartbeat(&mut self, name: &str) -> Box<Heartbeat> {
         let worker = self.workers.get_mut(name).unwrap();
         worker.sequence += 1;
         let tasks = worker
@@ -73,100 +73,111 @@
         })
     }
 
-    pub(super) fn worker(&mut self, name: &str) {
-        let timing = self.timing();
-        let t = self.t;
+    pub(super) fn step_worker(&mut self, name: &str) {
+        let worker_settings = self.worker_settings();
+        let now_s = self.now_s;
         let worker = self.workers.get_mut(name).unwrap();
-        if worker.hung_until > t {
+        if worker.hung_until > now_s {
             return;
         }
-        if t - worker.base > timing.lease_s {
+        if now_s - worker.lease_started_at > worker_settings.lease_s {
             worker.epoch += 1;
-            worker.base = t;
+            worker.lease_started_at = now_s;
             worker.tasks.clear();
-            worker.waits = None;
-            worker.changed = true;
+            worker.awaited_reply = None;
+            worker.state_changed = true;
         }
-        for mail in std::mem::take(&mut worker.held) {
-            self.deliver(mail);
+        for message in std::mem::take(&mut worker.held_messages) {
+            self.deliver(message);
         }
-        self.progress(name);
+        self.step_tasks(name);
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
-        if let Some((_, _, sent)) = worker.waits {
-            if t - sent > GIVES_UP {
-                worker.waits = None;
-                worker.node = (worker.node + 1) % 3;
-                worker.next_report = t + 1.0;
+        if let Some((_, _, sent)) = worker.awaited_reply {
+            if now_s - sent > WORKER_TIMEOUT_S {
+                worker.awaited_reply = None;
+                worker.controller = (worker.controller + 1) % 3;
+                worker.next_heartbeat_at = now_s + 1.0;
             }
             return;
         }
-        let due = t >= worker.next_report || (worker.changed && t - worker.last_report > 0.5);
+        let due = now_s >= worker.next_heartbeat_at
+            || (worker.state_changed && now_s - worker.last_heartbeat_at > 0.5);
         if !due {
             return;
         }
-        worker.changed = false;
-        worker.last_report = t;
-        worker.waits = Some((worker.sequence + 1, worker.epoch, t));
-        let (node, mute) = (worker.node, worker.mute_until > t);
-        let every = timing.report_s * self.rng.random_range(0.75..1.25);
-        self.workers.get_mut(name).unwrap().next_report = t + every;
-        let heartbeat = self.report_of(name);
-        if !mute {
-            let (share, for_next, until) = self.late_reports;
-            if t < until && self.rng.random_bool(share) {
-                if for_next {
-                    self.kept.push((*heartbeat).clone());
+        worker.state_changed = false;
+        worker.last_heartbeat_at = now_s;
+        worker.awaited_reply = Some((worker.sequence + 1, worker.epoch, now_s));
+        let (controller, heartbeats_lost) =
+            (worker.controller, worker.heartbeats_lost_until > now_s);
+        let interval_s = worker_settings.report_s * self.rng.random_range(0.75..1.25);
+        self.workers.get_mut(name).unwrap().next_heartbeat_at = now_s + interval_s;
+        let heartbeat = self.next_heartbeat(name);
+        if !heartbeats_lost {
+            let (share, kept_for_next_leader, until) = self.duplicate_heartbeats;
+            if now_s < until && self.rng.random_bool(share) {
+                if kept_for_next_leader {
+                    self.kept_heartbeats.push((*heartbeat).clone());
                 } else {
-                    let after = self.rng.random_range(2.0..timing.lease_s * 2.0);
-                    self.post(after, Mail::Heartbeat(node, heartbeat.clone(), None));
+                    let after = self.rng.random_range(2.0..worker_settings.lease_s * 2.0);
+                    self.deliver_after(
+                        after,
+                        Message::Heartbeat(controller, heartbeat.clone(), None),
+                    );
                 }
             }
             let number = heartbeat.sequence;
-            self.send(Mail::Heartbeat(node, heartbeat, Some(number)));
+            self.send(Message::Heartbeat(controller, heartbeat, Some(number)));
         }
     }
 
     /// Tasks go on, and gangs.
-    pub(super) fn progress(&mut self, name: &str) {
-        let t = self.t;
-        let timing = self.timing();
+    pub(super) fn step_tasks(&mut self, name: &str) {
+        let now_s = self.now_s;
+        let worker_settings = self.worker_settings();
         let keys: Vec<(String, u64)> = self.workers[name].tasks.keys().cloned().collect();
         for key in keys {
             let state = self.workers[name].tasks[&key].clone();
             let (job, _) = task_parts(&key.0);
-            let gang = self
+            let is_gang = self
                 .jobs
                 .get(job)
-                .is_some_and(|j| j.spec.kind == JobKind::Gang);
+                .is_some_and(|job| job.spec.kind == JobKind::Gang);
             let next = match state.phase {
-                TaskPhase::PullingImage if t >= state.until => {
-                    self.starts_on(name, &key.0);
-                    if self.completed.contains(&key.0) {
+                TaskPhase::PullingImage if now_s >= state.until => {
+                    self.record_task_start(name, &key.0);
+                    if self.completed_tasks.contains(&key.0) {
                         Some((TaskPhase::Exited, Some(ExitCause::Done)))
-                    } else if gang {
+                    } else if is_gang {
                         Some((TaskPhase::AwaitingGang, None))
                     } else {
                         Some((TaskPhase::Running, None))
                     }
                 }
-                TaskPhase::AwaitingGang if self.gathered(&key) => Some((TaskPhase::Running, None)),
-                TaskPhase::AwaitingGang if t - state.began > timing.gang_wait_s => {
+                TaskPhase::AwaitingGang if self.gang_is_ready(&key) => {
+                    Some((TaskPhase::Running, None))
+                }
+                TaskPhase::AwaitingGang
+                    if now_s - state.phase_started_at > worker_settings.gang_wait_s =>
+                {
                     Some((TaskPhase::Exited, Some(ExitCause::GangBarrierTimeout)))
                 }
-                TaskPhase::Running if gang && self.gang_done(&key) => {
+                TaskPhase::Running if is_gang && self.gang_is_done(&key) => {
                     Some((TaskPhase::Exited, Some(ExitCause::Done)))
                 }
-                TaskPhase::Running if gang && !self.gang_whole(&key) => {
-                    let since = *self.task(name, &key).missing_since.get_or_insert(t);
-                    (t - since > timing.gang_peer_s)
+                TaskPhase::Running if is_gang && !self.gang_is_complete(&key) => {
+                    let missing_since = *self.task(name, &key).missing_since.get_or_insert(now_s);
+                    (now_s - missing_since > worker_settings.gang_peer_s)
                         .then_some((TaskPhase::Exited, Some(ExitCause::GangMemberLost)))
                 }
-                TaskPhase::Running if !gang && t - state.began > self.jobs[job].run_s => {
+                TaskPhase::Running
+                    if !is_gang && now_s - state.phase_started_at > self.jobs[job].run_s =>
+                {
                     Some((TaskPhase::Exited, Some(ExitCause::Done)))
                 }
-                TaskPhase::Checkpointing if t >= state.until => {
+                TaskPhase::Checkpointing if now_s >= state.until => {
                     Some((TaskPhase::Exited, Some(ExitCause::Stopped)))
                 }
                 _ => None,
@@ -175,11 +186,11 @@
                 let state = self.task(name, &key);
                 state.phase = phase;
                 state.cause = cause;
-                state.began = t;
+                state.phase_started_at = now_s;
                 let worker = self.workers.get_mut(name).unwrap();
-                worker.changed = true;
+                worker.state_changed = true;
                 if cause == Some(ExitCause::Done) {
-                    self.completed.insert(key.0.clone());
+                    self.completed_tasks.insert(key.0.clone());
                 }
             }
         }
@@ -191,17 +202,17 @@
     }
 
     /// The phases of a gang's attempt on machines that go on.
-    pub(super) fn members(&self, key: &(String, u64)) -> Vec<(&Task, bool)> {
+    pub(super) fn gang_members(&self, key: &(String, u64)) -> Vec<(&Task, bool)> {
         let (job, _) = task_parts(&key.0);
-        let mut members = Vec::new();
+        let mut gang_members = Vec::new();
         for worker in self.workers.values() {
             for ((task, attempt), state) in &worker.tasks {
                 if *attempt == key.1 && task_parts(task).0 == job {
-                    members.push((state, worker.hung_until > self.t));
+                    gang_members.push((state, worker.hung_until > self.now_s));
                 }
             }
         }
-        members
+        gang_members
     }
 
     pub(super) fn gang_size(&self, key: &(String, u64)) -> usize {
@@ -209,8 +220,8 @@
         self.jobs[job].spec.tasks as usize
     }
 
-    pub(super) fn gathered(&self, key: &(String, u64)) -> bool {
-        let ready = self.members(key).into_iter().filter(|(task, hung)| {
+    pub(super) fn gang_is_ready(&self, key: &(String, u64)) -> bool {
+        let ready = self.gang_members(key).into_iter().filter(|(task, hung)| {
             !hung
                 && (matches!(task.phase, TaskPhase::AwaitingGang | TaskPhase::Running)
                     || task.cause == Some(ExitCause::Done))
@@ -218,35 +229,40 @@
         ready.count() >= self.gang_size(key)
     }
 
-    pub(super) fn gang_whole(&self, key: &(String, u64)) -> bool {
-        let there = self.members(key).into_iter().filter(|(task, hung)| {
+    pub(super) fn gang_is_complete(&self, key: &(String, u64)) -> bool {
+        let present = self.gang_members(key).into_iter().filter(|(task, hung)| {
             !hung && (task.phase == TaskPhase::Running || task.cause == Some(ExitCause::Done))
         });
-        there.count() >= self.gang_size(key)
+        present.count() >= self.gang_size(key)
     }
 
-    pub(super) fn gang_done(&self, key: &(String, u64)) -> bool {
+    pub(super) fn gang_is_done(&self, key: &(String, u64)) -> bool {
         let (job, _) = task_parts(&key.0);
         let run_s = self.jobs[job].run_s;
-        let members = self.members(key);
-        let any = members
+        let gang_members = self.gang_members(key);
+        let any_done = gang_members
             .iter()
             .any(|(task, _)| task.cause == Some(ExitCause::Done));
-        let ran = |task: &Task| task.phase == TaskPhase::Running && self.t - task.began > run_s;
-        any || (self.gang_whole(key) && members.iter().all(|(task, _)| ran(task)))
+        let ran_long_enough = |task: &Task| {
+            task.phase == TaskPhase::Running && self.now_s - task.phase_started_at > run_s
+        };
+        any_done
+            || (self.gang_is_complete(key)
+                && gang_members.iter().all(|(task, _)| ran_long_enough(task)))
     }
 
     /// A task is on its machine from now on: the rules about where.
-    pub(super) fn starts_on(&mut self, name: &str, task: &str) {
-        self.starts += 1;
+    pub(super) fn record_task_start(&mut self, name: &str, task: &str) {
+        self.task_starts += 1;
         let (job, _) = task_parts(task);
         let elsewhere = self.workers.iter().find(|(other, worker)| {
-            let on = |((at, _), state): (&(String, u64), &Task)| at == task && on_machine(state);
-            *other != name && self.goes_on(worker) && worker.tasks.iter().any(on)
+            let on =
+                |((at, _), state): (&(String, u64), &Task)| at == task && occupies_machine(state);
+            *other != name && self.may_run_tasks(worker) && worker.tasks.iter().any(on)
         });
         if let Some((other, _)) = elsewhere {
-            let what = format!("{task} on {other} and {name}");
-            self.break_rule("ran_twice", what);
+            let detail = format!("{task} on {other} and {name}");
+            self.record_violation("ran_twice", detail);
         }
         let spec = self.jobs[job].spec.clone();
         let (machine_type, zone) = {
@@ -256,52 +272,52 @@
         if spec
             .machine_types
             .as_ref()
-            .is_some_and(|b| !b.contains(&machine_type))
+            .is_some_and(|allowed| !allowed.contains(&machine_type))
         {
-            self.break_rule("wrong_place", format!("{task} on {machine_type}"));
+            self.record_violation("wrong_place", format!("{task} on {machine_type}"));
         }
         let mut zones: Vec<String> = Vec::new();
         for (other, worker) in &self.workers {
             let on = |((at, _), state): (&(String, u64), &Task)| {
-                task_parts(at).0 == job && on_machine(state)
+                task_parts(at).0 == job && occupies_machine(state)
             };
-            if other != name && self.goes_on(worker) && worker.tasks.iter().any(on) {
+            if other != name && self.may_run_tasks(worker) && worker.tasks.iter().any(on) {
                 zones.push(worker.zone.clone());
             }
         }
         if spec.single_zone && zones.iter().any(|other| *other != zone) {
-            self.break_rule(
+            self.record_violation(
                 "wrong_place",
                 format!("{task} in {zone}, others in {zones:?}"),
             );
         }
-        if self.jobs[job].told_cancelled.is_some() {
-            self.started_cancelled += 1;
+        if self.jobs[job].observed_cancelled_at.is_some() {
+            self.starts_of_cancelled_jobs += 1;
         }
     }
 
     /// Whether its tasks may go on: one that hangs beyond its lease kills them when it wakes up.
-    pub(super) fn goes_on(&self, worker: &Worker) -> bool {
+    pub(super) fn may_run_tasks(&self, worker: &Worker) -> bool {
         let lease_s = self.settings.params.workers.lease_s;
-        worker.hung_until <= self.t || self.t - worker.base <= lease_s
+        worker.hung_until <= self.now_s || self.now_s - worker.lease_started_at <= lease_s
     }
 
-    pub(super) fn obey(&mut self, name: &str, commands: &[WorkerCommand]) {
-        let t = self.t;
+    pub(super) fn execute_commands(&mut self, name: &str, commands: &[WorkerCommand]) {
+        let now_s = self.now_s;
         for command in commands {
             match command {
                 WorkerCommand::Run { task, attempt } => {
                     // Some machines have the image.
-                    let until = t + [0.0, 0.3, 4.0][self.rng.random_range(0..3)];
+                    let until = now_s + [0.0, 0.3, 4.0][self.rng.random_range(0..3)];
                     let worker = self.workers.get_mut(name).unwrap();
                     if worker.tasks.contains_key(&(task.clone(), *attempt)) {
                         continue;
                     }
-                    let other = |(at, state): (&(String, u64), &Task)| {
+                    let other_attempt = |(at, state): (&(String, u64), &Task)| {
                         at.0 == *task && state.phase != TaskPhase::Exited
                     };
-                    let refused = worker.tasks.iter().any(other);
-                    worker.changed = true;
+                    let refused = worker.tasks.iter().any(other_attempt);
+                    worker.state_changed = true;
                     worker.tasks.insert(
                         (task.clone(), *attempt),
                         Task {
@@ -312,7 +328,7 @@
                             },
                             cause: refused.then_some(ExitCause::AlreadyPresent),
                             until,
-                            began: t,
+                            phase_started_at: now_s,
                             missing_since: None,
                         },
                     );
@@ -329,12 +345,12 @@
                     };
                     if state.phase == TaskPhase::Running && *grace_s > 0.0 {
                         state.phase = TaskPhase::Checkpointing;
-                        state.until = t + 1.0;
+                        state.until = now_s + 1.0;
                     } else if state.phase != TaskPhase::Exited {
                         state.phase = TaskPhase::Exited;
                         state.cause = Some(ExitCause::Stopped);
                     }
-                    worker.changed = true;
+                    worker.state_changed = true;
                 }
                 WorkerCommand::Clear { task, attempt } => {
                     let worker = self.workers.get_mut(name).unwrap();
@@ -348,86 +364,88 @@
         }
     }
 
-    pub(super) fn reply(
+    pub(super) fn receive_reply(
         &mut self,
         name: &str,
         (epoch, number, status): (u64, u64, u16),
         redirect: Option<String>,
         body: Option<(u64, Vec<WorkerCommand>)>,
     ) {
-        let t = self.t;
+        let now_s = self.now_s;
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
-        let Some((waits, _, sent)) = worker.waits else {
+        let Some((awaited, _, sent)) = worker.awaited_reply else {
             return;
         };
-        if waits != number || worker.epoch != epoch || t - sent > GIVES_UP {
+        if awaited != number || worker.epoch != epoch || now_s - sent > WORKER_TIMEOUT_S {
             return;
         }
-        worker.waits = None;
+        worker.awaited_reply = None;
         match (status, body) {
             (200, Some((token, commands))) => {
                 if token < worker.token {
                     return;
                 }
-                worker.base = sent;
+                worker.lease_started_at = sent;
                 worker.token = token;
-                self.obey(name, &commands);
+                self.execute_commands(name, &commands);
             }
             (421, _) => {
                 let to = redirect.and_then(|member| {
-                    let mut nodes = self.nodes.iter();
-                    nodes.position(|node| node.name == member)
+                    let mut controllers = self.controllers.iter();
+                    controllers.position(|controller| controller.name == member)
                 });
-                match to.filter(|to| *to != worker.node) {
+                match to.filter(|to| *to != worker.controller) {
                     Some(to) => {
-                        worker.node = to;
-                        worker.next_report = t + 0.2;
+                        worker.controller = to;
+                        worker.next_heartbeat_at = now_s + 0.2;
                     }
                     None => {
-                        worker.node = (worker.node + 1) % 3;
-                        worker.next_report = t + 1.0;
+                        worker.controller = (worker.controller + 1) % 3;
+                        worker.next_heartbeat_at = now_s + 1.0;
                     }
                 }
             }
             _ => {
-                worker.node = (worker.node + 1) % 3;
-                worker.next_report = t + 1.0;
+                worker.controller = (worker.controller + 1) % 3;
+                worker.next_heartbeat_at = now_s + 1.0;
             }
         }
     }
 
     /// Sends a node's answer to the worker that waits for it.
-    pub(super) fn answer_worker(
+    pub(super) fn send_reply(
         &mut self,
         name: &str,
         (epoch, number): (u64, u64),
         answer: HttpResponse,
     ) {
         let status = answer.status().as_u16();
-        let body = actix_web::body::to_bytes(answer.into_body());
-        let body = body.now_or_never().unwrap().unwrap();
+        let bytes = actix_web::body::to_bytes(answer.into_body());
+        let bytes = bytes.now_or_never().unwrap().unwrap();
         let redirect = (status == 421).then(|| {
-            let redirect: Redirect = wire::decode(&body).unwrap();
+            let redirect: Redirect = wire::decode(&bytes).unwrap();
             redirect.report_to
         });
         let redirect = redirect.flatten();
-        let told = (status == 200).then(|| {
-            let answer: HeartbeatResponse = wire::decode(&body).unwrap();
+        let body = (status == 200).then(|| {
+            let answer: HeartbeatResponse = wire::decode(&bytes).unwrap();
             (answer.token, answer.commands)
         });
-        let t = self.t;
-        let deaf = |w: &Worker| w.deaf_until > t;
-        if !self.workers.get(name).is_some_and(deaf) {
+        let now_s = self.now_s;
+        let loses_responses = |w: &Worker| w.responses_lost_until > now_s;
+        if !self.workers.get(name).is_some_and(loses_responses) {
             let name = name.to_owned();
-            self.send(Mail::Reply(name, epoch, number, status, redirect, told));
+            self.send(Message::HeartbeatReply(
+                name, epoch, number, status, redirect, body,
+            ));
         }
     }
 
-    pub(super) fn some_workers(&mut self, share: f64) -> Vec<String> {
+    pub(super) fn draw_workers(&mut self, share: f64) -> Vec<String> {
         let names: Vec<String> = self.workers.keys().cloned().collect();
-        let drawn = names.into_iter().filter(|_| self.rng.random_bool(share));
-        drawn.collect()
+        let selected = names.into_iter().filter(|_| self.rng.random_bool(share));
+        selected.collect()
     }
 }
