--- a/tests/common/scenario.rs
+++ b/tests/common/scenario.rs
@@ -1,4 +1,5 @@
-//! Plays troubles in the model, with jobs that come all the while, and checks that all of it ends well.
+//! Runs simulated faults under a steady load of jobs, and checks that no invariant is violated and that
+//! every job ends.
 
 #![allow(dead_code)]
 
@@ -11,7 +12,7 @@
 use crate::scene::{array, gang};
 use crate::simulation::{Simulation, TimedFault};
 
-/// How long after the last trouble everything must be over.
+/// Time after the last fault within which every job must end.
 pub const SETTLE_TIME_S: f64 = 260.0;
 
 pub fn settings() -> String {
@@ -20,7 +21,8 @@
         .replace("report_s = 0.5", "report_s = 3.0")
 }
 
-/// The jobs of every play: gangs in one zone, arrays, single tasks, one team near its limit.
+/// The jobs of every scenario and the run times of their tasks: gangs in one zone, arrays, single tasks,
+/// and one team near its limit.
 fn nth_job(index: usize) -> (JobSpec, f64) {
     let id = format!("wk-{:06}", index + 1);
     match index % 5 {
@@ -34,7 +36,6 @@
         3 => {
             let mut job = array(&id, 2);
             job.team = "blue".to_owned();
-            // An array bound to one zone.
             job.single_zone = true;
             (job, 40.0)
         }
@@ -42,15 +43,16 @@
     }
 }
 
-/// How to play.
+/// A way to run faults.
 #[derive(Clone, Copy)]
 pub struct Scenario {
-    /// Whether links are turned on.
+    /// Whether link monitoring is enabled.
     pub links_enabled: bool,
 }
 
 impl Scenario {
-    /// Plays the troubles with jobs that come all the while; nothing may break, and all must end.
+    /// Runs the faults while a job is submitted every 4 s. Fails if an invariant is violated, or if a job
+    /// does not end within [`SETTLE_TIME_S`].
     pub fn run(&self, seed: u64, faults: &[TimedFault]) -> Simulation {
         let mut simulation = Simulation::with_links(seed, &settings(), self.links_enabled);
         let faults_end_at = faults
@@ -81,13 +83,13 @@
         );
         assert!(
             simulation.task_starts >= job_count,
-            "seed {seed}: fewer task task_starts than jobs"
+            "seed {seed}: at least one task start per job"
         );
         append_run_hash(seed, &simulation);
         simulation
     }
 
-    /// Plays the same troubles with each seed, begun at a moment that differs.
+    /// Runs the faults once per seed, with a start offset of 0 to 6 s that depends on the seed.
     pub fn run_seeds(
         &self,
         seeds: std::ops::Range<u64>,
@@ -99,8 +101,8 @@
     }
 }
 
-/// Appends the hash of a run to the file that `KNOTLANDING_RUN_HASHES` names, if it is set: sorted,
-/// the lines of two versions that behave alike are the same.
+/// Appends the hash of a run to the file that `KNOTLANDING_RUN_HASHES` names, if it is set. Versions with
+/// the same behavior yield the same lines, in an order that may differ.
 fn append_run_hash(seed: u64, simulation: &Simulation) {
     let Some(file) = std::env::var_os("KNOTLANDING_RUN_HASHES") else {
         return;
@@ -114,7 +116,7 @@
     file.write_all(line.as_bytes()).unwrap();
 }
 
-/// Seeds of every scene; more are played by `KNOTLANDING_SEEDS` when hunting.
+/// Seeds of every test: 1 to 4, or up to `KNOTLANDING_SEEDS` (exclusive) for a longer search.
 pub fn seed_range() -> std::ops::Range<u64> {
     let limit = std::env::var("KNOTLANDING_SEEDS").ok();
     1..limit.and_then(|text| text.parse().ok()).unwrap_or(5)
--- a/tests/common/simulation.rs
+++ b/tests/common/simulation.rs
@@ -1,8 +1,10 @@
-//! A model of everything around the controllers: state service, network, cloud, workers, users.
+//! Simulation of three controllers and their environment: store, network, cloud, workers and users.
 //!
-//! The controllers' own parts (replica, role, cluster state, round, the handler of reports) run as they
-//! are; what their actors do between them is played here step by step, in an order that a seed
-//! draws. After every step the protocol's rules are checked as invariants.
+//! The controllers' replica, election, cluster state, scheduling cycle and heartbeat handler are the
+//! production code. The simulation replaces the actors that drive them: it advances in steps, and a
+//! seeded generator draws delays and the order of events. Every step checks the invariants.
+//!
+//! A time of type `f64` is in seconds since the start of the simulation.
 
 #![allow(dead_code)]
 
@@ -22,8 +24,8 @@
 mod links;
 #[path = "simulation/run_hash.rs"]
 mod run_hash;
-#[path = "simulation/state_service.rs"]
-mod state_service;
+#[path = "simulation/store.rs"]
+mod store;
 #[path = "simulation/users.rs"]
 mod users;
 #[path = "simulation/workers.rs"]
@@ -72,20 +74,20 @@
 pub use links::TimedLinkFault;
 use links::{ControllerLinks, RowOutcome};
 use run_hash::RunHash;
-use state_service::{RequestPurpose, Store, StoreRequest, StoreResponse};
+use store::{RequestPurpose, Store, StoreRequest, StoreResponse};
 use users::UserJob;
 use workers::{occupies_machine, task_parts, Task, Worker};
 
-/// Time of one step.
+/// Simulated time per step.
 const STEP_S: f64 = 0.05;
-/// A request to the state service without an answer by then has an unknown outcome.
+/// A store request without a response within this time has an unknown outcome.
 const STORE_TIMEOUT_S: f64 = 1.5;
-/// A worker gives an answer up.
+/// Time after which a worker stops waiting for the response to a heartbeat.
 const WORKER_TIMEOUT_S: f64 = 4.0;
-/// Machines that the cloud has of each type.
+/// Machines of each type that the cloud runs at most; booting ones are not counted.
 const MACHINES_PER_TYPE_MAX: usize = 8;
 
-/// Everything.
+/// State of the controllers and their environment.
 pub struct Simulation {
     rng: StdRng,
     pub now_s: f64,
@@ -94,49 +96,61 @@
     policy: SchedulingPolicy,
     store: Store,
     store_out_until: f64,
+    /// Maximum additional delay of store responses in seconds, and the end of the fault.
     store_delay: (f64, f64),
+    /// Controller whose store requests are refused, and the end of the fault.
     controller_refused: Option<(usize, f64)>,
+    /// Controller whose store reads get no response, and the end of the fault.
     controller_without_reads: Option<(usize, f64)>,
     controller_cut_from_workers: Option<(usize, f64)>,
+    /// Share of transactions without a response, whether they are applied at once, and the end of the
+    /// fault.
     unanswered_transactions: (f64, bool, f64),
+    /// Share of heartbeats that are copied, whether the copies are kept for the next leader, and the
+    /// end of the fault.
     duplicate_heartbeats: (f64, bool, f64),
+    /// Share of new jobs that are cancelled when their last task completes, and the end of the fault.
     cancel_at_completion: (f64, f64),
     batch_faults: (BatchFaults, f64),
+    /// Follower whose batches are lost, and the end of the fault.
     isolated_follower: Option<(usize, f64)>,
-    /// Links are turned on at every node.
+    /// Whether link monitoring is enabled on every controller.
     links_enabled: bool,
     link_faults: Vec<TimedLinkFault>,
     writes_refused_until: f64,
-    /// Leads that were handed over by what the matrix said.
+    /// Handovers of leadership decided from the connectivity matrix.
     pub handovers: usize,
-    /// Batches that followers sent.
+    /// Heartbeat batches that followers have sent.
     pub batches_sent: usize,
-    /// Batches that were refused for their age.
+    /// Heartbeat batches that were rejected because of their age.
     pub stale_batches: usize,
-    /// Answers that followers passed on.
+    /// Successful responses that followers have relayed to workers.
     pub responses_relayed: usize,
+    /// Copies of heartbeats that are delivered when the next leader takes over.
     kept_heartbeats: Vec<Heartbeat>,
     controllers: Vec<Controller>,
     workers: BTreeMap<String, Worker>,
     machines_created: usize,
-    /// Gone machines that the list still shows, with the time until which it does.
+    /// Terminated machines, with the time until which the machine list shows them as running; for
+    /// 300 s after it, the list shows them as failed.
     failed_machines: BTreeMap<String, (MachinePool, f64)>,
+    /// Undelivered messages, with the time of delivery and the number of the message.
     in_flight: Vec<(f64, u64, Message)>,
     messages_posted: u64,
     jobs: BTreeMap<String, UserJob>,
     completed_tasks: BTreeSet<String>,
+    /// Violated invariants; the first one ends the run.
     pub violations: Vec<String>,
-    /// Starts of a task whose job's user had been told of its cancellation.
+    /// Starts of tasks whose job's cancellation a user had already observed.
     pub starts_of_cancelled_jobs: usize,
-    /// Started tasks.
     pub task_starts: usize,
     pub failovers: usize,
     pub kept_heartbeats_delivered: usize,
-    /// The nodes refuse each other's connections.
+    /// Whether controllers refuse connections from one another.
     pub peers_refuse_connections: bool,
-    /// From then on there are no troubles, and nobody waits for nothing.
+    /// Time from which no fault is active, and no job may wait while there is room for it.
     pub faults_end_at: f64,
-    /// Since when jobs wait though there is room for them.
+    /// Time since which a job waits although there is room for it, by job id.
     placeable_since: BTreeMap<String, f64>,
     run_hash: RunHash,
 }
@@ -146,7 +160,7 @@
         Self::with_links(seed, settings_text, false)
     }
 
-    /// The same with links turned on, or not.
+    /// The same, with link monitoring enabled or disabled.
     pub fn with_links(seed: u64, settings_text: &str, links_enabled: bool) -> Self {
         let settings = Settings::parse(settings_text, "a test").unwrap();
         let started_at = Instant::now();
@@ -187,7 +201,8 @@
             task_starts: 0,
             failovers: 0,
             kept_heartbeats_delivered: 0,
-            // What peers tell only makes things faster; nothing may hang on it.
+            // Messages between controllers only reduce delays: every second seed runs without them, so
+            // that nothing can depend on them.
             peers_refuse_connections: seed % 2 == 1,
             faults_end_at: f64::INFINITY,
             placeable_since: BTreeMap::new(),
@@ -198,10 +213,10 @@
             let controller = simulation.new_controller(number, 1);
             simulation.controllers.push(controller);
         }
-        for at in 0..6 {
+        for index in 0..6 {
             let pool = MachinePool {
-                machine_type: if at % 2 == 0 { "cpu16" } else { "gpu2" }.to_owned(),
-                zone: if at % 4 < 2 { "north" } else { "south" }.to_owned(),
+                machine_type: if index % 2 == 0 { "cpu16" } else { "gpu2" }.to_owned(),
+                zone: if index % 4 < 2 { "north" } else { "south" }.to_owned(),
                 spot: false,
             };
             let name = simulation.new_machine_name();
@@ -218,7 +233,7 @@
         crate::scene::wall() + Duration::from_secs_f64(self.now_s)
     }
 
-    /// The time of day by a node's own clock: they differ by the bound in the settings.
+    /// Wall clock of a controller. The clocks of the controllers differ by `clock_off_ms`.
     fn wall_clock_of(&self, controller: usize) -> SystemTime {
         let skew = Duration::from_secs_f64(self.settings.params.clock_off_ms / 1_000.0);
         match controller {
@@ -228,7 +243,7 @@
         }
     }
 
-    /// How long the gates of the present processes have refused placements, in seconds.
+    /// Total time for which the placement gates of the running processes have refused placements.
     pub fn gates_refused_s(&self) -> f64 {
         let now = self.instant();
         let active = self
@@ -262,7 +277,7 @@
         self.deliver_after(after, message);
     }
 
-    /// Plays until then.
+    /// Advances the simulation until the given time, or until an invariant is violated.
     pub fn run_until(&mut self, until: f64, faults: &[TimedFault]) {
         while self.now_s < until && self.violations.is_empty() {
             self.now_s += STEP_S;
@@ -291,35 +306,35 @@
             self.step_users();
             self.hash_step();
             self.check_invariants();
-            // Once a second is enough for a wait of ninety.
+            // A check once per second is sufficient for a limit of 90 s.
             if now_s > self.faults_end_at && ((now_s / STEP_S) as u64).is_multiple_of(20) {
                 self.check_waiting_jobs();
             }
         }
     }
 
-    /// Workers by the node to which they report.
+    /// Number of workers that send their heartbeats to each controller.
     pub fn workers_by_controller(&self) -> Vec<usize> {
-        let at = |controller| {
+        let worker_count = |controller| {
             self.workers
                 .values()
-                .filter(|w| w.controller == controller)
+                .filter(|worker| worker.controller == controller)
                 .count()
         };
-        (0..self.controllers.len()).map(at).collect()
+        (0..self.controllers.len()).map(worker_count).collect()
     }
 
-    /// Sessions that ended with their lease, on the machines that are there.
+    /// Number of sessions of the running workers that ended because a lease expired.
     pub fn sessions_ended(&self) -> u64 {
-        self.workers.values().map(|w| w.epoch - 1).sum()
+        self.workers.values().map(|worker| worker.epoch - 1).sum()
     }
 
-    /// Who leads.
+    /// Index of the controller that leads in the latest term.
     pub fn leading_controller(&self) -> Option<usize> {
         self.leader()
     }
 
-    /// Jobs that are neither over nor known to be, for the test that everything ends.
+    /// Jobs whose end no user has observed.
     pub fn unfinished(&self) -> Vec<String> {
         let unfinished = self.jobs.iter().filter(|(_, job)| {
             job.observed_done_at.is_none() && job.observed_cancelled_at.is_none()
@@ -327,7 +342,7 @@
         unfinished.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Where a job's tasks are by the leader's cluster state, and by the machines themselves.
+    /// State of a job in the controllers' cluster states and on the workers, for failure messages.
     pub fn describe_job(&self, id: &str) -> String {
         let mut lines = Vec::new();
         for (index, controller) in self.controllers.iter().enumerate() {
@@ -349,7 +364,7 @@
         lines.join("\n")
     }
 
-    /// How many were told as done, and as cancelled.
+    /// Numbers of jobs that users have observed as done and as cancelled.
     pub fn ended_job_counts(&self) -> (usize, usize) {
         let jobs = || self.jobs.values();
         (
--- a/tests/common/simulation/cloud.rs
+++ b/tests/common/simulation/cloud.rs
@@ -1,4 +1,4 @@
-//! The model's cloud.
+//! The simulated cloud: machine list, rentals and boots.
 
 use super::*;
 
@@ -18,8 +18,15 @@
                 age_s: 60.0,
             };
         let running = self.workers.iter();
-        let running =
-            running.map(|(name, w)| entry(name, &w.machine_type, &w.zone, w.spot, "running"));
+        let running = running.map(|(name, worker)| {
+            entry(
+                name,
+                &worker.machine_type,
+                &worker.zone,
+                worker.spot,
+                "running",
+            )
+        });
         let failed = self.failed_machines.iter().map(|(name, (pool, until))| {
             let status = if *until > now_s { "running" } else { "failed" };
             entry(name, &pool.machine_type, &pool.zone, pool.spot, status)
@@ -27,11 +34,12 @@
         running.chain(failed).collect()
     }
 
+    /// Rents as many machines as the cloud has left, and returns their names; they boot later.
     pub(super) fn rent_machines(&mut self, pool: &MachinePool, count: u32) -> Vec<String> {
         let running = self
             .workers
             .values()
-            .filter(|w| w.machine_type == pool.machine_type);
+            .filter(|worker| worker.machine_type == pool.machine_type);
         let available = MACHINES_PER_TYPE_MAX
             .saturating_sub(running.count())
             .min(count as usize);
--- a/tests/common/simulation/controllers.rs
+++ b/tests/common/simulation/controllers.rs
@@ -1,13 +1,15 @@
-//! The model's controllers: their own parts run as they are, their actors are played.
+//! The simulated controllers: production state and logic, driven by the simulation instead of actors.
 
 use super::*;
 
 pub(super) struct Controller {
     pub(super) name: String,
     pub(super) shared: Arc<Shared>,
+    /// Number of the process: a restart increments it.
     pub(super) incarnation: u64,
     pub(super) is_running: bool,
     pub(super) restart_at: f64,
+    /// The process is paused until then.
     pub(super) paused_until: f64,
     pub(super) replica_loaded: bool,
     pub(super) read_in_flight: bool,
@@ -16,11 +18,14 @@
     pub(super) election_in_flight: bool,
     pub(super) renewal_in_flight: bool,
     pub(super) next_cycle_at: f64,
+    /// Term of the last scheduling cycle, and the time by which the next one is due.
     pub(super) cycle_due: Option<(Term, f64)>,
+    /// No records are written until then, after a failed write.
     pub(super) writes_paused_until: f64,
     pub(super) next_fleet_step_at: f64,
     pub(super) unmet_demand: Vec<UnmetDemand>,
     pub(super) capacity_backoff: CapacityBackoff,
+    /// Messages that arrived while the process was paused.
     pub(super) held_messages: Vec<Message>,
     pub(super) forwarding_state: ForwardingState,
     pub(super) links: ControllerLinks,
@@ -70,16 +75,16 @@
         controller: usize,
         response: StoreResponse,
         purpose: RequestPurpose,
-        sent: f64,
+        sent_s: f64,
     ) {
         let (now, wall_clock) = (self.instant(), self.wall_clock_of(controller));
-        let sent_at = self.started_at + Duration::from_secs_f64(sent);
+        let sent_at = self.started_at + Duration::from_secs_f64(sent_s);
         let shared = self.controllers[controller].shared.clone();
-        let failed = response.failure().cloned();
-        if failed.as_ref().is_some_and(StoreError::shows_outage) {
+        let error = response.failure().cloned();
+        if error.as_ref().is_some_and(StoreError::shows_outage) {
             shared.election.lock().freshness().invalidate(now);
         }
-        self.record_store_outcome(controller, &purpose, failed.as_ref(), sent);
+        self.record_store_outcome(controller, &purpose, error.as_ref(), sent_s);
         match (&purpose, response) {
             (RequestPurpose::Load, StoreResponse::Rows(rows, revision)) => {
                 let changes = shared.replica.lock().load(rows, revision);
@@ -119,8 +124,9 @@
                 RequestPurpose::Submit(id),
                 StoreResponse::TransactionOutcome(TransactionOutcome::Committed(_)),
             ) => {
-                // The answer reaches the user a little later; by then others may know more.
-                self.observe_verdict(id, sent, Some(Verdict::Accepted));
+                // The verdict counts from the time of the request: another user may observe a later
+                // one before this response arrives.
+                self.observe_verdict(id, sent_s, Some(Verdict::Accepted));
             }
             (
                 RequestPurpose::Submit(id),
@@ -131,32 +137,32 @@
                 StoreResponse::TransactionOutcome(TransactionOutcome::Committed(_)),
             ) => {
                 self.notify_cancellation(controller, id);
-                self.observe_verdict(id, sent, Some(Verdict::Cancelled));
+                self.observe_verdict(id, sent_s, Some(Verdict::Cancelled));
             }
             _ => {}
         }
-        self.finish_store_request(controller, purpose, failed.is_none(), sent);
+        self.finish_store_request(controller, purpose, error.is_none(), sent_s);
     }
 
-    /// A cancellation is on record: the node tells its peers.
+    /// Notifies the other controllers of a recorded cancellation.
     fn notify_cancellation(&mut self, controller: usize, id: &str) {
         let shared = self.controllers[controller].shared.clone();
         let job = JobId::parse(id).unwrap();
         shared.cancellation_recorded(&job);
         let jobs = shared.cancellations.take();
-        let refuse = self.peers_refuse_connections;
-        for peer in (0..3).filter(|peer| *peer != controller && !refuse) {
+        let peers_refuse = self.peers_refuse_connections;
+        for peer in (0..3).filter(|peer| *peer != controller && !peers_refuse) {
             self.send(Message::CancellationNotice(peer, jobs.clone()));
         }
     }
 
-    /// What follows the end of a request, whatever its answer was.
+    /// Marks a store request as finished, and continues the user requests that needed a fresh read.
     fn finish_store_request(
         &mut self,
         controller: usize,
         purpose: RequestPurpose,
         succeeded: bool,
-        sent: f64,
+        sent_s: f64,
     ) {
         let shared = self.controllers[controller].shared.clone();
         match purpose {
@@ -172,16 +178,16 @@
             RequestPurpose::Poll(id) if succeeded => {
                 let verdict = shared.replica.lock().verdict(&JobId::parse(&id).unwrap());
                 let verdict = known_verdict(verdict);
-                self.observe_verdict(&id, sent, verdict);
+                self.observe_verdict(&id, sent_s, verdict);
             }
             RequestPurpose::CancelRead(id) if succeeded => {
-                self.write_cancellation(controller, &id, sent)
+                self.write_cancellation(controller, &id, sent_s)
             }
             _ => {}
         }
     }
 
-    pub(super) fn write_cancellation(&mut self, controller: usize, id: &str, sent: f64) {
+    pub(super) fn write_cancellation(&mut self, controller: usize, id: &str, sent_s: f64) {
         let job = JobId::parse(id).unwrap();
         let shared = self.controllers[controller].shared.clone();
         let (verdict, version, description) = {
@@ -194,7 +200,7 @@
             (verdict, replica.job_version(&job), description)
         };
         if verdict != Some(Verdict::Accepted) {
-            self.observe_verdict(id, sent, verdict);
+            self.observe_verdict(id, sent_s, verdict);
             return;
         }
         let record = JobRecord {
@@ -213,7 +219,7 @@
         );
     }
 
-    /// The election's transaction under a lease just granted.
+    /// Sends the election transaction under a newly granted lease.
     pub(super) fn send_election(&mut self, controller: usize, lease: u64) {
         let (term, version) = {
             let replica = self.controllers[controller].shared.replica.lock();
@@ -276,9 +282,10 @@
         let leader = shared.replica.lock().leader.clone();
         let Some(leader) = leader else {
             let in_backoff = shared.election.lock().in_backoff(now);
-            let may = self.now_s >= self.controllers[controller].next_election_at && !in_backoff;
+            let election_due =
+                self.now_s >= self.controllers[controller].next_election_at && !in_backoff;
             if !self.controllers[controller].election_in_flight
-                && may
+                && election_due
                 && !self.yields_election(controller)
             {
                 self.step_down_and_revoke_lease(controller);
@@ -293,7 +300,7 @@
                 self.recover(controller, leader.record.term, leader.version);
             }
             if shared.election.lock().replica_too_stale_to_lead(now)
-                || self.should_hand_over(controller)
+                || self.decide_handover(controller)
             {
                 shared.election.lock().start_backoff(now);
                 self.step_down_and_revoke_lease(controller);
@@ -317,8 +324,8 @@
         {
             self.step_down_and_revoke_lease(controller);
         }
-        let former = leader.record.member == self.controllers[controller].name;
-        if former
+        let is_of_earlier_incarnation = leader.record.member == self.controllers[controller].name;
+        if is_of_earlier_incarnation
             && !self.controllers[controller].election_in_flight
             && self.now_s >= self.controllers[controller].next_election_at
         {
@@ -348,7 +355,7 @@
             .election
             .lock()
             .become_leader(Leadership { term, version });
-        // Copies that were kept for the next leader come to every node now.
+        // Every controller receives the copies that were kept for the next leader.
         for heartbeat in std::mem::take(&mut self.kept_heartbeats) {
             for recipient in 0..3 {
                 self.kept_heartbeats_delivered += 1;
@@ -371,7 +378,7 @@
         }
         let shared = self.controllers[controller].shared.clone();
         let mut guard = shared.cluster.lock();
-        if let Some(cluster) = guard.as_mut().filter(|c| c.term == term) {
+        if let Some(cluster) = guard.as_mut().filter(|cluster| cluster.term == term) {
             cluster.apply_write_outcome(kind, outcome);
         }
     }
@@ -386,9 +393,9 @@
         let due = self.controllers[controller]
             .cycle_due
             .replace((leadership.term, self.now_s + 1.0));
-        let direct = {
+        let commands = {
             let mut guard = shared.cluster.lock();
-            let Some(cluster) = guard.as_mut().filter(|c| c.term == leadership.term) else {
+            let Some(cluster) = guard.as_mut().filter(|state| state.term == leadership.term) else {
                 return;
             };
             if let Some((_, due)) = due.filter(|(term, _)| *term == leadership.term) {
@@ -412,10 +419,10 @@
         if self.now_s >= self.controllers[controller].writes_paused_until {
             self.write_due_records(controller, &leadership);
         }
-        self.send_direct_commands(controller, direct);
+        self.send_direct_commands(controller, commands);
     }
 
-    /// Writes the records that are due, on condition that the node still leads.
+    /// Writes the records that are due, on condition that the controller still leads.
     fn write_due_records(&mut self, controller: usize, leadership: &Leadership) {
         let now = self.instant();
         let shared = self.controllers[controller].shared.clone();
@@ -432,9 +439,9 @@
         }
     }
 
-    fn send_direct_commands(&mut self, controller: usize, direct: Vec<AddressedCommand>) {
+    fn send_direct_commands(&mut self, controller: usize, commands: Vec<AddressedCommand>) {
         let now = self.instant();
-        for AddressedCommand { machine, body, .. } in direct {
+        for AddressedCommand { machine, body, .. } in commands {
             let incarnation = self.controllers[controller].incarnation;
             let machine = machine.0.to_string();
             let message = Message::DirectCommand(
@@ -471,11 +478,11 @@
                 return;
             };
             cluster.apply_machine_list(&machine_list, now);
-            let unheard = cluster
+            let awaits_heartbeats = cluster
                 .machines
                 .values()
                 .any(Machine::awaits_first_heartbeat);
-            if unheard
+            if awaits_heartbeats
                 && now.saturating_duration_since(cluster.observing_since) < Duration::from_secs(5)
             {
                 return;
@@ -528,12 +535,12 @@
             self.deliver(message);
         }
         let now = self.instant();
-        let wants = self.controllers[controller]
+        let needs_read = self.controllers[controller]
             .shared
             .election
             .lock()
             .needs_confirming_read(now);
-        let due = self.now_s >= self.controllers[controller].next_read_at || wants;
+        let due = self.now_s >= self.controllers[controller].next_read_at || needs_read;
         if !self.controllers[controller].read_in_flight && due {
             self.controllers[controller].read_in_flight = true;
             self.controllers[controller].next_read_at =
@@ -565,12 +572,13 @@
         }
     }
 
-    /// Whether what came for a node is taken now; held while it stands still, lost with its life.
+    /// Whether a controller processes a message now. A paused one holds it until it resumes; a message
+    /// for a process that has terminated, or for another incarnation, is lost.
     pub(super) fn accepts_message(
         &mut self,
         controller: usize,
         incarnation: Option<u64>,
-        again: impl Fn() -> Message,
+        to_hold: impl Fn() -> Message,
     ) -> bool {
         let state = &mut self.controllers[controller];
         if !state.is_running
@@ -579,7 +587,7 @@
             return false;
         }
         if state.paused_until > self.now_s {
-            state.held_messages.push(again());
+            state.held_messages.push(to_hold());
             return false;
         }
         true
@@ -603,21 +611,21 @@
     }
 
     pub(super) fn draw_running_controller(&mut self) -> Option<usize> {
-        let is_running: Vec<usize> = (0..3)
+        let running: Vec<usize> = (0..3)
             .filter(|controller| {
                 self.controllers[*controller].is_running
                     && self.controllers[*controller].paused_until <= self.now_s
             })
             .collect();
-        (!is_running.is_empty()).then(|| is_running[self.rng.random_range(0..is_running.len())])
+        (!running.is_empty()).then(|| running[self.rng.random_range(0..running.len())])
     }
 }
 
-/// The verdict in a replica without a bound on final verdicts, which evicts none.
+/// Verdict in a replica that has no limit on final verdicts, and so evicts none.
 fn known_verdict(state: VerdictState) -> Option<Verdict> {
     match state {
         VerdictState::Recorded(verdict) => Some(verdict.verdict),
         VerdictState::NoSuchJob => None,
-        VerdictState::MayBeEvicted => panic!("a verdict was evicted"),
+        VerdictState::MayBeEvicted => panic!("an unlimited replica evicted a verdict"),
     }
 }
--- a/tests/common/simulation/delivery.rs
+++ b/tests/common/simulation/delivery.rs
@@ -1,4 +1,4 @@
-//! What is on its way, and what it does where it arrives.
+//! Messages in flight, and their effect when they are delivered.
 
 use knotlanding_testbed::proxy::Flow;
 use knotlanding_testbed::schedule::LinkId;
@@ -7,11 +7,16 @@
 
 #[derive(Clone, Debug)]
 pub(super) enum Message {
+    /// Sending controller and its incarnation, the request, its purpose and the time it was sent.
     ToStore(usize, u64, StoreRequest, RequestPurpose, f64),
+    /// The same for the response, with the time the request was sent.
     FromStore(usize, u64, StoreResponse, RequestPurpose, f64),
-    /// Applied late, nobody waits for it.
+    /// A transaction that is applied later, and whose sender gets no response.
     DelayedTransaction(Transaction),
+    /// Receiving controller, the heartbeat, and its number unless it is a copy.
     Heartbeat(usize, Box<Heartbeat>, Option<u64>),
+    /// Worker, its session epoch, the number of the heartbeat, the status, the controller to which it
+    /// redirects, and the fencing token with the commands.
     HeartbeatReply(
         String,
         u64,
@@ -20,7 +25,11 @@
         Option<String>,
         Option<(u64, Vec<WorkerCommand>)>,
     ),
+    /// Sending controller and its incarnation, worker, fencing token, session epoch, commands, and the
+    /// time it was sent.
     DirectCommand(usize, u64, String, u64, u64, Vec<WorkerCommand>, Instant),
+    /// Controller and its incarnation, the worker's heartbeat, the fencing token of the command and the
+    /// time the command was sent.
     DirectCommandReply(usize, u64, Box<Heartbeat>, u64, Instant),
     CancellationNotice(usize, Vec<JobId>),
     ReleaseMachines(usize, u64, Vec<MachineId>),
@@ -28,17 +37,18 @@
     RentMachines(usize, u64, MachinePool, u32),
     MachinesRented(usize, u64, MachinePool, Vec<String>),
     MachineBoot(String, MachinePool),
-    /// To a node: the bytes, the follower with its life, and the batch's number there.
+    /// Receiving controller, the encoded batch, the follower with its incarnation, and the batch's
+    /// number there.
     Batch(usize, Vec<u8>, usize, u64, u64),
-    /// To a follower: its life, the batch's number, and the body or the status.
+    /// Follower and its incarnation, the batch's number, and the body or the error status.
     BatchReply(usize, u64, u64, Result<Vec<u8>, u16>),
-    /// To a node: a row, its sender with its life, and when it was sent.
+    /// Receiving controller, the encoded row, the sender with its incarnation, and the time it was sent.
     Row(usize, Vec<u8>, usize, u64, f64),
-    /// To the sender of a row: its life, and what became of the row.
+    /// Sender of a row, its incarnation, and the outcome.
     RowOutcome(usize, u64, RowOutcome),
 }
 
-/// The number of a zone, as links have it.
+/// Number of a zone in [`LinkId::Workers`].
 fn zone_number(zone: &str) -> usize {
     usize::from(zone == "south")
 }
@@ -47,8 +57,8 @@
     pub(super) fn deliver(&mut self, message: Message) {
         let now_s = self.now_s;
         match message {
-            Message::ToStore(controller, incarnation, request, purpose, sent) => {
-                self.handle_store_request(controller, incarnation, request, purpose, sent)
+            Message::ToStore(controller, incarnation, request, purpose, sent_s) => {
+                self.handle_store_request(controller, incarnation, request, purpose, sent_s)
             }
             Message::DelayedTransaction(transaction) => {
                 if now_s < self.store_out_until {
@@ -58,17 +68,17 @@
                     self.store.commit(&transaction);
                 }
             }
-            Message::FromStore(controller, incarnation, response, purpose, sent) => {
+            Message::FromStore(controller, incarnation, response, purpose, sent_s) => {
                 if self.accepts_message(controller, Some(incarnation), || {
                     Message::FromStore(
                         controller,
                         incarnation,
                         response.clone(),
                         purpose.clone(),
-                        sent,
+                        sent_s,
                     )
                 }) {
-                    self.handle_store_response(controller, response, purpose, sent);
+                    self.handle_store_response(controller, response, purpose, sent_s);
                 }
             }
             Message::CancellationNotice(controller, jobs) => {
@@ -82,20 +92,20 @@
                 self.receive_heartbeat_at(controller, heartbeat, number)
             }
             Message::Batch(to, bytes, from, incarnation, id) => {
-                let again = || Message::Batch(to, bytes.clone(), from, incarnation, id);
-                if self.accepts_message(to, None, again) {
+                let to_hold = || Message::Batch(to, bytes.clone(), from, incarnation, id);
+                if self.accepts_message(to, None, to_hold) {
                     self.receive_batch(to, &bytes, (from, incarnation, id));
                 }
             }
             Message::BatchReply(controller, incarnation, id, answer) => {
-                let again = || Message::BatchReply(controller, incarnation, id, answer.clone());
-                if self.accepts_message(controller, Some(incarnation), again) {
+                let to_hold = || Message::BatchReply(controller, incarnation, id, answer.clone());
+                if self.accepts_message(controller, Some(incarnation), to_hold) {
                     self.receive_batch_reply(controller, id, answer);
                 }
             }
             Message::Row(..) | Message::RowOutcome(..) => self.deliver_row(message),
             Message::HeartbeatReply(name, epoch, number, status, redirect, body) => {
-                let hung = |w: &Worker| w.hung_until > now_s;
+                let hung = |worker: &Worker| worker.hung_until > now_s;
                 if self.workers.get(&name).is_some_and(hung) {
                     return;
                 }
@@ -124,7 +134,7 @@
         }
     }
 
-    /// A request reaches the cloud, or its answer a node.
+    /// Delivers a request to the cloud, or its response to a controller.
     fn deliver_cloud(&mut self, message: Message) {
         match message {
             Message::ReleaseMachines(controller, incarnation, ids) => {
@@ -135,8 +145,8 @@
                 self.send(Message::MachinesReleased(controller, incarnation, ids));
             }
             Message::MachinesReleased(controller, incarnation, ids) => {
-                let again = || Message::MachinesReleased(controller, incarnation, ids.clone());
-                if self.accepts_message(controller, Some(incarnation), again) {
+                let to_hold = || Message::MachinesReleased(controller, incarnation, ids.clone());
+                if self.accepts_message(controller, Some(incarnation), to_hold) {
                     self.controllers[controller].shared.machines_released(&ids);
                 }
             }
@@ -156,18 +166,18 @@
         }
     }
 
-    /// A row, or what became of one, reaches a node.
+    /// Delivers a row, or the outcome of one, to a controller.
     fn deliver_row(&mut self, message: Message) {
         match message {
-            Message::Row(to, bytes, from, incarnation, sent) => {
-                let again = || Message::Row(to, bytes.clone(), from, incarnation, sent);
-                if self.accepts_message(to, None, again) {
-                    self.receive_row(to, &bytes, (from, incarnation, sent));
+            Message::Row(to, bytes, from, incarnation, sent_s) => {
+                let to_hold = || Message::Row(to, bytes.clone(), from, incarnation, sent_s);
+                if self.accepts_message(to, None, to_hold) {
+                    self.receive_row(to, &bytes, (from, incarnation, sent_s));
                 }
             }
             Message::RowOutcome(controller, incarnation, outcome) => {
-                let again = || Message::RowOutcome(controller, incarnation, outcome.clone());
-                if self.accepts_message(controller, Some(incarnation), again) {
+                let to_hold = || Message::RowOutcome(controller, incarnation, outcome.clone());
+                if self.accepts_message(controller, Some(incarnation), to_hold) {
                     self.receive_row_outcome(controller, outcome);
                 }
             }
@@ -175,7 +185,7 @@
         }
     }
 
-    /// A worker's report, or a copy of one without a number, reaches a node.
+    /// Delivers a worker's heartbeat to a controller. A copy has no number.
     fn receive_heartbeat_at(
         &mut self,
         controller: usize,
@@ -212,7 +222,7 @@
             (HeartbeatOutcome::Queued(pending), Some(number)) => {
                 self.hold_connection(controller, pending, (name, epoch, number));
             }
-            // A copy: it is forwarded as any report, and nobody waits for its answer.
+            // A copy is forwarded like any heartbeat, but no worker waits for its response.
             (HeartbeatOutcome::Queued(pending), None) => {
                 self.hold_connection(controller, pending, (name, epoch, 0));
             }
@@ -220,7 +230,7 @@
         }
     }
 
-    /// A worker's answer to a direct command reaches the node that sent it.
+    /// Delivers a worker's reply to the controller that sent the direct command.
     fn receive_command_reply(
         &mut self,
         controller: usize,
@@ -239,18 +249,21 @@
         let shared = self.controllers[controller].shared.clone();
         let mut guard = shared.cluster.lock();
         let term = FencingToken(token).term();
-        if let Some(cluster) = guard.as_mut().filter(|c| c.term == term && !timed_out) {
+        if let Some(cluster) = guard
+            .as_mut()
+            .filter(|cluster| cluster.term == term && !timed_out)
+        {
             let ordering =
                 cluster.apply_heartbeat(&heartbeat, HeartbeatSource::Command(sent_at), now);
             assert_ne!(
                 ordering,
                 HeartbeatOrdering::Deposed,
-                "ours was executed or refused"
+                "the reply to a direct command of the current term shows a later term"
             );
         }
     }
 
-    /// The cloud's answer to a rental reaches the node that sent_at.
+    /// Delivers the cloud's response to the controller that requested the rental.
     fn receive_rental_reply(
         &mut self,
         controller: usize,
@@ -275,7 +288,7 @@
         }
     }
 
-    /// A direct command reaches a worker.
+    /// Delivers a direct command to a worker.
     fn receive_direct_command(
         &mut self,
         (controller, incarnation): (usize, u64),
@@ -305,10 +318,10 @@
         }
         let accepted = token >= worker.token && epoch == worker.epoch;
         if accepted {
-            // Heeded once in half a lease.
-            let may_report_early =
+            // A newer token triggers an early heartbeat, at most once per half lease.
+            let early_heartbeat_allowed =
                 now_s - worker.token_raised_at > self.settings.params.workers.lease_s / 2.0;
-            if token > worker.token && may_report_early {
+            if token > worker.token && early_heartbeat_allowed {
                 worker.token_raised_at = now_s;
                 worker.state_changed = true;
             }
--- a/tests/common/simulation/faults.rs
+++ b/tests/common/simulation/faults.rs
@@ -1,63 +1,65 @@
-//! What can go wrong, and how it begins.
+//! Faults that a scenario injects into the simulation, and how each one starts.
 
 use knotlanding_testbed::proxy::LinkMode;
 use knotlanding_testbed::schedule::LinkId;
 
 use super::*;
 
-/// What can go wrong.
+/// A fault. A share is the probability with which it affects each worker, message or job.
 #[derive(Clone, Debug)]
 pub enum Fault {
-    /// The state service is out for all.
+    /// The store refuses all requests.
     StoreOutage,
-    /// It refuses whoever leads.
+    /// The store refuses the current leader's requests.
     StoreRefusesLeader,
-    /// Whoever leads gets no answer to what it reads; its renewals and writes get theirs.
+    /// The current leader's reads get no response; its lease renewals and writes are served.
     LeaderReadsUnanswered,
-    /// Each of its answers takes up to that many seconds.
+    /// Every store response is delayed by up to this many additional seconds.
     SlowStore(f64),
-    /// That share of transactions gets no answer; carried out at once, or 2 to 12 s later.
+    /// This share of the transactions gets no response; they are applied at once, or 2 to 12 s later.
     UnansweredTransactions { share: f64, applied_at_once: bool },
-    /// Of that share of reports a copy comes again, or is kept for the next leader.
+    /// A copy of this share of the heartbeats is delivered up to two worker leases later, or when the
+    /// next leader takes over.
     DuplicateHeartbeats {
         share: f64,
         kept_for_next_leader: bool,
     },
-    /// Answers and commands to that share of the machines are lost.
+    /// Responses and direct commands to this share of the workers are lost.
     LoseResponses(f64),
-    /// Reports of that share of the machines are lost.
+    /// Heartbeats of this share of the workers are lost.
     LoseHeartbeats(f64),
-    /// That share of the machines hangs.
+    /// This share of the workers hangs.
     HangWorkers(f64),
-    /// So many machines die.
+    /// This many machines terminate.
     TerminateMachines(usize),
-    /// Whoever leads ends, and is back after that time.
+    /// The leader terminates, and restarts after this many seconds.
     CrashLeader(f64),
-    /// A follower ends, and is back after that time.
+    /// A follower terminates, and restarts after this many seconds.
     CrashFollower(f64),
-    /// All end, and are back after that time.
+    /// All controllers terminate, and restart after this many seconds.
     CrashAll(f64),
-    /// Whoever leads stands still.
+    /// The leader's process is paused.
     PauseLeader,
-    /// Whoever leads loses the workers.
+    /// Heartbeats to the current leader and its direct commands are lost.
     LeaderCutFromWorkers,
-    /// Users call off so many jobs.
+    /// Users cancel this many jobs.
     CancelJobs(usize),
-    /// Jobs are called off as their last task ends, that share of them.
+    /// Users cancel this share of the jobs when the last task completes.
     CancelAtCompletion(f64),
-    /// Batches of forwarded reports are lost, held or doubled.
+    /// Batches of forwarded heartbeats are lost, delayed or duplicated.
     Batches(BatchFaults),
-    /// A link is so meanwhile.
+    /// A link has this mode.
     Link(LinkId, LinkMode),
-    /// A controller ends, and is back at once.
+    /// The controller with this index terminates, and restarts after 0.2 s.
     Restart(usize),
-    /// Transactions are refused; reads and leases are served.
+    /// The store refuses transactions with changes; it serves reads and lease requests.
     WritesRefused,
-    /// A follower can't reach the leader; its workers and the state service reach both.
+    /// One follower's batches are lost, as if it could not reach the leader; its connections to the
+    /// workers and to the store are intact.
     FollowerCutFromLeader,
 }
 
-/// A fault with its time.
+/// A fault and the time for which it lasts.
 #[derive(Clone, Debug)]
 pub struct TimedFault {
     pub starts_at: f64,
@@ -79,7 +81,8 @@
         match timed_fault.fault.clone() {
             Fault::StoreOutage => {
                 self.store_out_until = until;
-                // Every lease has its full time again afterwards.
+                // The store does not expire leases during an outage: each one lasts its full duration
+                // from the end of the outage.
                 let expires_at = until + LEADER_LEASE_MIN.as_secs_f64();
                 self.store
                     .leases
@@ -102,12 +105,14 @@
                 kept_for_next_leader,
             } => self.duplicate_heartbeats = (share, kept_for_next_leader, until),
             Fault::LoseResponses(share) => {
-                self.change_workers(share, |w| w.responses_lost_until = until)
+                self.change_workers(share, |worker| worker.responses_lost_until = until)
             }
             Fault::LoseHeartbeats(share) => {
-                self.change_workers(share, |w| w.heartbeats_lost_until = until)
+                self.change_workers(share, |worker| worker.heartbeats_lost_until = until)
+            }
+            Fault::HangWorkers(share) => {
+                self.change_workers(share, |worker| worker.hung_until = until)
             }
-            Fault::HangWorkers(share) => self.change_workers(share, |w| w.hung_until = until),
             Fault::TerminateMachines(count) => self.terminate_machines(count),
             Fault::CrashLeader(restart_delay_s) => {
                 if let Some(controller) = self.leader() {
@@ -153,20 +158,20 @@
         }
     }
 
-    /// A controller ends, and is back after that time.
+    /// Terminates a controller, which restarts after the delay.
     fn crash(&mut self, controller: usize, restart_delay_s: f64) {
         self.controllers[controller].is_running = false;
         self.controllers[controller].restart_at = self.now_s + restart_delay_s;
     }
 
-    /// Changes a drawn share of the workers.
+    /// Changes a randomly drawn share of the workers.
     fn change_workers(&mut self, share: f64, change: impl Fn(&mut Worker)) {
         for name in self.draw_workers(share) {
             change(self.workers.get_mut(&name).unwrap());
         }
     }
 
-    /// So many machines die; the list shows them for a while.
+    /// Terminates machines, which the machine list shows as running for another 30 s.
     fn terminate_machines(&mut self, count: usize) {
         for _ in 0..count {
             let names: Vec<String> = self.workers.keys().cloned().collect();
@@ -185,7 +190,7 @@
         }
     }
 
-    /// Users call off so many jobs.
+    /// Cancels up to `count` accepted jobs on behalf of users.
     fn cancel_random_jobs(&mut self, count: usize) {
         let cancellable = self.jobs.iter().filter(|(_, job)| {
             job.observed_accepted_at.is_some()
--- a/tests/common/simulation/forwarding.rs
+++ b/tests/common/simulation/forwarding.rs
@@ -1,4 +1,5 @@
-//! The model's part for reports that followers forward: batches on their way, lost, held or doubled.
+//! Simulated forwarding of heartbeats from followers to the leader, in batches that faults may lose,
+//! delay or duplicate.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -19,20 +20,20 @@
 
 use super::{Message, Simulation};
 
-/// What happens to batches, connection with its share.
+/// Shares of the batches that each fault affects.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct BatchFaults {
-    /// They don't arrive.
+    /// Batches that are not delivered.
     pub lost: f64,
-    /// They arrive seconds to a minute later.
-    pub held: f64,
-    /// They arrive twice, the second time up to two seconds later.
-    pub doubled: f64,
-    /// Their answers are held for seconds.
-    pub answers_held: f64,
+    /// Batches that are delivered 2 to 60 s later.
+    pub delayed: f64,
+    /// Batches of which a second copy is delivered, up to 2 s after they are sent.
+    pub duplicated: f64,
+    /// Batches whose response is delayed by 1 to 8 s.
+    pub responses_delayed: f64,
 }
 
-/// A worker's connection that waits at a follower.
+/// A worker's connection that a follower keeps open until the leader responds.
 struct WaitingConnection {
     pending: PendingHeartbeat,
     name: String,
@@ -40,31 +41,32 @@
     number: u64,
 }
 
-/// A batch under way, with the time by which it is given up.
+/// A batch without a response so far, and the time at which it times out.
 struct SentBatch {
     batch: Vec<QueuedHeartbeat>,
     leader: knotlanding::leader::LeaderHint,
     until: f64,
 }
 
-/// What a follower holds of forwarded reports; gone with its life.
+/// A follower's connections and batches; a restart clears them.
 #[derive(Default)]
 pub struct ForwardingState {
     waiting: Vec<WaitingConnection>,
     sent_batches: HashMap<u64, SentBatch>,
     last_batch_at: f64,
+    /// Number of the last batch.
     batches: u64,
 }
 
 impl Simulation {
-    /// A report was queued at a follower.
+    /// Keeps the connection of a worker whose heartbeat was queued for the leader.
     pub(super) fn hold_connection(
         &mut self,
         controller: usize,
         pending: PendingHeartbeat,
         (name, epoch, number): (String, u64, u64),
     ) {
-        let waiting = WaitingConnection {
+        let connection = WaitingConnection {
             pending,
             name,
             epoch,
@@ -73,10 +75,10 @@
         self.controllers[controller]
             .forwarding_state
             .waiting
-            .push(waiting);
+            .push(connection);
     }
 
-    /// One step of a follower: sends what has gathered, passes answers on.
+    /// Relays responses to workers, and sends the queued heartbeats to the leader.
     pub(super) fn step_forwarding(&mut self, controller: usize) {
         self.time_out_batches(controller);
         self.relay_responses(controller);
@@ -124,12 +126,12 @@
             forwarding_state.batches += 1;
             let id = forwarding_state.batches;
             let until = self.now_s + BATCH_TIMEOUT.as_secs_f64();
-            let sent_batches = SentBatch {
+            let sent_batch = SentBatch {
                 batch,
                 leader: leader.clone(),
                 until,
             };
-            forwarding_state.sent_batches.insert(id, sent_batches);
+            forwarding_state.sent_batches.insert(id, sent_batch);
             self.batches_sent += 1;
             self.send_batch(controller, to, id, bytes);
         }
@@ -150,7 +152,7 @@
         }
         let incarnation = self.controllers[controller].incarnation;
         let message = |bytes| Message::Batch(to, bytes, controller, incarnation, id);
-        if self.rng.random_bool(faults.held) {
+        if self.rng.random_bool(faults.delayed) {
             let after = self.rng.random_range(2.0..60.0);
             return self.deliver_after(after, message(bytes));
         }
@@ -158,14 +160,14 @@
         if self.withholds_request(&link_fault, Some(message(bytes.clone()))) {
             return;
         }
-        if self.rng.random_bool(faults.doubled) {
+        if self.rng.random_bool(faults.duplicated) {
             let after = self.rng.random_range(0.0..2.0);
             self.deliver_after(after, message(bytes.clone()));
         }
         self.send(message(bytes));
     }
 
-    /// A batch reaches the node that led when it was sent.
+    /// Delivers a batch to the controller that its sender took for the leader.
     pub(super) fn receive_batch(
         &mut self,
         to: usize,
@@ -178,7 +180,7 @@
         if matches!(answer, Err(BatchError::Stale(_))) {
             self.stale_batches += 1;
         }
-        // Only what goes over the wire reaches the follower.
+        // The follower receives only what is sent over the network: the encoded body or the status.
         let answer = answer.map_err(|error| error.status().as_u16());
         let answer = answer.map(|answer| encode(&answer).unwrap());
         let link_fault = self.current_link_fault(LinkId::Peer(from, to));
@@ -187,7 +189,7 @@
         }
         let (faults, until) = self.batch_faults;
         let message = Message::BatchReply(from, incarnation, id, answer);
-        if self.now_s < until && self.rng.random_bool(faults.answers_held) {
+        if self.now_s < until && self.rng.random_bool(faults.responses_delayed) {
             let after = self.rng.random_range(1.0..8.0);
             self.deliver_after(after, message);
         } else {
@@ -195,7 +197,7 @@
         }
     }
 
-    /// The leader's answer reaches the follower.
+    /// Delivers the response to a batch to the follower that sent it.
     pub(super) fn receive_batch_reply(
         &mut self,
         controller: usize,
@@ -203,7 +205,7 @@
         answer: Result<Vec<u8>, u16>,
     ) {
         let now = self.instant();
-        let Some(sent_batches) = self.controllers[controller]
+        let Some(sent_batch) = self.controllers[controller]
             .forwarding_state
             .sent_batches
             .remove(&id)
@@ -217,18 +219,21 @@
                 shared
                     .forwarding
                     .lock()
-                    .record_batch_success(&sent_batches.leader);
-                for (queued, answer) in sent_batches.batch.into_iter().zip(answer.answers) {
+                    .record_batch_success(&sent_batch.leader);
+                for (queued, answer) in sent_batch.batch.into_iter().zip(answer.answers) {
                     queued.answer(answer);
                 }
             }
             Err(status) => {
-                assert_eq!(status, 409, "only the term or the age can be wrong");
+                assert_eq!(
+                    status, 409,
+                    "a batch may only be rejected because of its term or its age"
+                );
                 let failure = UpstreamFailure::NotLeading;
                 shared
                     .forwarding
                     .lock()
-                    .record_batch_failure(&sent_batches.leader, failure, now);
+                    .record_batch_failure(&sent_batch.leader, failure, now);
             }
         }
     }
@@ -237,18 +242,14 @@
         let (now_s, now) = (self.now_s, self.instant());
         let state = &mut self.controllers[controller];
         let expired = state.forwarding_state.sent_batches.iter();
-        let expired = expired.filter(|(_, sent_batches)| sent_batches.until < now_s);
+        let expired = expired.filter(|(_, sent_batch)| sent_batch.until < now_s);
         let expired: Vec<u64> = expired.map(|(id, _)| *id).collect();
         for id in expired {
-            let Some(sent_batches) = state.forwarding_state.sent_batches.remove(&id) else {
+            let Some(sent_batch) = state.forwarding_state.sent_batches.remove(&id) else {
                 continue;
             };
             let mut forwarding = state.shared.forwarding.lock();
-            forwarding.record_batch_failure(
-                &sent_batches.leader,
-                UpstreamFailure::Unresponsive,
-                now,
-            );
+            forwarding.record_batch_failure(&sent_batch.leader, UpstreamFailure::Unresponsive, now);
         }
     }
 
--- a/tests/common/simulation/invariants.rs
+++ b/tests/common/simulation/invariants.rs
@@ -1,17 +1,22 @@
-//! The protocol's rules, checked after every step.
+//! Invariants that are checked during a run.
 
 use super::*;
 
-/// How long a job may wait while a machine that fits has room and its team is under its limit.
+/// Maximum time for which a job may wait while machines have room for it and its team is within its
+/// limit.
 const WAIT_WITH_ROOM_MAX_S: f64 = 90.0;
 
 impl Simulation {
-    /// What must hold at every moment.
+    /// Checks after a step that cancelled jobs have stopped in time and that teams are within their limits.
     pub(super) fn check_invariants(&mut self) {
         let cancel_s = self.worker_settings().cancel_s;
         let mut violations = Vec::new();
         let mut used: HashMap<String, Resources> = HashMap::new();
-        for (name, worker) in self.workers.iter().filter(|(_, w)| self.may_run_tasks(w)) {
+        for (name, worker) in self
+            .workers
+            .iter()
+            .filter(|(_, worker)| self.may_run_tasks(worker))
+        {
             for ((task, _), state) in &worker.tasks {
                 let (job, _) = task_parts(task);
                 let Some(job) = self.jobs.get(job).filter(|_| occupies_machine(state)) else {
@@ -37,7 +42,7 @@
         }
     }
 
-    /// Whether tasks of the job wait while there is room for them.
+    /// Whether a task of the job waits although there is room for it.
     pub(super) fn waits_despite_room(&self, id: &str) -> bool {
         let job = &self.jobs[id];
         let is_ended = job.observed_done_at.is_some() || job.cancel_requested;
@@ -45,10 +50,12 @@
             return false;
         }
         let placed = |task: &str| {
-            let on = |((at, _), state): (&(String, u64), &Task)| {
-                at == task && state.phase != TaskPhase::Exited
+            let is_present = |((candidate, _), state): (&(String, u64), &Task)| {
+                candidate == task && state.phase != TaskPhase::Exited
             };
-            self.workers.values().any(|w| w.tasks.iter().any(on))
+            self.workers
+                .values()
+                .any(|worker| worker.tasks.iter().any(is_present))
         };
         let tasks = (0..job.spec.tasks).map(|index| format!("{id}/{index}"));
         let waiting = tasks.filter(|task| !self.completed_tasks.contains(task) && !placed(task));
@@ -58,7 +65,7 @@
         }
         let is_gang = job.spec.kind == JobKind::Gang;
         if is_gang && waiting < job.spec.tasks {
-            // The rest of it has to stop first.
+            // The remaining members have to stop first.
             return false;
         }
         let tasks_to_place = if is_gang { waiting } else { 1 };
@@ -83,12 +90,13 @@
             }
         }
         let has_room = zones.values().any(|count| *count >= tasks_to_place);
-        // An array bound to one zone has room where its other tasks are, or anywhere without any.
+        // An array that is bound to the zone of its other tasks is not checked. Without placed or completed
+        // tasks it may use any zone.
         let bound_to_zone = job.spec.single_zone && !is_gang && waiting < job.spec.tasks;
         has_room && !bound_to_zone && self.policy.within_limit(&job.spec.team, &used)
     }
 
-    /// Nobody waits for nothing once the troubles are over.
+    /// Checks that no job waits too long despite room for it.
     pub(super) fn check_waiting_jobs(&mut self) {
         let ids: Vec<String> = self.jobs.keys().cloned().collect();
         for id in ids {
@@ -99,7 +107,7 @@
             let now_s = self.now_s;
             let waiting_since = *self.placeable_since.entry(id.clone()).or_insert(now_s);
             if now_s - waiting_since > WAIT_WITH_ROOM_MAX_S {
-                self.record_violation("placeable_since", id);
+                self.record_violation("waits_despite_room", id);
             }
         }
     }
--- a/tests/common/simulation/links.rs
+++ b/tests/common/simulation/links.rs
@@ -1,5 +1,5 @@
-//! The model's part for links that are cut, each direction by itself, and for the rows that the nodes
-//! tell each other where links are turned on.
+//! Simulated link faults, for each direction of a link separately, and the connectivity rows that
+//! controllers exchange when link monitoring is enabled.
 
 use std::time::Duration;
 
@@ -16,25 +16,26 @@
 use knotlanding_testbed::schedule::LinkId;
 use rand::Rng;
 
-use super::state_service::{RequestPurpose, StoreRequest, StoreResponse};
+use super::store::{RequestPurpose, StoreRequest, StoreResponse};
 use super::{Message, Simulation};
 
-/// Time between two rows, and after which one is not answered.
+/// Interval between the rows that a controller sends.
 const ROW_INTERVAL_S: f64 = 1.0;
+/// A row without a response within this time counts as a failed request.
 const ROW_TIMEOUT_S: f64 = 0.9;
-/// Looks further apart than that: the node stood still.
+/// A longer time between two evaluations means that the process was paused.
 const PAUSE_MIN_S: f64 = 2.5;
 
-/// What a node keeps of its links besides what it shares; gone with its life.
+/// A controller's link state outside of its shared state; a restart clears it.
 #[derive(Default)]
 pub struct ControllerLinks {
     evaluated_at: f64,
     probes: u64,
-    /// Since when nobody leads, as far as it has looked.
+    /// Time at which the controller first observed that there is no leader.
     pub(super) vacant_since: Option<f64>,
 }
 
-/// A link that is cut for a while.
+/// The mode of a link until a given time.
 #[derive(Clone, Copy, Debug)]
 pub struct TimedLinkFault {
     pub link: LinkId,
@@ -42,24 +43,23 @@
     pub until: f64,
 }
 
-/// What became of a row, for its sender.
+/// Outcome of a row for its sender.
 #[derive(Clone, Debug)]
 pub struct RowOutcome {
     to: usize,
-    sent: f64,
-    /// Whether there was an answer at all, and what it said.
-    receive_reply: Option<Option<RowReply>>,
+    sent_s: f64,
+    /// Absent if the row timed out; the inner value is absent if the receiver rejected the row.
+    reply: Option<Option<RowReply>>,
 }
 
 impl Simulation {
-    /// What is turned on at the nodes.
     pub(super) fn features(&self) -> Features {
         Features {
             links: self.links_enabled.then(LinkFeatures::default),
         }
     }
 
-    /// How a link is now.
+    /// The latest active fault of a link, or the mode without a fault.
     pub(super) fn current_link_fault(&self, link: LinkId) -> TimedLinkFault {
         let newest_first = self.link_faults.iter().rev();
         let active = newest_first
@@ -72,7 +72,8 @@
         })
     }
 
-    /// Whether a request is kept from arriving; held, it arrives when the link is whole again.
+    /// Whether a link fault prevents the delivery of a request now. A held request is delivered when the
+    /// fault ends.
     pub(super) fn withholds_request(
         &mut self,
         link_fault: &TimedLinkFault,
@@ -90,13 +91,13 @@
         false
     }
 
-    /// Takes what became of a request to the state service.
+    /// Records the outcome of a store request as evidence for the store link.
     pub(super) fn record_store_outcome(
         &self,
         controller: usize,
         purpose: &RequestPurpose,
-        failed: Option<&StoreError>,
-        sent: f64,
+        error: Option<&StoreError>,
+        sent_s: f64,
     ) {
         let operation = match purpose {
             RequestPurpose::Load
@@ -112,16 +113,16 @@
             | RequestPurpose::Cancel(_)
             | RequestPurpose::Probe => StoreOperation::Write,
         };
-        let sent_at = self.started_at + Duration::from_secs_f64(sent);
+        let sent_at = self.started_at + Duration::from_secs_f64(sent_s);
         let links = &self.controllers[controller].shared.links;
-        if failed.is_some_and(StoreError::shows_outage) {
+        if error.is_some_and(StoreError::shows_outage) {
             links.store_failed(operation, sent_at, self.instant());
         } else {
             links.store_answered(operation, sent_at, self.instant());
         }
     }
 
-    /// A node's regular look at its links, and its row to the others.
+    /// Evaluates the links of a controller, and sends its row to the others, once per interval.
     pub(super) fn step_links(&mut self, controller: usize) {
         let shared = self.controllers[controller].shared.clone();
         let Some(active) = shared.links.active() else {
@@ -145,7 +146,7 @@
             return;
         }
         let row = active.next_row(
-            leadership.map(|held_messages| held_messages.term.0),
+            leadership.map(|held| held.term.0),
             now,
             self.wall_clock_of(controller),
         );
@@ -174,16 +175,16 @@
         let incarnation = self.controllers[from].incarnation;
         let unanswered = RowOutcome {
             to,
-            sent: self.now_s,
-            receive_reply: None,
+            sent_s: self.now_s,
+            reply: None,
         };
-        // Nobody hears of an answer after this one.
+        // The timeout of the row; a response that arrives after it is ignored.
         self.deliver_after(
             ROW_TIMEOUT_S,
             Message::RowOutcome(from, incarnation, unanswered),
         );
         let message = Message::Row(to, bytes.clone(), from, incarnation, self.now_s);
-        // Some rows come again, seconds to a minute later.
+        // Some rows are delivered a second time, 1 to 60 s later.
         if self.rng.random_bool(0.02) {
             let after = self.rng.random_range(1.0..60.0);
             self.deliver_after(after, message.clone());
@@ -195,12 +196,12 @@
         }
     }
 
-    /// A row reaches a node.
+    /// Delivers a row to a controller.
     pub(super) fn receive_row(
         &mut self,
         to: usize,
         bytes: &[u8],
-        (from, incarnation, sent): (usize, u64, f64),
+        (from, incarnation, sent_s): (usize, u64, f64),
     ) {
         let (now, wall_clock) = (self.instant(), self.wall_clock_of(to));
         let shared = self.controllers[to].shared.clone();
@@ -216,23 +217,15 @@
         if link_fault.mode.responses != Flow::Pass || link_fault.mode.refuse {
             return;
         }
-        let receive_reply = Some(accepted.ok());
+        let reply = Some(accepted.ok());
         let after = self.draw_latency() + link_fault.mode.delay.as_secs_f64();
         self.deliver_after(
             after,
-            Message::RowOutcome(
-                from,
-                incarnation,
-                RowOutcome {
-                    to,
-                    sent,
-                    receive_reply,
-                },
-            ),
+            Message::RowOutcome(from, incarnation, RowOutcome { to, sent_s, reply }),
         );
     }
 
-    /// The sender hears of its row, or has waited long enough.
+    /// Delivers the response to a row, or its timeout, to the sender.
     pub(super) fn receive_row_outcome(&mut self, controller: usize, outcome: RowOutcome) {
         let now = self.instant();
         let shared = self.controllers[controller].shared.clone();
@@ -240,9 +233,9 @@
             return;
         };
         let member = self.controllers[outcome.to].name.clone();
-        let sent_at = self.started_at + Duration::from_secs_f64(outcome.sent);
-        match outcome.receive_reply {
-            // Also posted for rows that were answered: their successes were sent as late.
+        let sent_at = self.started_at + Duration::from_secs_f64(outcome.sent_s);
+        match outcome.reply {
+            // Every row has a timeout; it has no effect if a row sent at that time or later succeeded.
             None => {
                 let table = active.table.lock();
                 let links = table.named_links();
@@ -255,18 +248,18 @@
                     active.record_peer_request(&member, sent_at, false, now);
                 }
             }
-            Some(receive_reply) if self.now_s - outcome.sent <= ROW_TIMEOUT_S => {
+            Some(reply) if self.now_s - outcome.sent_s <= ROW_TIMEOUT_S => {
                 active.record_peer_request(&member, sent_at, true, now);
-                if let Some(receive_reply) = receive_reply {
-                    active.handle_row_reply(receive_reply);
+                if let Some(accepted) = reply {
+                    active.handle_row_reply(accepted);
                 }
             }
             Some(_) => {}
         }
     }
 
-    /// Whether the leader hands over by what the matrix says.
-    pub(super) fn should_hand_over(&mut self, controller: usize) -> bool {
+    /// Whether the leader hands over leadership because of the connectivity matrix. Records the handover.
+    pub(super) fn decide_handover(&mut self, controller: usize) -> bool {
         let now = self.instant();
         let shared = self.controllers[controller].shared.clone();
         let Some(active) = shared.links.active() else {
@@ -284,7 +277,8 @@
         true
     }
 
-    /// Whether a node leaves an election to a better connected one for a moment.
+    /// Whether a controller leaves an election to a better connected one, for the first 0.7 s without a
+    /// leader.
     pub(super) fn yields_election(&mut self, controller: usize) -> bool {
         let (now_s, now) = (self.now_s, self.instant());
         let vacant_since = *self.controllers[controller]
@@ -296,7 +290,7 @@
         now_s - vacant_since < 0.7 && active.is_some_and(|active| active.should_yield(now))
     }
 
-    /// What the link makes of a request to the state service; nothing if it is answered as usual.
+    /// Response to a store request that is subject to a link fault; `None` if the link is intact.
     pub(super) fn apply_store_link_fault(
         &mut self,
         controller: usize,
@@ -320,7 +314,8 @@
         None
     }
 
-    /// Sets the numbers of a new life: all processes of the model start within the same millisecond.
+    /// Raises the incarnation of a restarted process above that of the previous one. All processes of the
+    /// simulation start within the same millisecond, so the start time does not distinguish them.
     pub(super) fn raise_incarnation(&self, controller: usize, incarnation: u64) {
         let started_at_ms = unix_ms(std::time::SystemTime::now());
         if let Some(active) = self.controllers[controller].shared.links.active() {
--- a/tests/common/simulation/run_hash.rs
+++ b/tests/common/simulation/run_hash.rs
@@ -1,28 +1,28 @@
-//! A hash of everything that happens in a run of the model: what the key-value store holds, what every
-//! worker runs, and what users were told, step by step. Two versions of the controllers that behave
-//! alike have the same hash for the same seed.
+//! A hash of a whole run: the contents of the store, the tasks on every worker and the verdicts that
+//! users observed, at each step. Two versions of the controllers with the same behavior yield the same
+//! hash for the same seed.
 
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
 
 use super::*;
 
-/// The hash so far.
 #[derive(Default)]
 pub struct RunHash {
     hasher: DefaultHasher,
+    /// Number of store events that the hash covers.
     events: usize,
 }
 
 impl RunHash {
-    /// The hash of all steps taken in.
+    /// Hash of all steps so far.
     pub fn value(&self) -> u64 {
         self.hasher.finish()
     }
 }
 
 impl Simulation {
-    /// Takes in the state after a step.
+    /// Adds the state after a step.
     pub(super) fn hash_step(&mut self) {
         let mut run = std::mem::take(&mut self.run_hash);
         let hasher = &mut run.hasher;
@@ -60,7 +60,7 @@
         self.run_hash = run;
     }
 
-    /// The hash of the run so far.
+    /// Hash of the run so far.
     pub fn run_hash(&self) -> u64 {
         self.run_hash.value()
     }
--- a/tests/common/simulation/state_service.rs
+++ b/tests/common/simulation/store.rs
@@ -1,8 +1,8 @@
-//! The model's state service, and what goes wrong between it and a controller.
+//! The simulated key-value store, and the faults between it and a controller.
 
 use super::*;
 
-/// Why a node asked.
+/// Purpose of a store request, which decides what follows its response.
 #[derive(Clone, Debug)]
 pub(super) enum RequestPurpose {
     Load,
@@ -41,7 +41,6 @@
 }
 
 impl StoreResponse {
-    /// Why the request failed, if it did.
     pub(super) fn failure(&self) -> Option<&StoreError> {
         match self {
             Self::Failed(error) | Self::TransactionOutcome(TransactionOutcome::Failed(error)) => {
@@ -55,8 +54,11 @@
 #[derive(Default)]
 pub(super) struct Store {
     pub(super) revision: u64,
+    /// Value, version and lease, by key.
     pub(super) keys: BTreeMap<String, (Value, u64, Option<u64>)>,
+    /// All changes, with their revisions.
     pub(super) events: Vec<(u64, WatchEvent)>,
+    /// Expiry times, by lease.
     pub(super) leases: BTreeMap<u64, f64>,
     pub(super) next_lease: u64,
 }
@@ -156,13 +158,13 @@
         purpose: RequestPurpose,
     ) {
         let incarnation = self.controllers[controller].incarnation;
-        let sent = self.now_s;
+        let sent_s = self.now_s;
         self.send(Message::ToStore(
             controller,
             incarnation,
             request,
             purpose,
-            sent,
+            sent_s,
         ));
     }
 
@@ -172,7 +174,7 @@
         incarnation: u64,
         request: StoreRequest,
         purpose: RequestPurpose,
-        sent: f64,
+        sent_s: f64,
     ) {
         let refused = self
             .controller_refused
@@ -181,19 +183,19 @@
             .controller_without_reads
             .is_some_and(|(affected, until)| affected == controller && self.now_s < until);
         if read_unanswered && matches!(request, StoreRequest::Load | StoreRequest::Read(_)) {
-            let remaining_s = (sent + STORE_TIMEOUT_S - self.now_s).max(0.0);
+            let remaining_s = (sent_s + STORE_TIMEOUT_S - self.now_s).max(0.0);
             let unknown = StoreResponse::Failed(StoreError::OutcomeUnknown);
             self.deliver_after(
                 remaining_s,
-                Message::FromStore(controller, incarnation, unknown, purpose, sent),
+                Message::FromStore(controller, incarnation, unknown, purpose, sent_s),
             );
             return;
         }
         if let Some(unknown) = self.apply_store_link_fault(controller, &request) {
-            let remaining_s = (sent + STORE_TIMEOUT_S - self.now_s).max(0.0);
+            let remaining_s = (sent_s + STORE_TIMEOUT_S - self.now_s).max(0.0);
             self.deliver_after(
                 remaining_s,
-                Message::FromStore(controller, incarnation, unknown, purpose, sent),
+                Message::FromStore(controller, incarnation, unknown, purpose, sent_s),
             );
             return;
         }
@@ -205,11 +207,11 @@
             self.store.expire(self.now_s);
             if let StoreRequest::Commit(transaction) = &request {
                 if self.loses_response(transaction) {
-                    let remaining_s = (sent + STORE_TIMEOUT_S - self.now_s).max(0.0);
+                    let remaining_s = (sent_s + STORE_TIMEOUT_S - self.now_s).max(0.0);
                     let unknown = StoreResponse::Failed(StoreError::OutcomeUnknown);
                     self.deliver_after(
                         remaining_s,
-                        Message::FromStore(controller, incarnation, unknown, purpose, sent),
+                        Message::FromStore(controller, incarnation, unknown, purpose, sent_s),
                     );
                     return;
                 }
@@ -221,23 +223,23 @@
         if self.now_s < until {
             after += self.rng.random_range(0.0..delay_max_s);
         }
-        // Too late an answer counts as none.
-        let remaining_s = (sent + STORE_TIMEOUT_S - self.now_s).max(0.0);
+        // A response after the timeout counts as missing.
+        let remaining_s = (sent_s + STORE_TIMEOUT_S - self.now_s).max(0.0);
         if after > remaining_s {
             let unknown = StoreResponse::Failed(StoreError::OutcomeUnknown);
             self.deliver_after(
                 remaining_s,
-                Message::FromStore(controller, incarnation, unknown, purpose, sent),
+                Message::FromStore(controller, incarnation, unknown, purpose, sent_s),
             );
         } else {
             self.deliver_after(
                 after,
-                Message::FromStore(controller, incarnation, response, purpose, sent),
+                Message::FromStore(controller, incarnation, response, purpose, sent_s),
             );
         }
     }
 
-    /// Whether a transaction gets no answer; it is carried out at once or later.
+    /// Whether a transaction gets no response; in that case it is applied here or scheduled for later.
     fn loses_response(&mut self, transaction: &Transaction) -> bool {
         let (share, applied_at_once, until) = self.unanswered_transactions;
         if self.now_s >= until || !self.rng.random_bool(share) {
@@ -267,7 +269,11 @@
                 StoreResponse::Rows(rows.collect(), self.store.revision)
             }
             StoreRequest::Read(after) => {
-                let newer = self.store.events.iter().filter(|(at, _)| *at > after);
+                let newer = self
+                    .store
+                    .events
+                    .iter()
+                    .filter(|(revision, _)| *revision > after);
                 let newer = newer.map(|(_, event)| event.clone()).collect();
                 StoreResponse::Events(newer, self.store.revision)
             }
--- a/tests/common/simulation/users.rs
+++ b/tests/common/simulation/users.rs
@@ -1,9 +1,11 @@
-//! The model's users: they submit, ask, cancel, and remember what they were told.
+//! Simulated users, who submit, poll and cancel jobs, and record the verdicts that they receive.
 
 use super::*;
 
+/// A job, and what its users have requested and observed.
 pub(super) struct UserJob {
     pub(super) spec: JobSpec,
+    /// Run time of each task.
     pub(super) run_s: f64,
     pub(super) observed_accepted_at: Option<f64>,
     pub(super) cancel_requested: bool,
@@ -93,7 +95,7 @@
         );
     }
 
-    /// Users' habits in one step.
+    /// Draws the requests that users send in one step.
     pub(super) fn step_users(&mut self) {
         let ids: Vec<String> = self.jobs.keys().cloned().collect();
         for id in ids {
@@ -122,19 +124,20 @@
         (0..tasks).all(|index| self.completed_tasks.contains(&format!("{id}/{index}")))
     }
 
-    /// What a user is told, against all that anybody was told before the question was sent.
-    pub(super) fn observe_verdict(&mut self, id: &str, sent: f64, verdict: Option<Verdict>) {
+    /// Records a verdict that a user receives, and checks that it does not contradict any verdict
+    /// received before the request was sent.
+    pub(super) fn observe_verdict(&mut self, id: &str, sent_s: f64, verdict: Option<Verdict>) {
         let job = &self.jobs[id];
-        let before = |at: Option<f64>| at.is_some_and(|at| at < sent);
+        let before = |at: Option<f64>| at.is_some_and(|at| at < sent_s);
         let violation = match verdict {
             None if before(job.observed_accepted_at) => Some("forgotten"),
             Some(Verdict::Accepted | Verdict::Done) if before(job.observed_cancelled_at) => {
-                Some("went_back")
+                Some("verdict_reverted")
             }
             Some(Verdict::Accepted | Verdict::Cancelled) if before(job.observed_done_at) => {
-                Some("went_back")
+                Some("verdict_reverted")
             }
-            Some(Verdict::Cancelled) if !job.cancel_requested => Some("went_back"),
+            Some(Verdict::Cancelled) if !job.cancel_requested => Some("verdict_reverted"),
             Some(Verdict::Done) if !self.all_tasks_completed(id) => Some("not_done"),
             _ => None,
         };
--- a/tests/common/simulation/workers.rs
+++ b/tests/common/simulation/workers.rs
@@ -1,4 +1,4 @@
-//! The model's workers: reports, leases, tasks and gangs.
+//! The simulated workers: heartbeats, leases, tasks and gangs.
 
 use super::*;
 
@@ -6,8 +6,10 @@
 pub(super) struct Task {
     pub(super) phase: TaskPhase,
     pub(super) cause: Option<ExitCause>,
+    /// End of the current phase if it has a fixed duration.
     pub(super) until: f64,
     pub(super) phase_started_at: f64,
+    /// Time since which a member of the gang is missing.
     pub(super) missing_since: Option<f64>,
 }
 
@@ -15,21 +17,29 @@
     pub(super) zone: String,
     pub(super) machine_type: String,
     pub(super) spot: bool,
+    /// Number of the session; a new one starts when the lease expires.
     pub(super) epoch: u64,
     pub(super) sequence: u64,
+    /// Highest fencing token received.
     pub(super) token: u64,
+    /// Time at which the last acknowledged heartbeat was sent, or at which the session started.
     pub(super) lease_started_at: f64,
+    /// Controller to which the worker sends its heartbeats.
     pub(super) controller: usize,
     pub(super) next_heartbeat_at: f64,
-    /// Number, session and time of the report under way.
+    /// Number, session epoch and send time of a heartbeat that has no response yet.
     pub(super) awaited_reply: Option<(u64, u64, f64)>,
+    /// Whether the next heartbeat is sent early.
     pub(super) state_changed: bool,
     pub(super) last_heartbeat_at: f64,
+    /// Time at which a newer fencing token last triggered an early heartbeat.
     pub(super) token_raised_at: f64,
     pub(super) hung_until: f64,
     pub(super) responses_lost_until: f64,
     pub(super) heartbeats_lost_until: f64,
+    /// Messages that arrived while the worker was hung.
     pub(super) held_messages: Vec<Message>,
+    /// By task and attempt.
     pub(super) tasks: BTreeMap<(String, u64), Task>,
 }
 
@@ -94,8 +104,8 @@
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
-        if let Some((_, _, sent)) = worker.awaited_reply {
-            if now_s - sent > WORKER_TIMEOUT_S {
+        if let Some((_, _, sent_s)) = worker.awaited_reply {
+            if now_s - sent_s > WORKER_TIMEOUT_S {
                 worker.awaited_reply = None;
                 worker.controller = (worker.controller + 1) % 3;
                 worker.next_heartbeat_at = now_s + 1.0;
@@ -133,7 +143,7 @@
         }
     }
 
-    /// Tasks go on, and gangs.
+    /// Advances the phases of a worker's tasks.
     pub(super) fn step_tasks(&mut self, name: &str) {
         let now_s = self.now_s;
         let worker_settings = self.worker_settings();
@@ -201,18 +211,18 @@
         worker.tasks.get_mut(key).unwrap()
     }
 
-    /// The phases of a gang's attempt on machines that go on.
+    /// Tasks of a gang's attempt, and whether the worker of each one hangs.
     pub(super) fn gang_members(&self, key: &(String, u64)) -> Vec<(&Task, bool)> {
         let (job, _) = task_parts(&key.0);
-        let mut gang_members = Vec::new();
+        let mut members = Vec::new();
         for worker in self.workers.values() {
             for ((task, attempt), state) in &worker.tasks {
                 if *attempt == key.1 && task_parts(task).0 == job {
-                    gang_members.push((state, worker.hung_until > self.now_s));
+                    members.push((state, worker.hung_until > self.now_s));
                 }
             }
         }
-        gang_members
+        members
     }
 
     pub(super) fn gang_size(&self, key: &(String, u64)) -> usize {
@@ -239,26 +249,26 @@
     pub(super) fn gang_is_done(&self, key: &(String, u64)) -> bool {
         let (job, _) = task_parts(&key.0);
         let run_s = self.jobs[job].run_s;
-        let gang_members = self.gang_members(key);
-        let any_done = gang_members
+        let members = self.gang_members(key);
+        let any_done = members
             .iter()
             .any(|(task, _)| task.cause == Some(ExitCause::Done));
         let ran_long_enough = |task: &Task| {
             task.phase == TaskPhase::Running && self.now_s - task.phase_started_at > run_s
         };
         any_done
-            || (self.gang_is_complete(key)
-                && gang_members.iter().all(|(task, _)| ran_long_enough(task)))
+            || (self.gang_is_complete(key) && members.iter().all(|(task, _)| ran_long_enough(task)))
     }
 
-    /// A task is on its machine from now on: the rules about where.
+    /// Counts the start of a task on a machine, and checks that the machine is a permitted one.
     pub(super) fn record_task_start(&mut self, name: &str, task: &str) {
         self.task_starts += 1;
         let (job, _) = task_parts(task);
         let elsewhere = self.workers.iter().find(|(other, worker)| {
-            let on =
-                |((at, _), state): (&(String, u64), &Task)| at == task && occupies_machine(state);
-            *other != name && self.may_run_tasks(worker) && worker.tasks.iter().any(on)
+            let runs_task = |((candidate, _), state): (&(String, u64), &Task)| {
+                candidate == task && occupies_machine(state)
+            };
+            *other != name && self.may_run_tasks(worker) && worker.tasks.iter().any(runs_task)
         });
         if let Some((other, _)) = elsewhere {
             let detail = format!("{task} on {other} and {name}");
@@ -278,10 +288,10 @@
         }
         let mut zones: Vec<String> = Vec::new();
         for (other, worker) in &self.workers {
-            let on = |((at, _), state): (&(String, u64), &Task)| {
-                task_parts(at).0 == job && occupies_machine(state)
+            let runs_job = |((candidate, _), state): (&(String, u64), &Task)| {
+                task_parts(candidate).0 == job && occupies_machine(state)
             };
-            if other != name && self.may_run_tasks(worker) && worker.tasks.iter().any(on) {
+            if other != name && self.may_run_tasks(worker) && worker.tasks.iter().any(runs_job) {
                 zones.push(worker.zone.clone());
             }
         }
@@ -296,7 +306,8 @@
         }
     }
 
-    /// Whether its tasks may go on: one that hangs beyond its lease kills them when it wakes up.
+    /// Whether a worker's tasks may still run. A worker that hangs beyond its lease terminates them when
+    /// it resumes.
     pub(super) fn may_run_tasks(&self, worker: &Worker) -> bool {
         let lease_s = self.settings.params.workers.lease_s;
         worker.hung_until <= self.now_s || self.now_s - worker.lease_started_at <= lease_s
@@ -307,14 +318,14 @@
         for command in commands {
             match command {
                 WorkerCommand::Run { task, attempt } => {
-                    // Some machines have the image.
+                    // The time for pulling the image is zero if the machine has it in its cache.
                     let until = now_s + [0.0, 0.3, 4.0][self.rng.random_range(0..3)];
                     let worker = self.workers.get_mut(name).unwrap();
                     if worker.tasks.contains_key(&(task.clone(), *attempt)) {
                         continue;
                     }
-                    let other_attempt = |(at, state): (&(String, u64), &Task)| {
-                        at.0 == *task && state.phase != TaskPhase::Exited
+                    let other_attempt = |(key, state): (&(String, u64), &Task)| {
+                        key.0 == *task && state.phase != TaskPhase::Exited
                     };
                     let refused = worker.tasks.iter().any(other_attempt);
                     worker.state_changed = true;
@@ -375,10 +386,10 @@
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
-        let Some((awaited, _, sent)) = worker.awaited_reply else {
+        let Some((awaited, _, sent_s)) = worker.awaited_reply else {
             return;
         };
-        if awaited != number || worker.epoch != epoch || now_s - sent > WORKER_TIMEOUT_S {
+        if awaited != number || worker.epoch != epoch || now_s - sent_s > WORKER_TIMEOUT_S {
             return;
         }
         worker.awaited_reply = None;
@@ -387,7 +398,7 @@
                 if token < worker.token {
                     return;
                 }
-                worker.lease_started_at = sent;
+                worker.lease_started_at = sent_s;
                 worker.token = token;
                 self.execute_commands(name, &commands);
             }
@@ -414,7 +425,7 @@
         }
     }
 
-    /// Sends a node's answer to the worker that waits for it.
+    /// Sends a controller's response to the worker that waits for it.
     pub(super) fn send_reply(
         &mut self,
         name: &str,
@@ -434,7 +445,7 @@
             (answer.token, answer.commands)
         });
         let now_s = self.now_s;
-        let loses_responses = |w: &Worker| w.responses_lost_until > now_s;
+        let loses_responses = |worker: &Worker| worker.responses_lost_until > now_s;
         if !self.workers.get(name).is_some_and(loses_responses) {
             let name = name.to_owned();
             self.send(Message::HeartbeatReply(
--- a/tests/heartbeat_responses.rs
+++ b/tests/heartbeat_responses.rs
@@ -1,7 +1,7 @@
-//! Meetings of troubles, at the border where a report is answered: what leaves, and what does not,
-//! by what this process knows at that moment.
+//! Responses to heartbeats: which commands a leader sends, and whether it responds at all, depending on
+//! its lease and on the age of its replica when the heartbeat arrives. Also the limit on redirects.
 
-// A test that can't go on ends with its reason.
+// A failed `unwrap` or `expect` fails the test.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 mod common;
@@ -24,18 +24,18 @@
 use knotlanding::timing::LEADER_LEASE_MIN;
 use scene::{accepted, array, machine_types};
 
-/// The answer of a node that has nobody to forward the report to.
-fn answered_here(reception: HeartbeatOutcome) -> actix_web::HttpResponse {
-    match reception {
-        HeartbeatOutcome::Answered(answer) => answer,
-        HeartbeatOutcome::Queued(pending) => panic!("forwarded: {pending:?}"),
+/// The response to a heartbeat that a controller does not forward.
+fn direct_response(outcome: HeartbeatOutcome) -> actix_web::HttpResponse {
+    match outcome {
+        HeartbeatOutcome::Answered(response) => response,
+        HeartbeatOutcome::Queued(pending) => panic!("heartbeat queued for forwarding: {pending:?}"),
     }
 }
 
-/// A leader of one machine, with a clock that the test moves.
-struct LoneLeader {
+/// A leader with one machine, and with a clock that the test sets.
+struct SingleMachineLeader {
     shared: Arc<Shared>,
-    start: Instant,
+    started_at: Instant,
     now: Instant,
     sequence: u64,
     token: u64,
@@ -44,17 +44,17 @@
 
 const MACHINE: &str = "m-000001";
 
-impl LoneLeader {
-    /// A leader whose records name one job of one task, with a fresh replica.
+impl SingleMachineLeader {
+    /// A leader with an accepted job of one task, and with a replica that is complete.
     fn new() -> Self {
         let text = common::settings_of_nobody();
         let shared = Shared::new(Settings::parse(&text, "a test").unwrap());
-        let start = Instant::now();
+        let started_at = Instant::now();
         let rows = accepted(&array("wk-000001", 1), false).into_iter();
-        let rows = rows.enumerate().map(|(at, (key, value))| KeyValue {
+        let rows = rows.enumerate().map(|(index, (key, value))| KeyValue {
             key,
             value,
-            version: at as u64 + 1,
+            version: index as u64 + 1,
         });
         shared.replica.lock().load(rows.collect(), 10);
         let cluster = Cluster::recover(
@@ -62,60 +62,61 @@
             &shared.settings,
             &shared.replica.lock(),
             Arc::new(machine_types()),
-            start,
+            started_at,
             SystemTime::now(),
         );
         *shared.cluster.lock() = Some(cluster);
         let mut leader = Self {
             shared,
-            start,
-            now: start,
+            started_at,
+            now: started_at,
             sequence: 0,
             token: 0,
             tasks: Vec::new(),
         };
-        leader.shared.election.lock().hold_lease(7, start);
+        leader.shared.election.lock().hold_lease(7, started_at);
         leader.shared.election.lock().become_leader(Leadership {
             term: Term(1),
             version: 1,
         });
-        leader.read();
-        // Twice, so that the machine shows our token and can be entered into the roster.
+        leader.complete_read();
+        // The second heartbeat shows the fencing token of the first response, and lets the leader add the
+        // machine to the inventory.
         leader.heartbeat();
         leader.heartbeat();
-        leader.write();
+        leader.write_records();
         leader
     }
 
-    fn at(&mut self, s: f64) -> &mut Self {
-        self.now = self.start + Duration::from_secs_f64(s);
+    fn set_time(&mut self, s: f64) -> &mut Self {
+        self.now = self.started_at + Duration::from_secs_f64(s);
         self
     }
 
-    /// The lease is renewed now.
-    fn renew(&self) {
+    /// Renews the lease at the current time.
+    fn renew_lease(&self) {
         self.shared.election.lock().lease_renewed(7, self.now);
     }
 
-    /// A read that was sent now has been answered.
-    fn read(&self) {
+    /// Completes a read that was sent at the current time.
+    fn complete_read(&self) {
         self.shared.replica_complete(self.now);
     }
 
-    /// A request fails now.
-    fn fail(&self) {
+    /// Fails a store request at the current time.
+    fn fail_request(&self) {
         self.shared.election.lock().freshness().invalidate(self.now);
     }
 
-    /// Another node has cancelled the job, and the watch brings it.
-    fn learn_of_the_cancellation(&self) {
+    /// Applies a watch event with the cancellation of the job by another controller.
+    fn receive_cancellation(&self) {
         let id = JobId::parse("wk-000001").unwrap();
         let event = {
-            let live = self.shared.replica.lock().descriptions[&id].record.clone();
+            let description = self.shared.replica.lock().descriptions[&id].record.clone();
             let record = JobRecord {
                 verdict: Verdict::Cancelled,
                 tasks: 1,
-                description: Some(live),
+                description: Some(description),
             };
             knotlanding::store::WatchEvent {
                 put_key: Some(keys::job(&id)),
@@ -124,14 +125,14 @@
                 version: 20,
             }
         };
-        let news = self.shared.replica.lock().apply(&[event], 20);
-        assert_eq!(news, [ReplicaChange::Job(id)]);
-        self.shared.replica_changed(&news);
-        self.read();
+        let changes = self.shared.replica.lock().apply(&[event], 20);
+        assert_eq!(changes, [ReplicaChange::Job(id)]);
+        self.shared.replica_changed(&changes);
+        self.complete_read();
     }
 
-    /// Plans a start of the job's task on the machine, and writes what has to be written first.
-    fn plan(&mut self) {
+    /// Plans a start of the job's task on the machine, and writes the records that must precede it.
+    fn plan_start(&mut self) {
         let task = TaskId {
             job: JobId::parse("wk-000001").unwrap(),
             index: 0,
@@ -141,10 +142,10 @@
         let cluster = guard.as_mut().unwrap();
         cluster.plan(&task, &MachineId(MACHINE.into()), attempt, self.now);
         drop(guard);
-        self.write();
+        self.write_records();
     }
 
-    fn write(&self) {
+    fn write_records(&self) {
         let replica = self.shared.replica.lock();
         let mut guard = self.shared.cluster.lock();
         let cluster = guard.as_mut().unwrap();
@@ -153,8 +154,8 @@
         }
     }
 
-    /// The machine's next report; the status, and the verbs that it is answered with. It does
-    /// what it is told.
+    /// Sends the machine's next heartbeat and executes the commands in the response. Returns the status
+    /// and the verbs of the commands.
     fn heartbeat(&mut self) -> (u16, Vec<String>) {
         self.sequence += 1;
         let tasks: Vec<Value> = self
@@ -172,161 +173,178 @@
         let mut body = Vec::new();
         ciborium::into_writer(&heartbeat.unwrap(), &mut body).unwrap();
         let now = self.now;
-        let answer = answered_here(receive_heartbeat(&self.shared, Ok(body.into()), &|| now));
-        let status = answer.status().as_u16();
+        let response = direct_response(receive_heartbeat(&self.shared, Ok(body.into()), &|| now));
+        let status = response.status().as_u16();
         let body =
-            futures_util::FutureExt::now_or_never(actix_web::body::to_bytes(answer.into_body()));
+            futures_util::FutureExt::now_or_never(actix_web::body::to_bytes(response.into_body()));
         let body: Value = ciborium::from_reader(&*body.unwrap().unwrap()).unwrap();
-        let get = |value: &Value, name: &str| {
+        let field = |value: &Value, name: &str| {
             let map = value.as_map().unwrap().iter();
-            let mut found = map.filter(|(key, _)| key.as_text() == Some(name));
-            found.next().map(|(_, value)| value.clone())
+            let mut matching = map.filter(|(key, _)| key.as_text() == Some(name));
+            matching.next().map(|(_, value)| value.clone())
         };
-        if let Some(token) = get(&body, "baton").and_then(|t| t.as_integer()) {
+        if let Some(token) = field(&body, "baton").and_then(|token| token.as_integer()) {
             self.token = u64::try_from(token).unwrap();
         }
-        let commands = get(&body, "orders");
+        let commands = field(&body, "orders");
         let commands = commands
-            .and_then(|o| o.into_array().ok())
+            .and_then(|orders| orders.into_array().ok())
             .unwrap_or_default();
         let mut verbs = Vec::new();
         for command in commands {
-            let verb = get(&command, "verb").unwrap().into_text().unwrap();
-            let task = get(&command, "strand").unwrap().into_text().unwrap();
-            let attempt = get(&command, "try").unwrap().into_integer().unwrap();
+            let verb = field(&command, "verb").unwrap().into_text().unwrap();
+            let task = field(&command, "strand").unwrap().into_text().unwrap();
+            let attempt = field(&command, "try").unwrap().into_integer().unwrap();
             if verb == "run" {
                 self.tasks.push((task, u64::try_from(attempt).unwrap()));
             } else {
-                self.tasks.retain(|(known, _)| *known != task);
+                self.tasks.retain(|(running, _)| *running != task);
             }
             verbs.push(verb);
         }
         (status, verbs)
     }
 
-    /// How long after `self.start` the last 200 was, answering every second until `until`.
-    fn last_answer(&mut self, until: u32, mut each: impl FnMut(&Self)) -> u32 {
-        let first = (self.now - self.start).as_secs() as u32;
-        let mut last = first;
+    /// Calls `before_each` and sends a heartbeat in every second before `until`. Returns the second of the
+    /// last response with status 200.
+    fn last_success(&mut self, until: u32, mut before_each: impl FnMut(&Self)) -> u32 {
+        let first = (self.now - self.started_at).as_secs() as u32;
+        let mut last_success = first;
         for s in first..until {
-            self.at(f64::from(s));
-            each(self);
+            self.set_time(f64::from(s));
+            before_each(self);
             if self.heartbeat().0 == 200 {
-                last = s;
+                last_success = s;
             }
         }
-        last
+        last_success
     }
 }
 
-/// The meeting before all others: the state service refuses the leader alone, jobs are cancelled
-/// through others, then it is out for all, and afterwards every lease has its full time again.
+/// The store refuses the leader alone, and jobs are cancelled through the other controllers. Then the
+/// store fails for all controllers, and every lease lasts its full duration after the outage: the leader
+/// holds its lease, but its replica lacks the cancellations.
 #[test]
-fn a_start_planned_before_a_gap_never_leaves_once_its_job_was_cancelled_in_it() {
-    let mut leader = LoneLeader::new();
-    leader.plan();
-    leader.at(1.0).fail();
+fn start_planned_before_an_outage_is_not_sent_if_its_job_was_cancelled_meanwhile() {
+    let mut leader = SingleMachineLeader::new();
+    leader.plan_start();
+    leader.set_time(1.0).fail_request();
     assert_eq!(
-        leader.at(1.5).heartbeat(),
+        leader.set_time(1.5).heartbeat(),
         (200, vec![]),
-        "contact may be lost"
+        "no start is sent after a failed request"
     );
-    leader.at(64.0).renew();
-    let (status, commands) = leader.at(64.1).heartbeat();
+    leader.set_time(64.0).renew_lease();
+    let (status, commands) = leader.set_time(64.1).heartbeat();
     assert_eq!(
         (status, commands.len()),
         (503, 0),
-        "leads, with an old replica"
+        "a leader with an outdated replica responds with 503"
+    );
+    leader.set_time(64.3).receive_cancellation();
+    assert_eq!(
+        leader.set_time(64.4).heartbeat(),
+        (200, vec![]),
+        "no start is sent after the cancellation has arrived"
     );
-    leader.at(64.3).learn_of_the_cancellation();
-    assert_eq!(leader.at(64.4).heartbeat(), (200, vec![]), "it knows now");
 }
 
-/// The same without a cancellation: the start leaves as soon as the replica is proved complete.
+/// The same without a cancellation.
 #[test]
-fn a_start_that_waited_for_the_proof_leaves_with_it() {
-    let mut leader = LoneLeader::new();
-    leader.plan();
-    leader.at(1.0).fail();
-    assert_eq!(leader.at(1.2).heartbeat(), (200, vec![]));
-    leader.at(1.3).read();
-    assert_eq!(leader.at(1.4).heartbeat(), (200, vec!["run".to_owned()]));
+fn start_withheld_after_a_failed_request_is_sent_once_a_read_proves_the_replica_complete() {
+    let mut leader = SingleMachineLeader::new();
+    leader.plan_start();
+    leader.set_time(1.0).fail_request();
+    assert_eq!(leader.set_time(1.2).heartbeat(), (200, vec![]));
+    leader.set_time(1.3).complete_read();
+    assert_eq!(
+        leader.set_time(1.4).heartbeat(),
+        (200, vec!["run".to_owned()])
+    );
 }
 
-/// A process that stood still has an old replica, whatever its lease says when it wakes up.
+/// After a pause of the process the replica is outdated, even if the lease is renewed at once.
 #[test]
-fn no_start_leaves_after_standing_still_before_the_next_read() {
-    let mut leader = LoneLeader::new();
-    leader.plan();
-    leader.at(9.0).renew();
+fn start_is_withheld_after_a_pause_until_the_next_read() {
+    let mut leader = SingleMachineLeader::new();
+    leader.plan_start();
+    leader.set_time(9.0).renew_lease();
     assert_eq!(leader.heartbeat(), (200, vec![]));
-    leader.at(9.2).read();
+    leader.set_time(9.2).complete_read();
     assert_eq!(leader.heartbeat(), (200, vec!["run".to_owned()]));
 }
 
-/// Whatever was cancelled unseen is gone in time: the last 200 leaves a lease before the end of a
-/// cancellation that was confirmed just after the replica was last complete. So for a leader
-/// whose renewals succeed while its reads don't, and for one that has lost both.
+/// A cancellation may be confirmed just after the replica was last complete, without the leader receiving
+/// it. The leader sends its last response with status 200 more than one worker lease before that
+/// cancellation must have taken effect. This holds with and without successful lease renewals.
 #[test]
-fn the_last_answer_of_a_leader_that_reads_nothing_lets_no_task_outlive_a_cancellation() {
-    for renews in [true, false] {
-        let mut leader = LoneLeader::new();
-        leader.plan();
-        leader.at(0.5).read();
+fn leader_without_reads_stops_responding_in_time_for_a_cancelled_task_to_end() {
+    for renews_lease in [true, false] {
+        let mut leader = SingleMachineLeader::new();
+        leader.plan_start();
+        leader.set_time(0.5).complete_read();
         assert_eq!(leader.heartbeat().1, ["run"]);
         let workers = leader.shared.settings.params.workers.clone();
-        let last = leader.last_answer(120, |leader| {
-            if renews {
-                leader.renew();
+        let last_success = leader.last_success(120, |leader| {
+            if renews_lease {
+                leader.renew_lease();
             }
         });
-        let gone = f64::from(last) + workers.lease_s;
-        assert!(gone < 0.5 + workers.cancel_s, "{last} s");
+        let tasks_end_at = f64::from(last_success) + workers.lease_s;
         assert!(
-            f64::from(last) > LEADER_LEASE_MIN.as_secs_f64(),
-            "work goes on for a while"
+            tasks_end_at < 0.5 + workers.cancel_s,
+            "last response with status 200 after {last_success} s"
+        );
+        assert!(
+            f64::from(last_success) > LEADER_LEASE_MIN.as_secs_f64(),
+            "the leader responds for longer than its own lease"
         );
     }
 }
 
-/// Two cuts one after the other, each short: no read between them, so they count as one.
+/// Without a read between them, two short outages count as one. A lease renewal between them must not
+/// shorten the time in which the leader responds, nor extend it beyond the limit for cancellations.
 #[test]
-fn renewals_between_two_cuts_do_not_lengthen_the_time() {
-    let mut once = LoneLeader::new();
-    let mut twice = LoneLeader::new();
-    let last_once = once.last_answer(60, |leader| leader.fail());
-    let last_twice = twice.last_answer(60, |leader| {
-        leader.fail();
-        if (leader.now - leader.start).as_secs() == 8 {
-            leader.renew();
+fn leader_with_a_renewal_between_two_outages_stops_responding_in_time_for_a_cancelled_task_to_end()
+{
+    let mut without_renewal = SingleMachineLeader::new();
+    let mut with_renewal = SingleMachineLeader::new();
+    let last_without = without_renewal.last_success(60, |leader| leader.fail_request());
+    let last_with = with_renewal.last_success(60, |leader| {
+        leader.fail_request();
+        if (leader.now - leader.started_at).as_secs() == 8 {
+            leader.renew_lease();
         }
     });
-    assert!(last_twice >= last_once);
-    let workers = &twice.shared.settings.params.workers;
-    assert!(f64::from(last_twice) + workers.lease_s < workers.cancel_s);
+    assert!(last_with >= last_without);
+    let workers = &with_renewal.shared.settings.params.workers;
+    assert!(f64::from(last_with) + workers.lease_s < workers.cancel_s);
 }
 
-/// Cancelled jobs' tasks are stopped by whoever answers reports, without starts too.
+/// A controller that may not send starts any more still stops the tasks of cancelled jobs.
 #[test]
-fn a_leader_past_its_lease_that_knows_of_a_cancellation_kills_the_task() {
-    let mut leader = LoneLeader::new();
-    leader.plan();
-    assert_eq!(leader.at(0.5).heartbeat().1, ["run"]);
-    assert_eq!(leader.at(1.0).heartbeat(), (200, vec![]));
-    leader.at(2.0).learn_of_the_cancellation();
-    // Past its lease by now.
-    assert_eq!(leader.at(6.0).heartbeat(), (200, vec!["kill".to_owned()]));
+fn leader_past_its_lease_kills_the_task_of_a_job_known_to_be_cancelled() {
+    let mut leader = SingleMachineLeader::new();
+    leader.plan_start();
+    assert_eq!(leader.set_time(0.5).heartbeat().1, ["run"]);
+    assert_eq!(leader.set_time(1.0).heartbeat(), (200, vec![]));
+    leader.set_time(2.0).receive_cancellation();
+    // The lease has expired by this time.
+    assert_eq!(
+        leader.set_time(6.0).heartbeat(),
+        (200, vec!["kill".to_owned()])
+    );
 }
 
-/// Workers give an answer up after four seconds and come again on a new connection: a leader that
-/// is short of processor time went on answering those that had given up, for half a minute.
+/// Workers stop waiting for a response after 4 s, and retry on a new connection. A leader with little
+/// processor time spent half a minute on responses to connections that workers had already closed.
 #[test]
-fn a_follower_sends_on_no_more_workers_than_the_leader_can_take_in() {
+fn follower_redirects_no_more_workers_than_the_leader_can_serve() {
     let text = common::settings_of_nobody();
-    let sent_on = |cores: f64, nodes: usize| {
+    let redirects_per_second = |cores: f64, controllers: usize| {
         let mut settings = Settings::parse(&text, "a test").unwrap();
         settings.params.resources.cores = cores;
-        settings.params.count = nodes;
+        settings.params.count = controllers;
         let shared = Shared::new(settings);
         shared.election.lock().observe_leader(Term(3), "knot-1");
         let start = Instant::now();
@@ -337,26 +355,32 @@
         });
         let mut body = Vec::new();
         ciborium::into_writer(&heartbeat.unwrap(), &mut body).unwrap();
-        let mut sent_on = [0, 0];
+        let mut redirects = [0, 0];
         for s in 0..2 {
             let now = start + Duration::from_secs(s);
             for _ in 0..400 {
-                let answer =
-                    answered_here(receive_heartbeat(&shared, Ok(body.clone().into()), &|| now));
-                match answer.status().as_u16() {
-                    421 => sent_on[s as usize] += 1,
-                    status => assert_eq!(status, 503, "to be tried at the next node"),
+                let response =
+                    direct_response(receive_heartbeat(&shared, Ok(body.clone().into()), &|| now));
+                match response.status().as_u16() {
+                    421 => redirects[s as usize] += 1,
+                    status => assert_eq!(status, 503, "excess heartbeats get status 503"),
                 }
             }
         }
-        sent_on
+        redirects
     };
-    let [first, second] = sent_on(0.029, 7);
-    assert!(first > 0 && second > 0, "a bucket that fills again");
-    assert!(first + second < 100, "{first} and {second} of 800");
+    let [first, second] = redirects_per_second(0.029, 7);
+    assert!(
+        first > 0 && second > 0,
+        "each second permits some redirects"
+    );
+    assert!(
+        first + second < 100,
+        "{first} and {second} redirects for 800 heartbeats"
+    );
     assert_eq!(
-        sent_on(1.0, 3),
+        redirects_per_second(1.0, 3),
         [400, 400],
-        "a usual machine takes them all"
+        "a leader with one core is sent all workers"
     );
 }
--- a/tests/interleavings.rs
+++ b/tests/interleavings.rs
@@ -1,7 +1,8 @@
-//! Meetings of troubles, played by three controllers against a model of everything around them, in
-//! orders drawn from fixed seeds; the protocol's rules are checked after every step.
+//! Combinations of faults in a simulation of three controllers and their environment. Fixed seeds
+//! determine the order of events. Every test expects that no invariant is violated at any step and that
+//! every job ends; some tests check more than that.
 
-// A test that can't go on ends with its reason.
+// A failed `unwrap` or `expect` fails the test.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 mod common;
@@ -16,7 +17,7 @@
 use scene::array;
 use simulation::{timed_fault, BatchFaults, Fault, Simulation, TimedFault};
 
-/// Plays the troubles without links turned on.
+/// Runs the faults once per seed, with link monitoring disabled.
 fn run_seeds(
     seeds: std::ops::Range<u64>,
     faults: impl Fn(f64) -> Vec<TimedFault>,
@@ -27,7 +28,7 @@
     .run_seeds(seeds, faults)
 }
 
-fn run(seed: u64, faults: &[TimedFault]) -> Simulation {
+fn run_with_seed(seed: u64, faults: &[TimedFault]) -> Simulation {
     Scenario {
         links_enabled: false,
     }
@@ -35,11 +36,9 @@
 }
 
 #[test]
-fn a_quiet_day_breaks_nothing() {
-    let simulations = run_seeds(1..4, |_| Vec::new());
-    assert!(simulations
-        .iter()
-        .all(|simulation| simulation.failovers == 1));
+fn run_without_faults_has_one_leader_and_no_violation() {
+    let runs = run_seeds(1..4, |_| Vec::new());
+    assert!(runs.iter().all(|run| run.failovers == 1));
 }
 
 fn unanswered_transactions(share: f64, applied_at_once: bool) -> Fault {
@@ -56,8 +55,10 @@
     }
 }
 
+/// The store refuses the leader alone, and then fails for all controllers. An outage of 63 s is longer
+/// than the 40 s within which a cancellation takes effect.
 #[test]
-fn the_gap_refused_alone_then_an_outage_longer_than_a_cancellation_may_take() {
+fn invariants_hold_when_the_store_refuses_the_leader_and_then_all_controllers() {
     for (refused_s, outage_s) in [(0.5, 63.0), (2.0, 63.0), (4.5, 25.0), (2.0, 8.0)] {
         run_seeds(seed_range(), |offset_s| {
             vec![
@@ -71,7 +72,7 @@
 }
 
 #[test]
-fn the_gap_with_hung_machines_and_the_old_leader_ended_within() {
+fn invariants_hold_when_workers_hang_and_the_former_leader_crashes_during_a_store_outage() {
     run_seeds(seed_range(), |offset_s| {
         vec![
             timed_fault(30.0 + offset_s, 4.0, Fault::StoreRefusesLeader),
@@ -84,7 +85,7 @@
 }
 
 #[test]
-fn two_cuts_one_after_the_other_and_slow_answers_instead_of_refusals() {
+fn invariants_hold_when_the_store_refuses_the_leader_twice_and_then_responds_slowly() {
     run_seeds(seed_range(), |offset_s| {
         vec![
             timed_fault(30.0 + offset_s, 2.5, Fault::StoreRefusesLeader),
@@ -97,23 +98,22 @@
     });
 }
 
-/// A leader whose renewals succeed while its reads don't would lead for ever with its replica.
+/// A leader whose lease renewals succeed while its reads fail must not lead indefinitely with an outdated
+/// replica.
 #[test]
-fn renewals_that_succeed_while_reads_do_not_end_the_lead_in_time() {
-    let simulations = run_seeds(seed_range(), |offset_s| {
+fn leader_without_successful_reads_loses_leadership_although_renewals_succeed() {
+    let runs = run_seeds(seed_range(), |offset_s| {
         vec![
             timed_fault(25.0 + offset_s, 70.0, Fault::LeaderReadsUnanswered),
             timed_fault(26.0 + offset_s, 0.0, Fault::CancelJobs(3)),
             timed_fault(30.0 + offset_s, 0.0, Fault::CancelJobs(3)),
         ]
     });
-    assert!(simulations
-        .iter()
-        .all(|simulation| simulation.failovers > 1));
+    assert!(runs.iter().all(|run| run.failovers > 1));
 }
 
 #[test]
-fn jobs_cancelled_while_the_lead_changes_hands() {
+fn invariants_hold_when_jobs_are_cancelled_during_leader_changes() {
     run_seeds(seed_range(), |offset_s| {
         vec![
             timed_fault(25.0 + offset_s, 0.0, Fault::CancelJobs(3)),
@@ -128,8 +128,8 @@
 }
 
 #[test]
-fn late_copies_of_reports_and_copies_kept_for_the_next_leader() {
-    let simulations = run_seeds(seed_range(), |offset_s| {
+fn invariants_hold_when_copies_of_heartbeats_arrive_late_or_at_the_next_leader() {
+    let runs = run_seeds(seed_range(), |offset_s| {
         vec![
             timed_fault(10.0, 80.0, duplicate_heartbeats(0.4, true)),
             timed_fault(30.0 + offset_s, 0.0, Fault::CrashLeader(1.0)),
@@ -138,13 +138,11 @@
             timed_fault(75.0 + offset_s, 0.0, Fault::CrashAll(0.5)),
         ]
     });
-    assert!(simulations
-        .iter()
-        .all(|simulation| simulation.kept_heartbeats_delivered > 0));
+    assert!(runs.iter().all(|run| run.kept_heartbeats_delivered > 0));
 }
 
 #[test]
-fn transactions_carried_out_late_or_with_their_answers_lost() {
+fn invariants_hold_when_transactions_are_applied_late_or_their_responses_are_lost() {
     for applied_at_once in [false, true] {
         run_seeds(seed_range(), |offset_s| {
             vec![
@@ -159,10 +157,10 @@
 }
 
 #[test]
-fn machines_that_hear_nothing_or_reach_nobody_through_changes_of_leader() {
-    for responses in [true, false] {
+fn invariants_hold_when_workers_lose_responses_or_heartbeats_during_leader_changes() {
+    for loses_responses in [true, false] {
         run_seeds(seed_range(), |offset_s| {
-            let fault = if responses {
+            let fault = if loses_responses {
                 Fault::LoseResponses(0.5)
             } else {
                 Fault::LoseHeartbeats(0.5)
@@ -178,8 +176,9 @@
     }
 }
 
+/// One of the teams is near its limit meanwhile.
 #[test]
-fn cancelled_jobs_on_machines_that_hang_while_the_leader_changes_and_teams_are_at_their_limit() {
+fn invariants_hold_when_jobs_on_hung_workers_are_cancelled_during_a_leader_change() {
     run_seeds(seed_range(), |offset_s| {
         vec![
             timed_fault(30.0 + offset_s, 25.0, Fault::HangWorkers(0.4)),
@@ -192,8 +191,8 @@
 }
 
 #[test]
-fn ten_leaders_in_two_minutes_also_within_an_outage() {
-    let simulations = run_seeds(seed_range(), |offset_s| {
+fn invariants_hold_over_ten_leader_crashes_in_two_minutes_and_a_store_outage() {
+    let runs = run_seeds(seed_range(), |offset_s| {
         let mut faults: Vec<TimedFault> = (0..10)
             .map(|n| {
                 let restart_delay_s = if n % 2 == 0 { 0.2 } else { 6.0 };
@@ -208,13 +207,13 @@
         faults.push(timed_fault(100.0, 0.0, Fault::CancelJobs(3)));
         faults
     });
-    assert!(simulations
-        .iter()
-        .all(|simulation| simulation.failovers > 6));
+    assert!(runs.iter().all(|run| run.failovers > 6));
 }
 
+/// All controllers are down for 28 s, which is longer than a worker's lease of 20 s. In a later crash they
+/// restart after 0.1 s, and the leader crashes again.
 #[test]
-fn all_controllers_away_for_longer_than_a_lease_and_one_back_at_once() {
+fn invariants_hold_when_all_controllers_are_down_for_longer_than_a_worker_lease() {
     run_seeds(seed_range(), |offset_s| {
         vec![
             timed_fault(30.0 + offset_s, 0.0, Fault::CrashAll(28.0)),
@@ -226,25 +225,21 @@
 }
 
 #[test]
-fn jobs_called_off_at_the_moment_of_their_end() {
+fn invariants_hold_when_jobs_are_cancelled_as_their_last_task_completes() {
     for unanswered_share in [0.0, 0.3] {
-        let simulations = run_seeds(seed_range(), |_| {
+        let runs = run_seeds(seed_range(), |_| {
             vec![
                 timed_fault(3.0, 70.0, Fault::CancelAtCompletion(0.7)),
                 timed_fault(5.0, 70.0, unanswered_transactions(unanswered_share, true)),
             ]
         });
-        assert!(simulations
-            .iter()
-            .any(|simulation| simulation.ended_job_counts().1 > 0));
-        assert!(simulations
-            .iter()
-            .any(|simulation| simulation.ended_job_counts().0 > 0));
+        assert!(runs.iter().any(|run| run.ended_job_counts().1 > 0));
+        assert!(runs.iter().any(|run| run.ended_job_counts().0 > 0));
     }
 }
 
 #[test]
-fn machines_that_die_or_are_new_while_writes_lag_and_the_leader_ends() {
+fn invariants_hold_when_machines_terminate_while_writes_are_late_and_leaders_crash() {
     run_seeds(seed_range(), |offset_s| {
         vec![
             timed_fault(20.0, 60.0, unanswered_transactions(0.4, false)),
@@ -256,9 +251,10 @@
     });
 }
 
-/// One-task jobs, four a second for a minute, a quarter of them cancelled at once or soon.
+/// The jobs are submitted for a minute. Once a second a user cancels the job submitted 0.75 s or 1.75 s
+/// before, so that each cancelled job is cancelled twice.
 #[test]
-fn four_single_task_jobs_a_second_of_which_a_quarter_is_cancelled() {
+fn invariants_hold_with_four_single_task_jobs_per_second_and_frequent_cancellations() {
     for seed in seed_range() {
         let faults = [
             timed_fault(20.0, 0.0, Fault::CrashLeader(1.0)),
@@ -290,21 +286,21 @@
     }
 }
 
-/// That share of the batches of forwarded reports is lost, held or doubled, and of the answers held.
+/// Applies every fault of batches to the same share of them.
 fn batch_faults(share: f64) -> BatchFaults {
     BatchFaults {
         lost: share,
-        held: share,
-        doubled: share,
-        answers_held: share,
+        delayed: share,
+        duplicated: share,
+        responses_delayed: share,
     }
 }
 
-/// Batches held for up to a minute reach the leader of before, a later one, or nobody; jobs are
-/// cancelled meanwhile. None of it may start or keep anything.
+/// A batch that is delayed by up to a minute reaches a former leader, a later one or no leader, and jobs
+/// are cancelled meanwhile. Such a batch must neither start a task nor keep one running.
 #[test]
-fn batches_of_reports_lost_held_and_doubled_through_changes_of_leader() {
-    let simulations = run_seeds(seed_range(), |offset_s| {
+fn invariants_hold_when_batches_are_lost_delayed_or_duplicated_during_leader_changes() {
+    let runs = run_seeds(seed_range(), |offset_s| {
         vec![
             timed_fault(10.0, 80.0, Fault::Batches(batch_faults(0.25))),
             timed_fault(25.0 + offset_s, 0.0, Fault::CancelJobs(3)),
@@ -316,46 +312,42 @@
             timed_fault(70.0 + offset_s, 0.0, Fault::CrashFollower(2.0)),
         ]
     });
-    // In a single world most machines may have come to the leader; over all of them many answers
-    // go by way of followers, and some in each.
-    let forwarding: Vec<&Simulation> = simulations
+    // In a single run most workers may report to the leader directly. Followers relay some responses in
+    // every run, and many over all runs.
+    let forwarding: Vec<&Simulation> = runs
         .iter()
-        .filter(|w| !w.peers_refuse_connections)
+        .filter(|run| !run.peers_refuse_connections)
         .collect();
     assert!(forwarding
         .iter()
-        .all(|w| w.batches_sent > 0 && w.responses_relayed > 0));
-    let responses_relayed: usize = forwarding.iter().map(|w| w.responses_relayed).sum();
+        .all(|run| run.batches_sent > 0 && run.responses_relayed > 0));
+    let responses_relayed: usize = forwarding.iter().map(|run| run.responses_relayed).sum();
     assert!(
         responses_relayed > 20 * forwarding.len(),
         "{responses_relayed}"
     );
-    assert!(simulations
-        .iter()
-        .any(|simulation| simulation.stale_batches > 0));
-    assert!(simulations
+    assert!(runs.iter().any(|run| run.stale_batches > 0));
+    assert!(runs
         .iter()
-        .filter(|w| w.peers_refuse_connections)
-        .all(|w| w.batches_sent == 0));
+        .filter(|run| run.peers_refuse_connections)
+        .all(|run| run.batches_sent == 0));
 }
 
-/// A follower that can't reach the leader sends its workers on, and none of them loses its work.
+/// The follower has to redirect its workers to the leader before their leases expire.
 #[test]
-fn a_follower_cut_from_the_leader_alone_loses_no_worker() {
-    let simulations = run_seeds(seed_range(), |offset_s| {
+fn workers_of_a_follower_that_cannot_reach_the_leader_keep_their_sessions() {
+    let runs = run_seeds(seed_range(), |offset_s| {
         vec![
             timed_fault(25.0 + offset_s, 30.0, Fault::FollowerCutFromLeader),
             timed_fault(30.0 + offset_s, 0.0, Fault::CancelJobs(2)),
         ]
     });
-    assert!(simulations
-        .iter()
-        .all(|simulation| simulation.sessions_ended() == 0));
+    assert!(runs.iter().all(|run| run.sessions_ended() == 0));
 }
 
-/// Two or three troubles drawn, again and again. A seed that broke a rule is kept below.
+/// Draws two or three concurrent faults, three times in a run.
 #[test]
-fn whatever_meets_breaks_no_rule() {
+fn invariants_hold_for_random_combinations_of_faults() {
     use rand::{rngs::StdRng, Rng, SeedableRng};
     for seed in seed_range() {
         let mut rng = StdRng::seed_from_u64(seed * 7919);
@@ -391,6 +383,6 @@
             }
             faults.push(timed_fault(at + 2.0, 0.0, Fault::CancelJobs(3)));
         }
-        run(seed, &faults);
+        run_with_seed(seed, &faults);
     }
 }
--- a/tests/link_faults.rs
+++ b/tests/link_faults.rs
@@ -1,7 +1,8 @@
-//! Links that are cut, one direction at a time, in simulated time: three controllers with links turned
-//! on, in orders drawn from seeds; the protocol's rules are checked after every step.
+//! Link faults, in one direction or both, in a simulation of three controllers with link monitoring
+//! enabled. Fixed seeds determine the order of events. Every test expects that no invariant is violated
+//! at any step and that every job ends; some tests check more than that.
 
-// A test that can't go on ends with its reason.
+// A failed `unwrap` or `expect` fails the test.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 mod common;
@@ -15,11 +16,11 @@
 use std::time::Duration;
 
 use knotlanding_testbed::proxy::LinkMode;
-use knotlanding_testbed::schedule::{draw, LinkId, ScheduledFault};
+use knotlanding_testbed::schedule::{draw, LinkId, ScheduledFault as TestbedFault};
 use scenario::{seed_range, Scenario};
 use simulation::{timed_fault, BatchFaults, Fault, Simulation, TimedFault};
 
-/// Plays these troubles with links on and checks that all goes well.
+/// Runs the faults once per seed, with link monitoring enabled.
 fn run_seeds(faults: impl Fn(f64) -> Vec<TimedFault>) -> Vec<Simulation> {
     let scenario = Scenario {
         links_enabled: true,
@@ -27,7 +28,7 @@
     scenario.run_seeds(seed_range(), faults)
 }
 
-/// A link that comes and goes: down for half of each period.
+/// Faults of a flapping link, which is down for the first half of each period.
 fn flapping(link: LinkId, mode: LinkMode, period_s: f64, from: f64, until: f64) -> Vec<TimedFault> {
     let count = ((until - from) / period_s) as usize;
     let starts = (0..count).map(|n| from + n as f64 * period_s);
@@ -43,15 +44,15 @@
 ];
 
 #[test]
-fn with_links_on_a_quiet_day_breaks_nothing_and_nobody_hands_over() {
-    let simulations = run_seeds(|_| Vec::new());
-    assert!(simulations
+fn run_without_faults_has_one_leader_and_no_handover() {
+    let runs = run_seeds(|_| Vec::new());
+    assert!(runs
         .iter()
-        .all(|simulation| simulation.failovers == 1 && simulation.handovers == 0));
+        .all(|run| run.failovers == 1 && run.handovers == 0));
 }
 
 #[test]
-fn one_direction_of_a_link_to_the_state_service_is_lost() {
+fn invariants_hold_when_links_to_the_store_lose_requests_or_responses() {
     for mode in LOSS_MODES {
         run_seeds(|offset_s| {
             (0..3)
@@ -69,9 +70,9 @@
 }
 
 #[test]
-fn one_direction_between_two_controllers_is_lost() {
+fn links_between_controllers_that_lose_requests_or_responses_cause_no_handover() {
     for mode in LOSS_MODES {
-        let simulations = run_seeds(|offset_s| {
+        let runs = run_seeds(|offset_s| {
             vec![
                 timed_fault(20.0 + offset_s, 40.0, Fault::Link(LinkId::Peer(0, 1), mode)),
                 timed_fault(30.0 + offset_s, 40.0, Fault::Link(LinkId::Peer(1, 2), mode)),
@@ -79,15 +80,13 @@
                 timed_fault(45.0 + offset_s, 0.0, Fault::CancelJobs(3)),
             ]
         });
-        // Every controller still has the state service, and nobody is better connected.
-        assert!(simulations
-            .iter()
-            .all(|simulation| simulation.handovers == 0));
+        // Every controller still reaches the store, and none is better connected than the leader.
+        assert!(runs.iter().all(|run| run.handovers == 0));
     }
 }
 
 #[test]
-fn one_direction_between_the_workers_of_a_zone_and_the_controllers_is_lost() {
+fn invariants_hold_when_links_from_the_workers_of_a_zone_lose_requests_or_responses() {
     for mode in LOSS_MODES {
         run_seeds(|offset_s| {
             (0..3)
@@ -104,10 +103,10 @@
     }
 }
 
-/// All controllers see half of the workers each, and one sees none.
+/// Two controllers reach the workers of one zone each, and the third controller reaches none.
 #[test]
-fn all_controllers_see_half_of_the_workers_each() {
-    let simulations = run_seeds(|offset_s| {
+fn controllers_that_reach_half_of_the_workers_hand_over_at_most_once() {
+    let runs = run_seeds(|offset_s| {
         let cut =
             |zone, controller| Fault::Link(LinkId::Workers(zone, controller), LinkMode::BLACKHOLE);
         vec![
@@ -118,16 +117,14 @@
             timed_fault(35.0 + offset_s, 0.0, Fault::CancelJobs(3)),
         ]
     });
-    assert!(simulations
-        .iter()
-        .all(|simulation| simulation.handovers <= 1));
+    assert!(runs.iter().all(|run| run.handovers <= 1));
 }
 
-/// In step with the renewals of the lease (0.7 s apart) and out of step, for two minutes.
+/// A period of 2.1 s is a multiple of the 0.7 s between lease renewals; the other periods are not.
 #[test]
-fn links_that_flap_every_few_seconds_for_long() {
+fn links_that_flap_for_two_minutes_cause_at_most_six_handovers() {
     for period_s in [2.1, 3.7, 5.0] {
-        let simulations = run_seeds(|offset_s| {
+        let runs = run_seeds(|offset_s| {
             let mut faults = Vec::new();
             for n in 0..2 {
                 let (link, from) = (LinkId::Store(n), 20.0 + offset_s + n as f64);
@@ -145,18 +142,16 @@
             faults
         });
         assert!(
-            simulations
-                .iter()
-                .all(|simulation| simulation.handovers <= 6),
-            "a bound for each controller"
+            runs.iter().all(|run| run.handovers <= 6),
+            "at most two handovers per controller"
         );
     }
 }
 
-/// Two controllers flap in turn and would pass the lead to and fro.
+/// Without a limit, the two controllers would hand leadership over to each other again and again.
 #[test]
-fn two_controllers_that_flap_in_turn_do_not_pass_the_lead_to_and_fro() {
-    let simulations = run_seeds(|offset_s| {
+fn store_links_that_flap_alternately_cause_at_most_six_handovers() {
+    let runs = run_seeds(|offset_s| {
         let mode = LinkMode::REFUSED;
         let mut faults = flapping(LinkId::Store(0), mode, 8.0, 20.0 + offset_s, 180.0);
         faults.extend(flapping(
@@ -168,13 +163,11 @@
         ));
         faults
     });
-    assert!(simulations
-        .iter()
-        .all(|simulation| simulation.handovers <= 6));
+    assert!(runs.iter().all(|run| run.handovers <= 6));
 }
 
 #[test]
-fn a_leader_keeps_workers_and_loses_the_state_service_while_another_cancels() {
+fn invariants_hold_when_jobs_are_cancelled_while_a_controller_reaches_workers_but_not_the_store() {
     run_seeds(|offset_s| {
         let mut faults: Vec<TimedFault> = (0..3)
             .map(|n| {
@@ -197,7 +190,7 @@
 }
 
 #[test]
-fn the_state_service_refuses_one_controller_then_all() {
+fn invariants_hold_when_the_store_refuses_the_leader_then_all_controllers_then_writes() {
     run_seeds(|offset_s| {
         vec![
             timed_fault(25.0 + offset_s, 8.0, Fault::StoreRefusesLeader),
@@ -209,10 +202,10 @@
     });
 }
 
-/// Reads and renewals succeed all the while: only the gate knows.
+/// Reads and lease renewals succeed throughout, so that only the placement gate detects the fault.
 #[test]
-fn transactions_are_refused_while_reads_and_renewals_succeed() {
-    let simulations = run_seeds(|offset_s| {
+fn placement_gates_refuse_placements_while_the_store_refuses_transactions() {
+    let runs = run_seeds(|offset_s| {
         vec![
             timed_fault(20.0 + offset_s, 30.0, Fault::WritesRefused),
             timed_fault(22.0 + offset_s, 0.0, Fault::CancelJobs(3)),
@@ -220,17 +213,13 @@
             timed_fault(70.0 + offset_s, 15.0, Fault::WritesRefused),
         ]
     });
-    for simulation in simulations {
-        assert!(
-            simulation.gates_refused_s() > 3.0,
-            "{}",
-            simulation.gates_refused_s()
-        );
+    for run in runs {
+        assert!(run.gates_refused_s() > 3.0, "{}", run.gates_refused_s());
     }
 }
 
 #[test]
-fn a_controller_frozen_longer_than_its_lease_wakes_with_old_rows_and_others_are_back_at_once() {
+fn invariants_hold_when_a_leader_resumes_with_outdated_rows_and_controllers_restart_at_once() {
     run_seeds(|offset_s| {
         vec![
             timed_fault(20.0 + offset_s, 12.0, Fault::PauseLeader),
@@ -245,21 +234,21 @@
 }
 
 #[test]
-fn late_copies_of_reports_rows_and_batches_meet_cut_links() {
+fn invariants_hold_when_late_heartbeats_rows_and_batches_coincide_with_link_faults() {
     let batches = BatchFaults {
         lost: 0.2,
-        held: 0.2,
-        doubled: 0.2,
-        answers_held: 0.2,
+        delayed: 0.2,
+        duplicated: 0.2,
+        responses_delayed: 0.2,
     };
     run_seeds(|offset_s| {
-        let late = |share, kept_for_next_leader| Fault::DuplicateHeartbeats {
+        let duplicates = |share, kept_for_next_leader| Fault::DuplicateHeartbeats {
             share,
             kept_for_next_leader,
         };
         vec![
             timed_fault(10.0, 80.0, Fault::Batches(batches)),
-            timed_fault(10.0, 60.0, late(0.4, false)),
+            timed_fault(10.0, 60.0, duplicates(0.4, false)),
             timed_fault(
                 25.0 + offset_s,
                 15.0,
@@ -276,24 +265,25 @@
     });
 }
 
-fn to_timed_fault(scheduled: &ScheduledFault, from: f64) -> TimedFault {
+/// Converts a fault of a testbed schedule that starts at `schedule_start`.
+fn to_timed_fault(scheduled: &TestbedFault, schedule_start: f64) -> TimedFault {
     let seconds = |duration: Duration| duration.as_secs_f64();
     let (starts_at, duration_s) = (
-        from + seconds(scheduled.starts_at()),
+        schedule_start + seconds(scheduled.starts_at()),
         seconds(scheduled.ends_at() - scheduled.starts_at()),
     );
     let fault = match scheduled {
-        ScheduledFault::Link(fault) => Fault::Link(fault.link, fault.mode),
-        ScheduledFault::WritesRefused { .. } => Fault::WritesRefused,
-        ScheduledFault::StoreOutage { .. } => Fault::StoreOutage,
-        ScheduledFault::Restart { controller, .. } => Fault::Restart(*controller),
+        TestbedFault::Link(fault) => Fault::Link(fault.link, fault.mode),
+        TestbedFault::WritesRefused { .. } => Fault::WritesRefused,
+        TestbedFault::StoreOutage { .. } => Fault::StoreOutage,
+        TestbedFault::Restart { controller, .. } => Fault::Restart(*controller),
     };
     timed_fault(starts_at, duration_s, fault)
 }
 
-/// The schedules that the testbed plays with real processes, in simulated time; users cancel meanwhile.
+/// The testbed runs the same schedules with real processes. Here, users cancel jobs meanwhile.
 #[test]
-fn the_testbeds_schedules_break_no_rule() {
+fn invariants_hold_for_the_fault_schedules_of_the_testbed() {
     for seed in seed_range() {
         for links_enabled in [true, false] {
             let scheduled = draw(seed, 3, Duration::from_secs(60), 12);
