--- a/tests/common/simulation.rs
+++ b/tests/common/simulation.rs
@@ -76,7 +76,7 @@
 use run_hash::RunHash;
 use store::{RequestPurpose, Store, StoreRequest, StoreResponse};
 use users::UserJob;
-use workers::{occupies_machine, task_parts, Task, Worker};
+use workers::{is_active, task_parts, Task, Worker};
 
 /// Simulated time per step.
 const STEP_S: f64 = 0.05;
@@ -99,16 +99,17 @@
     /// Maximum additional delay of store responses in seconds, and the end of the fault.
     store_delay: (f64, f64),
     /// Controller whose store requests are refused, and the end of the fault.
-    controller_refused: Option<(usize, f64)>,
+    refused: Option<(usize, f64)>,
     /// Controller whose store reads get no response, and the end of the fault.
-    controller_without_reads: Option<(usize, f64)>,
-    controller_cut_from_workers: Option<(usize, f64)>,
+    reads_lost: Option<(usize, f64)>,
+    /// Controller that is cut off from the workers, and the end of the fault.
+    cut_off: Option<(usize, f64)>,
     /// Share of transactions without a response, whether they are applied at once, and the end of the
     /// fault.
-    unanswered_transactions: (f64, bool, f64),
+    late_writes: (f64, bool, f64),
     /// Share of heartbeats that are copied, whether the copies are kept for the next leader, and the
     /// end of the fault.
-    duplicate_heartbeats: (f64, bool, f64),
+    heartbeat_copies: (f64, bool, f64),
     /// Share of new jobs that are cancelled when their last task completes, and the end of the fault.
     cancel_at_completion: (f64, f64),
     batch_faults: (BatchFaults, f64),
@@ -172,11 +173,11 @@
             store: Store::default(),
             store_out_until: 0.0,
             store_delay: (0.0, 0.0),
-            controller_refused: None,
-            controller_without_reads: None,
-            controller_cut_from_workers: None,
-            unanswered_transactions: (0.0, false, 0.0),
-            duplicate_heartbeats: (0.0, false, 0.0),
+            refused: None,
+            reads_lost: None,
+            cut_off: None,
+            late_writes: (0.0, false, 0.0),
+            heartbeat_copies: (0.0, false, 0.0),
             cancel_at_completion: (0.0, 0.0),
             batch_faults: (BatchFaults::default(), 0.0),
             isolated_follower: None,
@@ -234,9 +235,9 @@
     }
 
     /// Wall clock of a controller. The clocks of the controllers differ by `clock_off_ms`.
-    fn wall_clock_of(&self, controller: usize) -> SystemTime {
+    fn wall_clock_of(&self, index: usize) -> SystemTime {
         let skew = Duration::from_secs_f64(self.settings.params.clock_off_ms / 1_000.0);
-        match controller {
+        match index {
             0 => self.wall_clock() - skew,
             1 => self.wall_clock(),
             _ => self.wall_clock() + skew,
@@ -300,7 +301,7 @@
             due.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
             due.into_iter()
                 .for_each(|(_, _, message)| self.deliver(message));
-            (0..3).for_each(|controller| self.step_controller(controller));
+            (0..3).for_each(|index| self.step_controller(index));
             let names: Vec<String> = self.workers.keys().cloned().collect();
             names.iter().for_each(|name| self.step_worker(name));
             self.step_users();
@@ -315,13 +316,8 @@
 
     /// Number of workers that send their heartbeats to each controller.
     pub fn workers_by_controller(&self) -> Vec<usize> {
-        let worker_count = |controller| {
-            self.workers
-                .values()
-                .filter(|worker| worker.controller == controller)
-                .count()
-        };
-        (0..self.controllers.len()).map(worker_count).collect()
+        let count = |n| self.workers.values().filter(|w| w.controller == n).count();
+        (0..self.controllers.len()).map(count).collect()
     }
 
     /// Number of sessions of the running workers that ended because a lease expired.
@@ -336,9 +332,10 @@
 
     /// Jobs whose end no user has observed.
     pub fn unfinished(&self) -> Vec<String> {
-        let unfinished = self.jobs.iter().filter(|(_, job)| {
-            job.observed_done_at.is_none() && job.observed_cancelled_at.is_none()
-        });
+        let unfinished = self
+            .jobs
+            .iter()
+            .filter(|(_, job)| job.seen_done_at.is_none() && job.seen_cancelled_at.is_none());
         unfinished.map(|(id, _)| id.clone()).collect()
     }
 
@@ -368,10 +365,8 @@
     pub fn ended_job_counts(&self) -> (usize, usize) {
         let jobs = || self.jobs.values();
         (
-            jobs().filter(|job| job.observed_done_at.is_some()).count(),
-            jobs()
-                .filter(|job| job.observed_cancelled_at.is_some())
-                .count(),
+            jobs().filter(|job| job.seen_done_at.is_some()).count(),
+            jobs().filter(|job| job.seen_cancelled_at.is_some()).count(),
         )
     }
 }
--- a/tests/common/simulation/cloud.rs
+++ b/tests/common/simulation/cloud.rs
@@ -18,15 +18,8 @@
                 age_s: 60.0,
             };
         let running = self.workers.iter();
-        let running = running.map(|(name, worker)| {
-            entry(
-                name,
-                &worker.machine_type,
-                &worker.zone,
-                worker.spot,
-                "running",
-            )
-        });
+        let running =
+            running.map(|(name, w)| entry(name, &w.machine_type, &w.zone, w.spot, "running"));
         let failed = self.failed_machines.iter().map(|(name, (pool, until))| {
             let status = if *until > now_s { "running" } else { "failed" };
             entry(name, &pool.machine_type, &pool.zone, pool.spot, status)
--- a/tests/common/simulation/controllers.rs
+++ b/tests/common/simulation/controllers.rs
@@ -12,11 +12,11 @@
     /// The process is paused until then.
     pub(super) paused_until: f64,
     pub(super) replica_loaded: bool,
-    pub(super) read_in_flight: bool,
+    pub(super) reading: bool,
     pub(super) next_read_at: f64,
     pub(super) next_election_at: f64,
-    pub(super) election_in_flight: bool,
-    pub(super) renewal_in_flight: bool,
+    pub(super) electing: bool,
+    pub(super) renewing: bool,
     pub(super) next_cycle_at: f64,
     /// Term of the last scheduling cycle, and the time by which the next one is due.
     pub(super) cycle_due: Option<(Term, f64)>,
@@ -53,11 +53,11 @@
             restart_at: 0.0,
             paused_until: 0.0,
             replica_loaded: false,
-            read_in_flight: false,
+            reading: false,
             next_read_at: self.now_s,
             next_election_at: self.now_s,
-            election_in_flight: false,
-            renewal_in_flight: false,
+            electing: false,
+            renewing: false,
             next_cycle_at: self.now_s,
             cycle_due: None,
             writes_paused_until: 0.0,
@@ -72,25 +72,25 @@
 
     pub(super) fn handle_store_response(
         &mut self,
-        controller: usize,
+        index: usize,
         response: StoreResponse,
         purpose: RequestPurpose,
         sent_s: f64,
     ) {
-        let (now, wall_clock) = (self.instant(), self.wall_clock_of(controller));
+        let (now, wall_clock) = (self.instant(), self.wall_clock_of(index));
         let sent_at = self.started_at + Duration::from_secs_f64(sent_s);
-        let shared = self.controllers[controller].shared.clone();
+        let shared = self.controllers[index].shared.clone();
         let error = response.failure().cloned();
         if error.as_ref().is_some_and(StoreError::shows_outage) {
             shared.election.lock().freshness().invalidate(now);
         }
-        self.record_store_outcome(controller, &purpose, error.as_ref(), sent_s);
+        self.record_store_outcome(index, &purpose, error.as_ref(), sent_s);
         match (&purpose, response) {
             (RequestPurpose::Load, StoreResponse::Rows(rows, revision)) => {
                 let changes = shared.replica.lock().load(rows, revision);
                 shared.replica_changed_at(&changes, now, wall_clock);
                 shared.replica_complete(sent_at);
-                self.controllers[controller].replica_loaded = true;
+                self.controllers[index].replica_loaded = true;
             }
             (
                 RequestPurpose::Read | RequestPurpose::Poll(_) | RequestPurpose::CancelRead(_),
@@ -102,23 +102,18 @@
             }
             (RequestPurpose::Grant, StoreResponse::Lease(id)) => {
                 shared.election.lock().hold_lease(id, sent_at);
-                self.send_election(controller, id);
+                self.send_election(index, id);
                 return;
             }
             (RequestPurpose::Renew(id), StoreResponse::Acknowledged) => {
                 shared.election.lock().lease_renewed(*id, sent_at)
             }
-            (RequestPurpose::Renew(_), StoreResponse::LeaseExpired) => self.step_down(controller),
+            (RequestPurpose::Renew(_), StoreResponse::LeaseExpired) => self.step_down(index),
             (RequestPurpose::Write(kind, term), StoreResponse::TransactionOutcome(outcome)) => {
-                self.apply_write_outcome(controller, kind, *term, &outcome);
+                self.apply_write_outcome(index, kind, *term, &outcome);
             }
             (RequestPurpose::Write(kind, term), StoreResponse::Failed(error)) => {
-                self.apply_write_outcome(
-                    controller,
-                    kind,
-                    *term,
-                    &TransactionOutcome::Failed(error),
-                );
+                self.apply_write_outcome(index, kind, *term, &TransactionOutcome::Failed(error));
             }
             (
                 RequestPurpose::Submit(id),
@@ -136,43 +131,41 @@
                 RequestPurpose::Cancel(id),
                 StoreResponse::TransactionOutcome(TransactionOutcome::Committed(_)),
             ) => {
-                self.notify_cancellation(controller, id);
+                self.notify_cancellation(index, id);
                 self.observe_verdict(id, sent_s, Some(Verdict::Cancelled));
             }
             _ => {}
         }
-        self.finish_store_request(controller, purpose, error.is_none(), sent_s);
+        self.finish_store_request(index, purpose, error.is_none(), sent_s);
     }
 
     /// Notifies the other controllers of a recorded cancellation.
-    fn notify_cancellation(&mut self, controller: usize, id: &str) {
-        let shared = self.controllers[controller].shared.clone();
+    fn notify_cancellation(&mut self, index: usize, id: &str) {
+        let shared = self.controllers[index].shared.clone();
         let job = JobId::parse(id).unwrap();
         shared.cancellation_recorded(&job);
         let jobs = shared.cancellations.take();
         let peers_refuse = self.peers_refuse_connections;
-        for peer in (0..3).filter(|peer| *peer != controller && !peers_refuse) {
-            self.send(Message::CancellationNotice(peer, jobs.clone()));
+        for peer in (0..3).filter(|peer| *peer != index && !peers_refuse) {
+            self.send(Message::Cancellation(peer, jobs.clone()));
         }
     }
 
     /// Marks a store request as finished, and continues the user requests that needed a fresh read.
     fn finish_store_request(
         &mut self,
-        controller: usize,
+        index: usize,
         purpose: RequestPurpose,
         succeeded: bool,
         sent_s: f64,
     ) {
-        let shared = self.controllers[controller].shared.clone();
+        let shared = self.controllers[index].shared.clone();
         match purpose {
-            RequestPurpose::Load | RequestPurpose::Read => {
-                self.controllers[controller].read_in_flight = false
-            }
-            RequestPurpose::Renew(_) => self.controllers[controller].renewal_in_flight = false,
+            RequestPurpose::Load | RequestPurpose::Read => self.controllers[index].reading = false,
+            RequestPurpose::Renew(_) => self.controllers[index].renewing = false,
             RequestPurpose::Grant | RequestPurpose::Elect(_) => {
-                self.controllers[controller].election_in_flight = false;
-                self.controllers[controller].next_election_at =
+                self.controllers[index].electing = false;
+                self.controllers[index].next_election_at =
                     self.now_s + self.rng.random_range(0.15..0.3);
             }
             RequestPurpose::Poll(id) if succeeded => {
@@ -180,16 +173,14 @@
                 let verdict = known_verdict(verdict);
                 self.observe_verdict(&id, sent_s, verdict);
             }
-            RequestPurpose::CancelRead(id) if succeeded => {
-                self.write_cancellation(controller, &id, sent_s)
-            }
+            RequestPurpose::CancelRead(id) if succeeded => self.commit_cancel(index, &id, sent_s),
             _ => {}
         }
     }
 
-    pub(super) fn write_cancellation(&mut self, controller: usize, id: &str, sent_s: f64) {
+    pub(super) fn commit_cancel(&mut self, index: usize, id: &str, sent_s: f64) {
         let job = JobId::parse(id).unwrap();
-        let shared = self.controllers[controller].shared.clone();
+        let shared = self.controllers[index].shared.clone();
         let (verdict, version, description) = {
             let replica = shared.replica.lock();
             let description = replica
@@ -213,20 +204,20 @@
             changes: vec![Change::put(keys::job(&job), to_value(&record))],
         };
         self.send_store_request(
-            controller,
+            index,
             StoreRequest::Commit(transaction),
             RequestPurpose::Cancel(id.to_owned()),
         );
     }
 
     /// Sends the election transaction under a newly granted lease.
-    pub(super) fn send_election(&mut self, controller: usize, lease: u64) {
+    pub(super) fn send_election(&mut self, index: usize, lease: u64) {
         let (term, version) = {
-            let replica = self.controllers[controller].shared.replica.lock();
+            let replica = self.controllers[index].shared.replica.lock();
             (Term(replica.term.record.0 + 1), replica.term.version)
         };
         let record = LeaderRecord {
-            member: self.controllers[controller].name.clone(),
+            member: self.controllers[index].name.clone(),
             address: String::new(),
             term,
             lease,
@@ -246,101 +237,91 @@
             ],
         };
         self.send_store_request(
-            controller,
+            index,
             StoreRequest::Commit(transaction),
             RequestPurpose::Elect(lease),
         );
     }
 
-    pub(super) fn step_down(&mut self, controller: usize) {
-        let shared = &self.controllers[controller].shared;
+    pub(super) fn step_down(&mut self, index: usize) {
+        let shared = &self.controllers[index].shared;
         let mut election = shared.election.lock();
         election.step_down();
         *shared.cluster.lock() = None;
     }
 
-    pub(super) fn step_down_and_revoke_lease(&mut self, controller: usize) {
-        let lease = self.controllers[controller]
+    pub(super) fn step_down_and_revoke_lease(&mut self, index: usize) {
+        let lease = self.controllers[index]
             .shared
             .election
             .lock()
             .lease()
             .map(|lease| lease.id());
-        self.step_down(controller);
+        self.step_down(index);
         if let Some(lease) = lease {
-            self.send_store_request(
-                controller,
-                StoreRequest::Revoke(lease),
-                RequestPurpose::Revoke,
-            );
+            self.send_store_request(index, StoreRequest::Revoke(lease), RequestPurpose::Revoke);
         }
     }
 
-    pub(super) fn step_election(&mut self, controller: usize) {
-        let shared = self.controllers[controller].shared.clone();
+    pub(super) fn step_election(&mut self, index: usize) {
+        let shared = self.controllers[index].shared.clone();
         let now = self.instant();
         let leader = shared.replica.lock().leader.clone();
         let Some(leader) = leader else {
             let in_backoff = shared.election.lock().in_backoff(now);
             let election_due =
-                self.now_s >= self.controllers[controller].next_election_at && !in_backoff;
-            if !self.controllers[controller].election_in_flight
-                && election_due
-                && !self.yields_election(controller)
-            {
-                self.step_down_and_revoke_lease(controller);
-                self.controllers[controller].election_in_flight = true;
-                self.send_store_request(controller, StoreRequest::Grant, RequestPurpose::Grant);
+                self.now_s >= self.controllers[index].next_election_at && !in_backoff;
+            if !self.controllers[index].electing && election_due && !self.yields_election(index) {
+                self.step_down_and_revoke_lease(index);
+                self.controllers[index].electing = true;
+                self.send_store_request(index, StoreRequest::Grant, RequestPurpose::Grant);
             }
             return;
         };
-        self.controllers[controller].links.vacant_since = None;
+        self.controllers[index].links.vacant_since = None;
         if shared.election.lock().is_own_record(&leader.record) {
             if shared.election.lock().own_term().is_none() {
-                self.recover(controller, leader.record.term, leader.version);
+                self.recover(index, leader.record.term, leader.version);
             }
-            if shared.election.lock().replica_too_stale_to_lead(now)
-                || self.decide_handover(controller)
+            if shared.election.lock().replica_too_stale_to_lead(now) || self.decide_handover(index)
             {
                 shared.election.lock().start_backoff(now);
-                self.step_down_and_revoke_lease(controller);
+                self.step_down_and_revoke_lease(index);
                 return;
             }
             let lease = shared.election.lock().lease().unwrap();
-            if !self.controllers[controller].renewal_in_flight
+            if !self.controllers[index].renewing
                 && now >= lease.renewal_sent_at() + lease_renewal_interval(LEADER_LEASE_MIN)
             {
-                self.controllers[controller].renewal_in_flight = true;
+                self.controllers[index].renewing = true;
                 self.send_store_request(
-                    controller,
+                    index,
                     StoreRequest::Renew(lease.id()),
                     RequestPurpose::Renew(lease.id()),
                 );
             }
             return;
         }
-        if shared.election.lock().lease().is_some()
-            && !self.controllers[controller].election_in_flight
-        {
-            self.step_down_and_revoke_lease(controller);
+        if shared.election.lock().lease().is_some() && !self.controllers[index].electing {
+            self.step_down_and_revoke_lease(index);
         }
-        let is_of_earlier_incarnation = leader.record.member == self.controllers[controller].name;
+        let is_of_earlier_incarnation = leader.record.member == self.controllers[index].name;
         if is_of_earlier_incarnation
-            && !self.controllers[controller].election_in_flight
-            && self.now_s >= self.controllers[controller].next_election_at
+            && !self.controllers[index].electing
+            && self.now_s >= self.controllers[index].next_election_at
         {
-            self.controllers[controller].next_election_at = self.now_s + 0.2;
+            self.controllers[index].next_election_at = self.now_s + 0.2;
             self.send_store_request(
-                controller,
+                index,
                 StoreRequest::Revoke(leader.record.lease),
                 RequestPurpose::Revoke,
             );
         }
     }
 
-    pub(super) fn recover(&mut self, controller: usize, term: Term, version: u64) {
+    pub(super) fn recover(&mut self, index: usize, term: Term, version: u64) {
         self.failovers += 1;
-        let shared = self.controllers[controller].shared.clone();
+        let shared = self.controllers[index].shared.clone();
         let catalog = shared.catalog.lock().clone().unwrap();
         let cluster = Cluster::recover(
             term,
@@ -368,29 +349,29 @@
 
     pub(super) fn apply_write_outcome(
         &mut self,
-        controller: usize,
+        index: usize,
         kind: &RecordKind,
         term: Term,
         outcome: &TransactionOutcome,
     ) {
         if !outcome.committed() {
-            self.controllers[controller].writes_paused_until = self.now_s + 0.4;
+            self.controllers[index].writes_paused_until = self.now_s + 0.4;
         }
-        let shared = self.controllers[controller].shared.clone();
+        let shared = self.controllers[index].shared.clone();
         let mut guard = shared.cluster.lock();
         if let Some(cluster) = guard.as_mut().filter(|cluster| cluster.term == term) {
             cluster.apply_write_outcome(kind, outcome);
         }
     }
 
-    pub(super) fn run_scheduling_cycle(&mut self, controller: usize) {
+    pub(super) fn run_scheduling_cycle(&mut self, index: usize) {
         let now = self.instant();
-        let shared = self.controllers[controller].shared.clone();
+        let shared = self.controllers[index].shared.clone();
         let Some(leadership) = shared.election.lock().leadership(now) else {
             return;
         };
         let starting = shared.leadership_for_starts(now).is_some();
-        let due = self.controllers[controller]
+        let due = self.controllers[index]
             .cycle_due
             .replace((leadership.term, self.now_s + 1.0));
         let commands = {
@@ -412,20 +393,20 @@
             sched::apply(cluster, &decisions, now);
             cluster.scheduling_needed = false;
             if starting {
-                self.controllers[controller].unmet_demand = decisions.unmet_demand;
+                self.controllers[index].unmet_demand = decisions.unmet_demand;
             }
             cluster.direct_commands(now)
         };
-        if self.now_s >= self.controllers[controller].writes_paused_until {
-            self.write_due_records(controller, &leadership);
+        if self.now_s >= self.controllers[index].writes_paused_until {
+            self.write_due_records(index, &leadership);
         }
-        self.send_direct_commands(controller, commands);
+        self.send_direct_commands(index, commands);
     }
 
     /// Writes the records that are due, on condition that the controller still leads.
-    fn write_due_records(&mut self, controller: usize, leadership: &Leadership) {
+    fn write_due_records(&mut self, index: usize, leadership: &Leadership) {
         let now = self.instant();
-        let shared = self.controllers[controller].shared.clone();
+        let shared = self.controllers[index].shared.clone();
         let writes = {
             let replica = shared.replica.lock();
             let mut guard = shared.cluster.lock();
@@ -435,17 +416,17 @@
             let condition = Condition::new(keys::LEADER, leadership.version);
             write.transaction.conditions.push(condition);
             let purpose = RequestPurpose::Write(write.kind, leadership.term);
-            self.send_store_request(controller, StoreRequest::Commit(write.transaction), purpose);
+            self.send_store_request(index, StoreRequest::Commit(write.transaction), purpose);
         }
     }
 
-    fn send_direct_commands(&mut self, controller: usize, commands: Vec<AddressedCommand>) {
+    fn send_direct_commands(&mut self, index: usize, commands: Vec<AddressedCommand>) {
         let now = self.instant();
         for AddressedCommand { machine, body, .. } in commands {
-            let incarnation = self.controllers[controller].incarnation;
+            let incarnation = self.controllers[index].incarnation;
             let machine = machine.0.to_string();
             let message = Message::DirectCommand(
-                controller,
+                index,
                 incarnation,
                 machine,
                 body.token,
@@ -453,25 +434,25 @@
                 body.commands,
                 now,
             );
-            if !self.is_cut_from_workers(controller) {
+            if !self.is_cut_from_workers(index) {
                 self.send(message);
             }
         }
     }
 
-    pub(super) fn is_cut_from_workers(&self, controller: usize) -> bool {
-        self.controller_cut_from_workers
-            .is_some_and(|(affected, until)| affected == controller && self.now_s < until)
+    pub(super) fn is_cut_from_workers(&self, index: usize) -> bool {
+        self.cut_off
+            .is_some_and(|(affected, until)| affected == index && self.now_s < until)
     }
 
-    pub(super) fn step_fleet(&mut self, controller: usize) {
+    pub(super) fn step_fleet(&mut self, index: usize) {
         let now = self.instant();
-        let shared = self.controllers[controller].shared.clone();
+        let shared = self.controllers[index].shared.clone();
         if shared.election.lock().leadership(now).is_none() {
             return;
         }
         let machine_list = self.machine_list();
-        let incarnation = self.controllers[controller].incarnation;
+        let incarnation = self.controllers[index].incarnation;
         let actions = {
             let mut guard = shared.cluster.lock();
             let Some(cluster) = guard.as_mut() else {
@@ -491,8 +472,8 @@
             let actions = fleet::plan(&FleetView {
                 cluster,
                 policy: &self.policy,
-                unmet_demand: &self.controllers[controller].unmet_demand,
-                capacity_backoff: &self.controllers[controller].capacity_backoff,
+                unmet_demand: &self.controllers[index].unmet_demand,
+                capacity_backoff: &self.controllers[index].capacity_backoff,
                 idle_policy: IdlePolicy::default(),
                 now,
             });
@@ -510,77 +491,71 @@
         for action in actions {
             match action {
                 ScalingAction::Rent(pool, count) => {
-                    self.send(Message::RentMachines(controller, incarnation, pool, count))
+                    self.send(Message::Rent(index, incarnation, pool, count))
                 }
                 ScalingAction::Release(ids, _) => {
-                    self.send(Message::ReleaseMachines(controller, incarnation, ids))
+                    self.send(Message::Release(index, incarnation, ids))
                 }
             }
         }
     }
 
-    pub(super) fn step_controller(&mut self, controller: usize) {
-        if !self.controllers[controller].is_running {
-            if self.now_s >= self.controllers[controller].restart_at {
-                let incarnation = self.controllers[controller].incarnation + 1;
-                self.controllers[controller] = self.new_controller(controller, incarnation);
-                self.raise_incarnation(controller, incarnation);
+    pub(super) fn step_controller(&mut self, index: usize) {
+        if !self.controllers[index].is_running {
+            if self.now_s >= self.controllers[index].restart_at {
+                let incarnation = self.controllers[index].incarnation + 1;
+                self.controllers[index] = self.new_controller(index, incarnation);
+                self.raise_incarnation(index, incarnation);
             }
             return;
         }
-        if self.controllers[controller].paused_until > self.now_s {
+        if self.controllers[index].paused_until > self.now_s {
             return;
         }
-        for message in std::mem::take(&mut self.controllers[controller].held_messages) {
+        for message in std::mem::take(&mut self.controllers[index].held_messages) {
             self.deliver(message);
         }
         let now = self.instant();
-        let needs_read = self.controllers[controller]
+        let needs_read = self.controllers[index]
             .shared
             .election
             .lock()
             .needs_confirming_read(now);
-        let due = self.now_s >= self.controllers[controller].next_read_at || needs_read;
-        if !self.controllers[controller].read_in_flight && due {
-            self.controllers[controller].read_in_flight = true;
-            self.controllers[controller].next_read_at =
-                self.now_s + self.rng.random_range(0.2..1.2);
-            if self.controllers[controller].replica_loaded {
-                let after = self.controllers[controller].shared.replica.lock().revision;
-                self.send_store_request(
-                    controller,
-                    StoreRequest::Read(after),
-                    RequestPurpose::Read,
-                );
+        let due = self.now_s >= self.controllers[index].next_read_at || needs_read;
+        if !self.controllers[index].reading && due {
+            self.controllers[index].reading = true;
+            self.controllers[index].next_read_at = self.now_s + self.rng.random_range(0.2..1.2);
+            if self.controllers[index].replica_loaded {
+                let after = self.controllers[index].shared.replica.lock().revision;
+                self.send_store_request(index, StoreRequest::Read(after), RequestPurpose::Read);
             } else {
-                self.send_store_request(controller, StoreRequest::Load, RequestPurpose::Load);
+                self.send_store_request(index, StoreRequest::Load, RequestPurpose::Load);
             }
         }
-        if self.controllers[controller].replica_loaded {
-            self.step_election(controller);
+        if self.controllers[index].replica_loaded {
+            self.step_election(index);
         }
-        self.step_forwarding(controller);
-        self.step_links(controller);
-        if self.now_s >= self.controllers[controller].next_cycle_at {
-            self.controllers[controller].next_cycle_at =
-                self.now_s + self.rng.random_range(0.15..0.6);
-            self.run_scheduling_cycle(controller);
+        self.step_forwarding(index);
+        self.step_links(index);
+        if self.now_s >= self.controllers[index].next_cycle_at {
+            self.controllers[index].next_cycle_at = self.now_s + self.rng.random_range(0.15..0.6);
+            self.run_scheduling_cycle(index);
         }
-        if self.now_s >= self.controllers[controller].next_fleet_step_at {
-            self.controllers[controller].next_fleet_step_at = self.now_s + 1.0;
-            self.step_fleet(controller);
+        if self.now_s >= self.controllers[index].next_fleet_step_at {
+            self.controllers[index].next_fleet_step_at = self.now_s + 1.0;
+            self.step_fleet(index);
         }
     }
 
     /// Whether a controller processes a message now. A paused one holds it until it resumes; a message
     /// for a process that has terminated, or for another incarnation, is lost.
-    pub(super) fn accepts_message(
+    pub(super) fn accepts(
         &mut self,
-        controller: usize,
+        index: usize,
         incarnation: Option<u64>,
         to_hold: impl Fn() -> Message,
     ) -> bool {
-        let state = &mut self.controllers[controller];
+        let state = &mut self.controllers[index];
         if !state.is_running
             || incarnation.is_some_and(|incarnation| incarnation != state.incarnation)
         {
@@ -594,27 +569,19 @@
     }
 
     pub(super) fn leader(&self) -> Option<usize> {
-        let leads = |controller: &Controller| {
-            controller.is_running && controller.shared.election.lock().own_term().is_some()
-        };
+        let leads = |c: &Controller| c.is_running && c.shared.election.lock().own_term().is_some();
         let mut leading: Vec<usize> = (0..3)
-            .filter(|controller| leads(&self.controllers[*controller]))
+            .filter(|index| leads(&self.controllers[*index]))
             .collect();
-        leading.sort_by_key(|controller| {
-            self.controllers[*controller]
-                .shared
-                .election
-                .lock()
-                .own_term()
-        });
+        leading.sort_by_key(|index| self.controllers[*index].shared.election.lock().own_term());
         leading.pop()
     }
 
     pub(super) fn draw_running_controller(&mut self) -> Option<usize> {
         let running: Vec<usize> = (0..3)
-            .filter(|controller| {
-                self.controllers[*controller].is_running
-                    && self.controllers[*controller].paused_until <= self.now_s
+            .filter(|index| {
+                self.controllers[*index].is_running
+                    && self.controllers[*index].paused_until <= self.now_s
             })
             .collect();
         (!running.is_empty()).then(|| running[self.rng.random_range(0..running.len())])
--- a/tests/common/simulation/delivery.rs
+++ b/tests/common/simulation/delivery.rs
@@ -12,7 +12,7 @@
     /// The same for the response, with the time the request was sent.
     FromStore(usize, u64, StoreResponse, RequestPurpose, f64),
     /// A transaction that is applied later, and whose sender gets no response.
-    DelayedTransaction(Transaction),
+    LateWrite(Transaction),
     /// Receiving controller, the heartbeat, and its number unless it is a copy.
     Heartbeat(usize, Box<Heartbeat>, Option<u64>),
     /// Worker, its session epoch, the number of the heartbeat, the status, the controller to which it
@@ -31,11 +31,15 @@
     /// Controller and its incarnation, the worker's heartbeat, the fencing token of the command and the
     /// time the command was sent.
     DirectCommandReply(usize, u64, Box<Heartbeat>, u64, Instant),
-    CancellationNotice(usize, Vec<JobId>),
-    ReleaseMachines(usize, u64, Vec<MachineId>),
-    MachinesReleased(usize, u64, Vec<MachineId>),
-    RentMachines(usize, u64, MachinePool, u32),
-    MachinesRented(usize, u64, MachinePool, Vec<String>),
+    Cancellation(usize, Vec<JobId>),
+    /// Request to the cloud from a controller and its incarnation.
+    Release(usize, u64, Vec<MachineId>),
+    /// Response to the controller and its incarnation.
+    Released(usize, u64, Vec<MachineId>),
+    /// Request to the cloud from a controller and its incarnation, with the number of machines.
+    Rent(usize, u64, MachinePool, u32),
+    /// Response to the controller and its incarnation, with the names of the rented machines.
+    Rented(usize, u64, MachinePool, Vec<String>),
     MachineBoot(String, MachinePool),
     /// Receiving controller, the encoded batch, the follower with its incarnation, and the batch's
     /// number there.
@@ -57,50 +61,40 @@
     pub(super) fn deliver(&mut self, message: Message) {
         let now_s = self.now_s;
         match message {
-            Message::ToStore(controller, incarnation, request, purpose, sent_s) => {
-                self.handle_store_request(controller, incarnation, request, purpose, sent_s)
+            Message::ToStore(index, incarnation, request, purpose, sent_s) => {
+                self.handle_store_request(index, incarnation, request, purpose, sent_s)
             }
-            Message::DelayedTransaction(transaction) => {
+            Message::LateWrite(transaction) => {
                 if now_s < self.store_out_until {
-                    self.deliver_after(1.0, Message::DelayedTransaction(transaction));
+                    self.deliver_after(1.0, Message::LateWrite(transaction));
                 } else {
                     self.store.expire(now_s);
                     self.store.commit(&transaction);
                 }
             }
-            Message::FromStore(controller, incarnation, response, purpose, sent_s) => {
-                if self.accepts_message(controller, Some(incarnation), || {
-                    Message::FromStore(
-                        controller,
-                        incarnation,
-                        response.clone(),
-                        purpose.clone(),
-                        sent_s,
-                    )
+            Message::FromStore(index, incarnation, reply, purpose, sent_s) => {
+                if self.accepts(index, Some(incarnation), || {
+                    Message::FromStore(index, incarnation, reply.clone(), purpose.clone(), sent_s)
                 }) {
-                    self.handle_store_response(controller, response, purpose, sent_s);
+                    self.handle_store_response(index, reply, purpose, sent_s);
                 }
             }
-            Message::CancellationNotice(controller, jobs) => {
-                if self.accepts_message(controller, None, || {
-                    Message::CancellationNotice(controller, jobs.clone())
-                }) {
-                    self.controllers[controller].shared.cancel_tasks(&jobs);
+            Message::Cancellation(index, jobs) => {
+                if self.accepts(index, None, || Message::Cancellation(index, jobs.clone())) {
+                    self.controllers[index].shared.cancel_tasks(&jobs);
                 }
             }
-            Message::Heartbeat(controller, heartbeat, number) => {
-                self.receive_heartbeat_at(controller, heartbeat, number)
-            }
+            Message::Heartbeat(index, body, number) => self.deliver_heartbeat(index, body, number),
             Message::Batch(to, bytes, from, incarnation, id) => {
                 let to_hold = || Message::Batch(to, bytes.clone(), from, incarnation, id);
-                if self.accepts_message(to, None, to_hold) {
+                if self.accepts(to, None, to_hold) {
                     self.receive_batch(to, &bytes, (from, incarnation, id));
                 }
             }
-            Message::BatchReply(controller, incarnation, id, answer) => {
-                let to_hold = || Message::BatchReply(controller, incarnation, id, answer.clone());
-                if self.accepts_message(controller, Some(incarnation), to_hold) {
-                    self.receive_batch_reply(controller, id, answer);
+            Message::BatchReply(index, incarnation, id, answer) => {
+                let to_hold = || Message::BatchReply(index, incarnation, id, answer.clone());
+                if self.accepts(index, Some(incarnation), to_hold) {
+                    self.receive_batch_reply(index, id, answer);
                 }
             }
             Message::Row(..) | Message::RowOutcome(..) => self.deliver_row(message),
@@ -111,25 +105,17 @@
                 }
                 self.receive_reply(&name, (epoch, number, status), redirect, body);
             }
-            Message::DirectCommand(
-                controller,
-                incarnation,
-                name,
-                token,
-                epoch,
-                commands,
-                sent_at,
-            ) => {
+            Message::DirectCommand(index, incarnation, name, token, epoch, commands, sent_at) => {
                 let command = (token, epoch, commands);
-                self.receive_direct_command((controller, incarnation), name, command, sent_at);
+                self.receive_direct_command((index, incarnation), name, command, sent_at);
             }
-            Message::DirectCommandReply(controller, incarnation, heartbeat, token, sent_at) => {
-                self.receive_command_reply(controller, incarnation, heartbeat, token, sent_at)
+            Message::DirectCommandReply(index, incarnation, heartbeat, token, sent_at) => {
+                self.receive_command_reply(index, incarnation, heartbeat, token, sent_at)
             }
-            Message::ReleaseMachines(..)
-            | Message::MachinesReleased(..)
-            | Message::RentMachines(..)
-            | Message::MachinesRented(..) => self.deliver_cloud(message),
+            Message::Release(..)
+            | Message::Released(..)
+            | Message::Rent(..)
+            | Message::Rented(..) => self.deliver_cloud(message),
             Message::MachineBoot(name, pool) => self.boot_machine(name, pool),
         }
     }
@@ -137,30 +123,25 @@
     /// Delivers a request to the cloud, or its response to a controller.
     fn deliver_cloud(&mut self, message: Message) {
         match message {
-            Message::ReleaseMachines(controller, incarnation, ids) => {
+            Message::Release(index, incarnation, ids) => {
                 for id in &ids {
                     self.workers.remove(&*id.0);
                     self.failed_machines.remove(&*id.0);
                 }
-                self.send(Message::MachinesReleased(controller, incarnation, ids));
+                self.send(Message::Released(index, incarnation, ids));
             }
-            Message::MachinesReleased(controller, incarnation, ids) => {
-                let to_hold = || Message::MachinesReleased(controller, incarnation, ids.clone());
-                if self.accepts_message(controller, Some(incarnation), to_hold) {
-                    self.controllers[controller].shared.machines_released(&ids);
+            Message::Released(index, incarnation, ids) => {
+                let to_hold = || Message::Released(index, incarnation, ids.clone());
+                if self.accepts(index, Some(incarnation), to_hold) {
+                    self.controllers[index].shared.machines_released(&ids);
                 }
             }
-            Message::RentMachines(controller, incarnation, pool, count) => {
+            Message::Rent(index, incarnation, pool, count) => {
                 let names = self.rent_machines(&pool, count);
-                self.send(Message::MachinesRented(
-                    controller,
-                    incarnation,
-                    pool,
-                    names,
-                ));
+                self.send(Message::Rented(index, incarnation, pool, names));
             }
-            Message::MachinesRented(controller, incarnation, pool, names) => {
-                self.receive_rental_reply(controller, incarnation, pool, names)
+            Message::Rented(index, incarnation, pool, names) => {
+                self.receive_rental_reply(index, incarnation, pool, names)
             }
             _ => {}
         }
@@ -171,14 +152,14 @@
         match message {
             Message::Row(to, bytes, from, incarnation, sent_s) => {
                 let to_hold = || Message::Row(to, bytes.clone(), from, incarnation, sent_s);
-                if self.accepts_message(to, None, to_hold) {
+                if self.accepts(to, None, to_hold) {
                     self.receive_row(to, &bytes, (from, incarnation, sent_s));
                 }
             }
-            Message::RowOutcome(controller, incarnation, outcome) => {
-                let to_hold = || Message::RowOutcome(controller, incarnation, outcome.clone());
-                if self.accepts_message(controller, Some(incarnation), to_hold) {
-                    self.receive_row_outcome(controller, outcome);
+            Message::RowOutcome(index, incarnation, outcome) => {
+                let to_hold = || Message::RowOutcome(index, incarnation, outcome.clone());
+                if self.accepts(index, Some(incarnation), to_hold) {
+                    self.receive_row_outcome(index, outcome);
                 }
             }
             _ => {}
@@ -186,33 +167,24 @@
     }
 
     /// Delivers a worker's heartbeat to a controller. A copy has no number.
-    fn receive_heartbeat_at(
-        &mut self,
-        controller: usize,
-        heartbeat: Box<Heartbeat>,
-        number: Option<u64>,
-    ) {
-        if self.is_cut_from_workers(controller) {
+    fn deliver_heartbeat(&mut self, index: usize, heartbeat: Box<Heartbeat>, number: Option<u64>) {
+        if self.is_cut_from_workers(index) {
             return;
         }
         let link_fault =
-            self.current_link_fault(LinkId::Workers(zone_number(&heartbeat.zone), controller));
-        let held_back = Message::Heartbeat(controller, heartbeat.clone(), None);
+            self.current_link_fault(LinkId::Workers(zone_number(&heartbeat.zone), index));
+        let held_back = Message::Heartbeat(index, heartbeat.clone(), None);
         if self.withholds_request(&link_fault, Some(held_back)) {
             return;
         }
-        if !self.accepts_message(controller, None, || {
-            Message::Heartbeat(controller, heartbeat.clone(), number)
+        if !self.accepts(index, None, || {
+            Message::Heartbeat(index, heartbeat.clone(), number)
         }) {
             return;
         }
         let now = self.instant();
         let bytes = wire::encode(&*heartbeat);
-        let outcome = receive_heartbeat(
-            &self.controllers[controller].shared,
-            Ok(bytes.into()),
-            &|| now,
-        );
+        let outcome = receive_heartbeat(&self.controllers[index].shared, Ok(bytes.into()), &|| now);
         let (name, epoch) = (heartbeat.machine.clone(), heartbeat.epoch);
         let responses_pass = link_fault.mode.responses == Flow::Pass;
         match (outcome, number.filter(|_| responses_pass)) {
@@ -220,11 +192,11 @@
                 self.send_reply(&name, (epoch, number), answer);
             }
             (HeartbeatOutcome::Queued(pending), Some(number)) => {
-                self.hold_connection(controller, pending, (name, epoch, number));
+                self.hold_connection(index, pending, (name, epoch, number));
             }
             // A copy is forwarded like any heartbeat, but no worker waits for its response.
             (HeartbeatOutcome::Queued(pending), None) => {
-                self.hold_connection(controller, pending, (name, epoch, 0));
+                self.hold_connection(index, pending, (name, epoch, 0));
             }
             (HeartbeatOutcome::Answered(_), None) => {}
         }
@@ -233,20 +205,20 @@
     /// Delivers a worker's reply to the controller that sent the direct command.
     fn receive_command_reply(
         &mut self,
-        controller: usize,
+        index: usize,
         incarnation: u64,
         heartbeat: Box<Heartbeat>,
         token: u64,
         sent_at: Instant,
     ) {
-        if !self.accepts_message(controller, Some(incarnation), || {
-            Message::DirectCommandReply(controller, incarnation, heartbeat.clone(), token, sent_at)
+        if !self.accepts(index, Some(incarnation), || {
+            Message::DirectCommandReply(index, incarnation, heartbeat.clone(), token, sent_at)
         }) {
             return;
         }
         let now = self.instant();
         let timed_out = now.saturating_duration_since(sent_at) > Duration::from_secs(2);
-        let shared = self.controllers[controller].shared.clone();
+        let shared = self.controllers[index].shared.clone();
         let mut guard = shared.cluster.lock();
         let term = FencingToken(token).term();
         if let Some(cluster) = guard
@@ -266,23 +238,23 @@
     /// Delivers the cloud's response to the controller that requested the rental.
     fn receive_rental_reply(
         &mut self,
-        controller: usize,
+        index: usize,
         incarnation: u64,
         pool: MachinePool,
         names: Vec<String>,
     ) {
-        if !self.accepts_message(controller, Some(incarnation), || {
-            Message::MachinesRented(controller, incarnation, pool.clone(), names.clone())
+        if !self.accepts(index, Some(incarnation), || {
+            Message::Rented(index, incarnation, pool.clone(), names.clone())
         }) {
             return;
         }
         let now = self.instant();
-        let shared = self.controllers[controller].shared.clone();
+        let shared = self.controllers[index].shared.clone();
         if let Some(cluster) = shared.cluster.lock().as_mut() {
             cluster.add_rented_machines(&names, &pool, now);
         }
         if names.is_empty() {
-            self.controllers[controller]
+            self.controllers[index]
                 .capacity_backoff
                 .record_exhausted(&pool, now);
         }
@@ -291,7 +263,7 @@
     /// Delivers a direct command to a worker.
     fn receive_direct_command(
         &mut self,
-        (controller, incarnation): (usize, u64),
+        (index, incarnation): (usize, u64),
         name: String,
         (token, epoch, commands): (u64, u64, Vec<WorkerCommand>),
         sent_at: Instant,
@@ -304,15 +276,8 @@
             return;
         }
         if worker.hung_until > now_s {
-            let message = Message::DirectCommand(
-                controller,
-                incarnation,
-                name,
-                token,
-                epoch,
-                commands,
-                sent_at,
-            );
+            let message =
+                Message::DirectCommand(index, incarnation, name, token, epoch, commands, sent_at);
             worker.held_messages.push(message);
             return;
         }
@@ -330,7 +295,7 @@
         }
         let heartbeat = self.next_heartbeat(&name);
         self.send(Message::DirectCommandReply(
-            controller,
+            index,
             incarnation,
             heartbeat,
             token,
--- a/tests/common/simulation/faults.rs
+++ b/tests/common/simulation/faults.rs
@@ -11,19 +11,16 @@
     /// The store refuses all requests.
     StoreOutage,
     /// The store refuses the current leader's requests.
-    StoreRefusesLeader,
+    LeaderRefused,
     /// The current leader's reads get no response; its lease renewals and writes are served.
-    LeaderReadsUnanswered,
+    LeaderReadsLost,
     /// Every store response is delayed by up to this many additional seconds.
     SlowStore(f64),
-    /// This share of the transactions gets no response; they are applied at once, or 2 to 12 s later.
-    UnansweredTransactions { share: f64, applied_at_once: bool },
-    /// A copy of this share of the heartbeats is delivered up to two worker leases later, or when the
-    /// next leader takes over.
-    DuplicateHeartbeats {
-        share: f64,
-        kept_for_next_leader: bool,
-    },
+    /// This share of the transactions gets no response; they are applied `at_once`, or 2 to 12 s later.
+    LateWrites { share: f64, at_once: bool },
+    /// A copy of this share of the heartbeats is delivered up to two worker leases later or, if `kept`, when
+    /// the next leader takes over.
+    HeartbeatCopies { share: f64, kept: bool },
     /// Responses and direct commands to this share of the workers are lost.
     LoseResponses(f64),
     /// Heartbeats of this share of the workers are lost.
@@ -40,8 +37,8 @@
     CrashAll(f64),
     /// The leader's process is paused.
     PauseLeader,
-    /// Heartbeats to the current leader and its direct commands are lost.
-    LeaderCutFromWorkers,
+    /// The current leader is cut off from the workers: heartbeats to it and its direct commands are lost.
+    LeaderCutOff,
     /// Users cancel this many jobs.
     CancelJobs(usize),
     /// Users cancel this share of the jobs when the last task completes.
@@ -83,69 +80,45 @@
                 self.store_out_until = until;
                 // The store does not expire leases during an outage: each one lasts its full duration
                 // from the end of the outage.
-                let expires_at = until + LEADER_LEASE_MIN.as_secs_f64();
-                self.store
-                    .leases
-                    .values_mut()
-                    .for_each(|lease_until| *lease_until = expires_at);
-            }
-            Fault::StoreRefusesLeader => {
-                self.controller_refused = self.leader().map(|controller| (controller, until))
-            }
-            Fault::LeaderReadsUnanswered => {
-                self.controller_without_reads = self.leader().map(|controller| (controller, until))
+                let expiry = until + LEADER_LEASE_MIN.as_secs_f64();
+                self.store.leases.values_mut().for_each(|end| *end = expiry);
             }
+            Fault::LeaderRefused => self.refused = self.leader().map(|leader| (leader, until)),
+            Fault::LeaderReadsLost => self.reads_lost = self.leader().map(|leader| (leader, until)),
             Fault::SlowStore(delay_max_s) => self.store_delay = (delay_max_s, until),
-            Fault::UnansweredTransactions {
-                share,
-                applied_at_once,
-            } => self.unanswered_transactions = (share, applied_at_once, until),
-            Fault::DuplicateHeartbeats {
-                share,
-                kept_for_next_leader,
-            } => self.duplicate_heartbeats = (share, kept_for_next_leader, until),
-            Fault::LoseResponses(share) => {
-                self.change_workers(share, |worker| worker.responses_lost_until = until)
-            }
-            Fault::LoseHeartbeats(share) => {
-                self.change_workers(share, |worker| worker.heartbeats_lost_until = until)
-            }
-            Fault::HangWorkers(share) => {
-                self.change_workers(share, |worker| worker.hung_until = until)
-            }
+            Fault::LateWrites { share, at_once } => self.late_writes = (share, at_once, until),
+            Fault::HeartbeatCopies { share, kept } => self.heartbeat_copies = (share, kept, until),
+            Fault::LoseResponses(share) => self.alter(share, |w| w.responses_lost_until = until),
+            Fault::LoseHeartbeats(share) => self.alter(share, |w| w.heartbeats_lost_until = until),
+            Fault::HangWorkers(share) => self.alter(share, |w| w.hung_until = until),
             Fault::TerminateMachines(count) => self.terminate_machines(count),
-            Fault::CrashLeader(restart_delay_s) => {
-                if let Some(controller) = self.leader() {
-                    self.crash(controller, restart_delay_s);
+            Fault::CrashLeader(delay_s) => {
+                if let Some(index) = self.leader() {
+                    self.crash(index, delay_s);
                 }
             }
-            Fault::CrashFollower(restart_delay_s) => {
+            Fault::CrashFollower(delay_s) => {
                 let leader = self.leader();
-                if let Some(controller) = (0..3).find(|controller| Some(*controller) != leader) {
-                    self.crash(controller, restart_delay_s);
+                if let Some(index) = (0..3).find(|index| Some(*index) != leader) {
+                    self.crash(index, delay_s);
                 }
             }
-            Fault::CrashAll(restart_delay_s) => {
-                (0..3).for_each(|controller| self.crash(controller, restart_delay_s))
-            }
+            Fault::CrashAll(delay_s) => (0..3).for_each(|index| self.crash(index, delay_s)),
             Fault::PauseLeader => {
-                if let Some(controller) = self.leader() {
-                    self.controllers[controller].paused_until = until;
+                if let Some(index) = self.leader() {
+                    self.controllers[index].paused_until = until;
                 }
             }
             Fault::Batches(shares) => self.batch_faults = (shares, until),
             Fault::FollowerCutFromLeader => {
                 let leader = self.leader();
-                let follower = (0..3).find(|controller| Some(*controller) != leader);
-                self.isolated_follower = follower.map(|controller| (controller, until));
+                let follower = (0..3).find(|index| Some(*index) != leader);
+                self.isolated_follower = follower.map(|index| (index, until));
             }
             Fault::Link(link, mode) => self.link_faults.push(TimedLinkFault { link, mode, until }),
-            Fault::Restart(controller) => self.crash(controller, 0.2),
+            Fault::Restart(index) => self.crash(index, 0.2),
             Fault::WritesRefused => self.writes_refused_until = until,
-            Fault::LeaderCutFromWorkers => {
-                self.controller_cut_from_workers =
-                    self.leader().map(|controller| (controller, until))
-            }
+            Fault::LeaderCutOff => self.cut_off = self.leader().map(|leader| (leader, until)),
             Fault::CancelJobs(count) => self.cancel_random_jobs(count),
             Fault::CancelAtCompletion(share) => {
                 self.cancel_at_completion = (share, until);
@@ -159,13 +132,13 @@
     }
 
     /// Terminates a controller, which restarts after the delay.
-    fn crash(&mut self, controller: usize, restart_delay_s: f64) {
-        self.controllers[controller].is_running = false;
-        self.controllers[controller].restart_at = self.now_s + restart_delay_s;
+    fn crash(&mut self, index: usize, delay_s: f64) {
+        self.controllers[index].is_running = false;
+        self.controllers[index].restart_at = self.now_s + delay_s;
     }
 
-    /// Changes a randomly drawn share of the workers.
-    fn change_workers(&mut self, share: f64, change: impl Fn(&mut Worker)) {
+    /// Applies a change to a randomly drawn share of the workers.
+    fn alter(&mut self, share: f64, change: impl Fn(&mut Worker)) {
         for name in self.draw_workers(share) {
             change(self.workers.get_mut(&name).unwrap());
         }
@@ -193,9 +166,7 @@
     /// Cancels up to `count` accepted jobs on behalf of users.
     fn cancel_random_jobs(&mut self, count: usize) {
         let cancellable = self.jobs.iter().filter(|(_, job)| {
-            job.observed_accepted_at.is_some()
-                && !job.cancel_requested
-                && job.observed_done_at.is_none()
+            job.seen_accepted_at.is_some() && !job.cancel_requested && job.seen_done_at.is_none()
         });
         let ids: Vec<String> = cancellable.map(|(id, _)| id.clone()).collect();
         for _ in 0..count.min(ids.len()) {
--- a/tests/common/simulation/forwarding.rs
+++ b/tests/common/simulation/forwarding.rs
@@ -62,7 +62,7 @@
     /// Keeps the connection of a worker whose heartbeat was queued for the leader.
     pub(super) fn hold_connection(
         &mut self,
-        controller: usize,
+        index: usize,
         pending: PendingHeartbeat,
         (name, epoch, number): (String, u64, u64),
     ) {
@@ -72,24 +72,23 @@
             epoch,
             number,
         };
-        self.controllers[controller]
+        self.controllers[index]
             .forwarding_state
             .waiting
             .push(connection);
     }
 
     /// Relays responses to workers, and sends the queued heartbeats to the leader.
-    pub(super) fn step_forwarding(&mut self, controller: usize) {
-        self.time_out_batches(controller);
-        self.relay_responses(controller);
+    pub(super) fn step_forwarding(&mut self, index: usize) {
+        self.time_out_batches(index);
+        self.relay_responses(index);
         let batch_delay_s = batch_delay(&self.settings).as_secs_f64();
-        if self.now_s < self.controllers[controller].forwarding_state.last_batch_at + batch_delay_s
-        {
+        if self.now_s < self.controllers[index].forwarding_state.last_batch_at + batch_delay_s {
             return;
         }
-        self.controllers[controller].forwarding_state.last_batch_at = self.now_s;
+        self.controllers[index].forwarding_state.last_batch_at = self.now_s;
         let now = self.instant();
-        let shared = self.controllers[controller].shared.clone();
+        let shared = self.controllers[index].shared.clone();
         let role = shared.election.lock().role(now);
         let Role::Follower(Some(leader)) = role else {
             return shared.forwarding.lock().drop_queued();
@@ -113,16 +112,16 @@
             }
             let message = HeartbeatBatch {
                 version: BATCH_VERSION,
-                member: self.controllers[controller].name.clone(),
+                member: self.controllers[index].name.clone(),
                 term: leader.term,
-                sent_at_ms: unix_ms(self.wall_clock_of(controller)),
+                sent_at_ms: unix_ms(self.wall_clock_of(index)),
                 heartbeats: batch
                     .iter()
                     .map(|queued| queued.heartbeat.clone())
                     .collect(),
             };
             let bytes = encode(&message).unwrap();
-            let forwarding_state = &mut self.controllers[controller].forwarding_state;
+            let forwarding_state = &mut self.controllers[index].forwarding_state;
             forwarding_state.batches += 1;
             let id = forwarding_state.batches;
             let until = self.now_s + BATCH_TIMEOUT.as_secs_f64();
@@ -133,11 +132,11 @@
             };
             forwarding_state.sent_batches.insert(id, sent_batch);
             self.batches_sent += 1;
-            self.send_batch(controller, to, id, bytes);
+            self.send_batch(index, to, id, bytes);
         }
     }
 
-    fn send_batch(&mut self, controller: usize, to: usize, id: u64, bytes: Vec<u8>) {
+    fn send_batch(&mut self, index: usize, to: usize, id: u64, bytes: Vec<u8>) {
         let (faults, until) = self.batch_faults;
         let faults = if self.now_s < until {
             faults
@@ -146,17 +145,17 @@
         };
         let isolated = self.isolated_follower;
         let is_isolated =
-            isolated.is_some_and(|(follower, until)| follower == controller && self.now_s < until);
+            isolated.is_some_and(|(follower, until)| follower == index && self.now_s < until);
         if is_isolated || self.rng.random_bool(faults.lost) {
             return;
         }
-        let incarnation = self.controllers[controller].incarnation;
-        let message = |bytes| Message::Batch(to, bytes, controller, incarnation, id);
+        let incarnation = self.controllers[index].incarnation;
+        let message = |bytes| Message::Batch(to, bytes, index, incarnation, id);
         if self.rng.random_bool(faults.delayed) {
             let after = self.rng.random_range(2.0..60.0);
             return self.deliver_after(after, message(bytes));
         }
-        let link_fault = self.current_link_fault(LinkId::Peer(controller, to));
+        let link_fault = self.current_link_fault(LinkId::Peer(index, to));
         if self.withholds_request(&link_fault, Some(message(bytes.clone()))) {
             return;
         }
@@ -200,19 +199,19 @@
     /// Delivers the response to a batch to the follower that sent it.
     pub(super) fn receive_batch_reply(
         &mut self,
-        controller: usize,
+        index: usize,
         id: u64,
         answer: Result<Vec<u8>, u16>,
     ) {
         let now = self.instant();
-        let Some(sent_batch) = self.controllers[controller]
+        let Some(sent_batch) = self.controllers[index]
             .forwarding_state
             .sent_batches
             .remove(&id)
         else {
             return;
         };
-        let shared = self.controllers[controller].shared.clone();
+        let shared = self.controllers[index].shared.clone();
         match answer {
             Ok(bytes) => {
                 let answer: BatchAnswer = decode(&bytes).unwrap();
@@ -238,9 +237,9 @@
         }
     }
 
-    fn time_out_batches(&mut self, controller: usize) {
+    fn time_out_batches(&mut self, index: usize) {
         let (now_s, now) = (self.now_s, self.instant());
-        let state = &mut self.controllers[controller];
+        let state = &mut self.controllers[index];
         let expired = state.forwarding_state.sent_batches.iter();
         let expired = expired.filter(|(_, sent_batch)| sent_batch.until < now_s);
         let expired: Vec<u64> = expired.map(|(id, _)| *id).collect();
@@ -253,10 +252,10 @@
         }
     }
 
-    fn relay_responses(&mut self, controller: usize) {
+    fn relay_responses(&mut self, index: usize) {
         let now = self.instant();
-        let shared = self.controllers[controller].shared.clone();
-        let waiting = std::mem::take(&mut self.controllers[controller].forwarding_state.waiting);
+        let shared = self.controllers[index].shared.clone();
+        let waiting = std::mem::take(&mut self.controllers[index].forwarding_state.waiting);
         for mut connection in waiting {
             let waited = now.saturating_duration_since(connection.pending.received_at);
             let answer = match (&mut connection.pending.answer).now_or_never() {
@@ -266,7 +265,7 @@
                     upstream_unavailable(&shared, now)
                 }
                 None => {
-                    self.controllers[controller]
+                    self.controllers[index]
                         .forwarding_state
                         .waiting
                         .push(connection);
--- a/tests/common/simulation/invariants.rs
+++ b/tests/common/simulation/invariants.rs
@@ -19,13 +19,13 @@
         {
             for ((task, _), state) in &worker.tasks {
                 let (job, _) = task_parts(task);
-                let Some(job) = self.jobs.get(job).filter(|_| occupies_machine(state)) else {
+                let Some(job) = self.jobs.get(job).filter(|_| is_active(state)) else {
                     continue;
                 };
                 let team_total = used.entry(job.spec.team.clone()).or_default();
                 team_total.add(&job.spec.task_resources);
                 let past_limit = job
-                    .observed_cancelled_at
+                    .seen_cancelled_at
                     .is_some_and(|at| self.now_s > at + cancel_s);
                 if past_limit && worker.hung_until <= self.now_s {
                     violations.push(("ran_cancelled", format!("{task} on {name}")));
@@ -45,8 +45,8 @@
     /// Whether a task of the job waits although there is room for it.
     pub(super) fn waits_despite_room(&self, id: &str) -> bool {
         let job = &self.jobs[id];
-        let is_ended = job.observed_done_at.is_some() || job.cancel_requested;
-        if job.observed_accepted_at.is_none() || is_ended {
+        let is_ended = job.seen_done_at.is_some() || job.cancel_requested;
+        if job.seen_accepted_at.is_none() || is_ended {
             return false;
         }
         let placed = |task: &str| {
--- a/tests/common/simulation/links.rs
+++ b/tests/common/simulation/links.rs
@@ -94,7 +94,7 @@
     /// Records the outcome of a store request as evidence for the store link.
     pub(super) fn record_store_outcome(
         &self,
-        controller: usize,
+        index: usize,
         purpose: &RequestPurpose,
         error: Option<&StoreError>,
         sent_s: f64,
@@ -114,7 +114,7 @@
             | RequestPurpose::Probe => StoreOperation::Write,
         };
         let sent_at = self.started_at + Duration::from_secs_f64(sent_s);
-        let links = &self.controllers[controller].shared.links;
+        let links = &self.controllers[index].shared.links;
         if error.is_some_and(StoreError::shows_outage) {
             links.store_failed(operation, sent_at, self.instant());
         } else {
@@ -123,16 +123,16 @@
     }
 
     /// Evaluates the links of a controller, and sends its row to the others, once per interval.
-    pub(super) fn step_links(&mut self, controller: usize) {
-        let shared = self.controllers[controller].shared.clone();
+    pub(super) fn step_links(&mut self, index: usize) {
+        let shared = self.controllers[index].shared.clone();
         let Some(active) = shared.links.active() else {
             return;
         };
-        let last_evaluated_at = self.controllers[controller].links.evaluated_at;
+        let last_evaluated_at = self.controllers[index].links.evaluated_at;
         if self.now_s < last_evaluated_at + ROW_INTERVAL_S {
             return;
         }
-        self.controllers[controller].links.evaluated_at = self.now_s;
+        self.controllers[index].links.evaluated_at = self.now_s;
         let now = self.instant();
         if last_evaluated_at > 0.0 && self.now_s - last_evaluated_at > PAUSE_MIN_S {
             active.resume_after_pause(now);
@@ -140,7 +140,7 @@
         active.evaluate(now);
         let leadership = shared.election.lock().leadership(now);
         if active.needs_write_probe(leadership.is_some(), now) {
-            self.probe_writes(controller);
+            self.probe_writes(index);
         }
         if self.peers_refuse_connections {
             return;
@@ -148,24 +148,24 @@
         let row = active.next_row(
             leadership.map(|held| held.term.0),
             now,
-            self.wall_clock_of(controller),
+            self.wall_clock_of(index),
         );
         let bytes = encode(&row.to_message()).unwrap();
-        for to in (0..3).filter(|to| *to != controller) {
-            self.send_row(controller, to, bytes.clone());
+        for to in (0..3).filter(|to| *to != index) {
+            self.send_row(index, to, bytes.clone());
         }
     }
 
-    fn probe_writes(&mut self, controller: usize) {
-        self.controllers[controller].links.probes += 1;
-        let count = self.controllers[controller].links.probes;
-        let key = keys::probe(&self.controllers[controller].name);
+    fn probe_writes(&mut self, index: usize) {
+        self.controllers[index].links.probes += 1;
+        let count = self.controllers[index].links.probes;
+        let key = keys::probe(&self.controllers[index].name);
         let transaction = Transaction {
             conditions: Vec::new(),
             changes: vec![Change::put(key, to_value(&ProbeRecord { count }))],
         };
         self.send_store_request(
-            controller,
+            index,
             StoreRequest::Commit(transaction),
             RequestPurpose::Probe,
         );
@@ -226,9 +226,9 @@
     }
 
     /// Delivers the response to a row, or its timeout, to the sender.
-    pub(super) fn receive_row_outcome(&mut self, controller: usize, outcome: RowOutcome) {
+    pub(super) fn receive_row_outcome(&mut self, index: usize, outcome: RowOutcome) {
         let now = self.instant();
-        let shared = self.controllers[controller].shared.clone();
+        let shared = self.controllers[index].shared.clone();
         let Some(active) = shared.links.active() else {
             return;
         };
@@ -259,9 +259,9 @@
     }
 
     /// Whether the leader hands over leadership because of the connectivity matrix. Records the handover.
-    pub(super) fn decide_handover(&mut self, controller: usize) -> bool {
+    pub(super) fn decide_handover(&mut self, index: usize) -> bool {
         let now = self.instant();
-        let shared = self.controllers[controller].shared.clone();
+        let shared = self.controllers[index].shared.clone();
         let Some(active) = shared.links.active() else {
             return false;
         };
@@ -279,13 +279,13 @@
 
     /// Whether a controller leaves an election to a better connected one, for the first 0.7 s without a
     /// leader.
-    pub(super) fn yields_election(&mut self, controller: usize) -> bool {
+    pub(super) fn yields_election(&mut self, index: usize) -> bool {
         let (now_s, now) = (self.now_s, self.instant());
-        let vacant_since = *self.controllers[controller]
+        let vacant_since = *self.controllers[index]
             .links
             .vacant_since
             .get_or_insert(now_s);
-        let links = &self.controllers[controller].shared.links;
+        let links = &self.controllers[index].shared.links;
         let active = links.active();
         now_s - vacant_since < 0.7 && active.is_some_and(|active| active.should_yield(now))
     }
@@ -293,14 +293,12 @@
     /// Response to a store request that is subject to a link fault; `None` if the link is intact.
     pub(super) fn apply_store_link_fault(
         &mut self,
-        controller: usize,
+        index: usize,
         request: &StoreRequest,
     ) -> Option<StoreResponse> {
-        let link_fault = self.current_link_fault(LinkId::Store(controller));
+        let link_fault = self.current_link_fault(LinkId::Store(index));
         let message_if_held = match request {
-            StoreRequest::Commit(transaction) => {
-                Some(Message::DelayedTransaction(transaction.clone()))
-            }
+            StoreRequest::Commit(transaction) => Some(Message::LateWrite(transaction.clone())),
             _ => None,
         };
         let unknown = StoreResponse::Failed(StoreError::OutcomeUnknown);
@@ -316,9 +314,9 @@
 
     /// Raises the incarnation of a restarted process above that of the previous one. All processes of the
     /// simulation start within the same millisecond, so the start time does not distinguish them.
-    pub(super) fn raise_incarnation(&self, controller: usize, incarnation: u64) {
+    pub(super) fn raise_incarnation(&self, index: usize, incarnation: u64) {
         let started_at_ms = unix_ms(std::time::SystemTime::now());
-        if let Some(active) = self.controllers[controller].shared.links.active() {
+        if let Some(active) = self.controllers[index].shared.links.active() {
             active.handle_row_reply(RowReply {
                 newest_incarnation: started_at_ms + incarnation * 1_000,
             });
--- a/tests/common/simulation/run_hash.rs
+++ b/tests/common/simulation/run_hash.rs
@@ -54,8 +54,8 @@
         }
         for (id, job) in &self.jobs {
             id.hash(hasher);
-            job.observed_done_at.map(f64::to_bits).hash(hasher);
-            job.observed_cancelled_at.map(f64::to_bits).hash(hasher);
+            job.seen_done_at.map(f64::to_bits).hash(hasher);
+            job.seen_cancelled_at.map(f64::to_bits).hash(hasher);
         }
         self.run_hash = run;
     }
--- a/tests/common/simulation/store.rs
+++ b/tests/common/simulation/store.rs
@@ -119,9 +119,7 @@
         let failed: Vec<String> = transaction
             .conditions
             .iter()
-            .filter(|condition| {
-                self.keys.get(&condition.key).map_or(0, |entry| entry.1) != condition.version
-            })
+            .filter(|c| self.keys.get(&c.key).map_or(0, |entry| entry.1) != c.version)
             .map(|condition| condition.key.clone())
             .collect();
         let revision = self.revision;
@@ -153,14 +151,14 @@
 impl Simulation {
     pub(super) fn send_store_request(
         &mut self,
-        controller: usize,
+        index: usize,
         request: StoreRequest,
         purpose: RequestPurpose,
     ) {
-        let incarnation = self.controllers[controller].incarnation;
+        let incarnation = self.controllers[index].incarnation;
         let sent_s = self.now_s;
         self.send(Message::ToStore(
-            controller,
+            index,
             incarnation,
             request,
             purpose,
@@ -170,32 +168,32 @@
 
     pub(super) fn handle_store_request(
         &mut self,
-        controller: usize,
+        index: usize,
         incarnation: u64,
         request: StoreRequest,
         purpose: RequestPurpose,
         sent_s: f64,
     ) {
         let refused = self
-            .controller_refused
-            .is_some_and(|(affected, until)| affected == controller && self.now_s < until);
+            .refused
+            .is_some_and(|(affected, until)| affected == index && self.now_s < until);
         let read_unanswered = self
-            .controller_without_reads
-            .is_some_and(|(affected, until)| affected == controller && self.now_s < until);
+            .reads_lost
+            .is_some_and(|(affected, until)| affected == index && self.now_s < until);
         if read_unanswered && matches!(request, StoreRequest::Load | StoreRequest::Read(_)) {
             let remaining_s = (sent_s + STORE_TIMEOUT_S - self.now_s).max(0.0);
             let unknown = StoreResponse::Failed(StoreError::OutcomeUnknown);
             self.deliver_after(
                 remaining_s,
-                Message::FromStore(controller, incarnation, unknown, purpose, sent_s),
+                Message::FromStore(index, incarnation, unknown, purpose, sent_s),
             );
             return;
         }
-        if let Some(unknown) = self.apply_store_link_fault(controller, &request) {
+        if let Some(unknown) = self.apply_store_link_fault(index, &request) {
             let remaining_s = (sent_s + STORE_TIMEOUT_S - self.now_s).max(0.0);
             self.deliver_after(
                 remaining_s,
-                Message::FromStore(controller, incarnation, unknown, purpose, sent_s),
+                Message::FromStore(index, incarnation, unknown, purpose, sent_s),
             );
             return;
         }
@@ -211,7 +209,7 @@
                     let unknown = StoreResponse::Failed(StoreError::OutcomeUnknown);
                     self.deliver_after(
                         remaining_s,
-                        Message::FromStore(controller, incarnation, unknown, purpose, sent_s),
+                        Message::FromStore(index, incarnation, unknown, purpose, sent_s),
                     );
                     return;
                 }
@@ -229,27 +227,27 @@
             let unknown = StoreResponse::Failed(StoreError::OutcomeUnknown);
             self.deliver_after(
                 remaining_s,
-                Message::FromStore(controller, incarnation, unknown, purpose, sent_s),
+                Message::FromStore(index, incarnation, unknown, purpose, sent_s),
             );
         } else {
             self.deliver_after(
                 after,
-                Message::FromStore(controller, incarnation, response, purpose, sent_s),
+                Message::FromStore(index, incarnation, response, purpose, sent_s),
             );
         }
     }
 
     /// Whether a transaction gets no response; in that case it is applied here or scheduled for later.
     fn loses_response(&mut self, transaction: &Transaction) -> bool {
-        let (share, applied_at_once, until) = self.unanswered_transactions;
+        let (share, at_once, until) = self.late_writes;
         if self.now_s >= until || !self.rng.random_bool(share) {
             return false;
         }
-        if applied_at_once {
+        if at_once {
             self.store.commit(transaction);
         } else {
             let after = self.rng.random_range(2.0..12.0);
-            self.deliver_after(after, Message::DelayedTransaction(transaction.clone()));
+            self.deliver_after(after, Message::LateWrite(transaction.clone()));
         }
         true
     }
--- a/tests/common/simulation/users.rs
+++ b/tests/common/simulation/users.rs
@@ -7,10 +7,10 @@
     pub(super) spec: JobSpec,
     /// Run time of each task.
     pub(super) run_s: f64,
-    pub(super) observed_accepted_at: Option<f64>,
+    pub(super) seen_accepted_at: Option<f64>,
     pub(super) cancel_requested: bool,
-    pub(super) observed_cancelled_at: Option<f64>,
-    pub(super) observed_done_at: Option<f64>,
+    pub(super) seen_cancelled_at: Option<f64>,
+    pub(super) seen_done_at: Option<f64>,
     pub(super) cancel_at_completion: bool,
 }
 
@@ -22,10 +22,10 @@
         let job = UserJob {
             spec,
             run_s,
-            observed_accepted_at: None,
+            seen_accepted_at: None,
             cancel_requested: false,
-            observed_cancelled_at: None,
-            observed_done_at: None,
+            seen_cancelled_at: None,
+            seen_done_at: None,
             cancel_at_completion,
         };
         self.jobs.insert(id.clone(), job);
@@ -33,7 +33,7 @@
     }
 
     pub(super) fn send_submission(&mut self, id: &str) {
-        let Some(controller) = self.draw_running_controller() else {
+        let Some(index) = self.draw_running_controller() else {
             return;
         };
         let record = JobRecord {
@@ -56,40 +56,40 @@
             changes: vec![Change::put(key, to_value(&record))],
         };
         self.send_store_request(
-            controller,
+            index,
             StoreRequest::Commit(transaction),
             RequestPurpose::Submit(id.to_owned()),
         );
     }
 
     pub fn cancel(&mut self, id: &str) {
-        let Some(controller) = self
+        let Some(index) = self
             .draw_running_controller()
-            .filter(|controller| self.controllers[*controller].replica_loaded)
+            .filter(|index| self.controllers[*index].replica_loaded)
         else {
             return;
         };
         if let Some(job) = self.jobs.get_mut(id) {
             job.cancel_requested = true;
         }
-        let after = self.controllers[controller].shared.replica.lock().revision;
+        let after = self.controllers[index].shared.replica.lock().revision;
         self.send_store_request(
-            controller,
+            index,
             StoreRequest::Read(after),
             RequestPurpose::CancelRead(id.to_owned()),
         );
     }
 
     pub(super) fn poll(&mut self, id: &str) {
-        let Some(controller) = self
+        let Some(index) = self
             .draw_running_controller()
-            .filter(|controller| self.controllers[*controller].replica_loaded)
+            .filter(|index| self.controllers[*index].replica_loaded)
         else {
             return;
         };
-        let after = self.controllers[controller].shared.replica.lock().revision;
+        let after = self.controllers[index].shared.replica.lock().revision;
         self.send_store_request(
-            controller,
+            index,
             StoreRequest::Read(after),
             RequestPurpose::Poll(id.to_owned()),
         );
@@ -100,8 +100,8 @@
         let ids: Vec<String> = self.jobs.keys().cloned().collect();
         for id in ids {
             let job = &self.jobs[&id];
-            let is_ended = job.observed_cancelled_at.is_some() || job.observed_done_at.is_some();
-            if job.observed_accepted_at.is_none() && self.rng.random_bool(STEP_S) {
+            let is_ended = job.seen_cancelled_at.is_some() || job.seen_done_at.is_some();
+            if job.seen_accepted_at.is_none() && self.rng.random_bool(STEP_S) {
                 self.send_submission(&id);
             } else if self
                 .rng
@@ -130,11 +130,11 @@
         let job = &self.jobs[id];
         let before = |at: Option<f64>| at.is_some_and(|at| at < sent_s);
         let violation = match verdict {
-            None if before(job.observed_accepted_at) => Some("forgotten"),
-            Some(Verdict::Accepted | Verdict::Done) if before(job.observed_cancelled_at) => {
+            None if before(job.seen_accepted_at) => Some("forgotten"),
+            Some(Verdict::Accepted | Verdict::Done) if before(job.seen_cancelled_at) => {
                 Some("verdict_reverted")
             }
-            Some(Verdict::Accepted | Verdict::Cancelled) if before(job.observed_done_at) => {
+            Some(Verdict::Accepted | Verdict::Cancelled) if before(job.seen_done_at) => {
                 Some("verdict_reverted")
             }
             Some(Verdict::Cancelled) if !job.cancel_requested => Some("verdict_reverted"),
@@ -148,12 +148,12 @@
         if let Some(job) = self.jobs.get_mut(id) {
             let at = match verdict {
                 None => return,
-                Some(Verdict::Accepted) => &mut job.observed_accepted_at,
-                Some(Verdict::Done) => &mut job.observed_done_at,
-                Some(Verdict::Cancelled) => &mut job.observed_cancelled_at,
+                Some(Verdict::Accepted) => &mut job.seen_accepted_at,
+                Some(Verdict::Done) => &mut job.seen_done_at,
+                Some(Verdict::Cancelled) => &mut job.seen_cancelled_at,
             };
             at.get_or_insert(now_s);
-            job.observed_accepted_at.get_or_insert(now_s);
+            job.seen_accepted_at.get_or_insert(now_s);
         }
     }
 }
--- a/tests/common/simulation/workers.rs
+++ b/tests/common/simulation/workers.rs
@@ -8,7 +8,7 @@
     pub(super) cause: Option<ExitCause>,
     /// End of the current phase if it has a fixed duration.
     pub(super) until: f64,
-    pub(super) phase_started_at: f64,
+    pub(super) phase_since: f64,
     /// Time since which a member of the gang is missing.
     pub(super) missing_since: Option<f64>,
 }
@@ -48,7 +48,7 @@
     (job, index.parse().unwrap())
 }
 
-pub(super) fn occupies_machine(task: &Task) -> bool {
+pub(super) fn is_active(task: &Task) -> bool {
     matches!(
         task.phase,
         TaskPhase::AwaitingGang | TaskPhase::Running | TaskPhase::Checkpointing
@@ -126,9 +126,9 @@
         self.workers.get_mut(name).unwrap().next_heartbeat_at = now_s + interval_s;
         let heartbeat = self.next_heartbeat(name);
         if !heartbeats_lost {
-            let (share, kept_for_next_leader, until) = self.duplicate_heartbeats;
+            let (share, kept, until) = self.heartbeat_copies;
             if now_s < until && self.rng.random_bool(share) {
-                if kept_for_next_leader {
+                if kept {
                     self.kept_heartbeats.push((*heartbeat).clone());
                 } else {
                     let after = self.rng.random_range(2.0..worker_settings.lease_s * 2.0);
@@ -166,24 +166,24 @@
                         Some((TaskPhase::Running, None))
                     }
                 }
-                TaskPhase::AwaitingGang if self.gang_is_ready(&key) => {
+                TaskPhase::AwaitingGang if self.gang_ready(&key) => {
                     Some((TaskPhase::Running, None))
                 }
                 TaskPhase::AwaitingGang
-                    if now_s - state.phase_started_at > worker_settings.gang_wait_s =>
+                    if now_s - state.phase_since > worker_settings.gang_wait_s =>
                 {
                     Some((TaskPhase::Exited, Some(ExitCause::GangBarrierTimeout)))
                 }
-                TaskPhase::Running if is_gang && self.gang_is_done(&key) => {
+                TaskPhase::Running if is_gang && self.gang_done(&key) => {
                     Some((TaskPhase::Exited, Some(ExitCause::Done)))
                 }
-                TaskPhase::Running if is_gang && !self.gang_is_complete(&key) => {
+                TaskPhase::Running if is_gang && !self.gang_complete(&key) => {
                     let missing_since = *self.task(name, &key).missing_since.get_or_insert(now_s);
                     (now_s - missing_since > worker_settings.gang_peer_s)
                         .then_some((TaskPhase::Exited, Some(ExitCause::GangMemberLost)))
                 }
                 TaskPhase::Running
-                    if !is_gang && now_s - state.phase_started_at > self.jobs[job].run_s =>
+                    if !is_gang && now_s - state.phase_since > self.jobs[job].run_s =>
                 {
                     Some((TaskPhase::Exited, Some(ExitCause::Done)))
                 }
@@ -196,7 +196,7 @@
                 let state = self.task(name, &key);
                 state.phase = phase;
                 state.cause = cause;
-                state.phase_started_at = now_s;
+                state.phase_since = now_s;
                 let worker = self.workers.get_mut(name).unwrap();
                 worker.state_changed = true;
                 if cause == Some(ExitCause::Done) {
@@ -230,7 +230,7 @@
         self.jobs[job].spec.tasks as usize
     }
 
-    pub(super) fn gang_is_ready(&self, key: &(String, u64)) -> bool {
+    pub(super) fn gang_ready(&self, key: &(String, u64)) -> bool {
         let ready = self.gang_members(key).into_iter().filter(|(task, hung)| {
             !hung
                 && (matches!(task.phase, TaskPhase::AwaitingGang | TaskPhase::Running)
@@ -239,25 +239,22 @@
         ready.count() >= self.gang_size(key)
     }
 
-    pub(super) fn gang_is_complete(&self, key: &(String, u64)) -> bool {
+    pub(super) fn gang_complete(&self, key: &(String, u64)) -> bool {
         let present = self.gang_members(key).into_iter().filter(|(task, hung)| {
             !hung && (task.phase == TaskPhase::Running || task.cause == Some(ExitCause::Done))
         });
         present.count() >= self.gang_size(key)
     }
 
-    pub(super) fn gang_is_done(&self, key: &(String, u64)) -> bool {
+    pub(super) fn gang_done(&self, key: &(String, u64)) -> bool {
         let (job, _) = task_parts(&key.0);
         let run_s = self.jobs[job].run_s;
         let members = self.gang_members(key);
         let any_done = members
             .iter()
             .any(|(task, _)| task.cause == Some(ExitCause::Done));
-        let ran_long_enough = |task: &Task| {
-            task.phase == TaskPhase::Running && self.now_s - task.phase_started_at > run_s
-        };
-        any_done
-            || (self.gang_is_complete(key) && members.iter().all(|(task, _)| ran_long_enough(task)))
+        let ran = |t: &Task| t.phase == TaskPhase::Running && self.now_s - t.phase_since > run_s;
+        any_done || (self.gang_complete(key) && members.iter().all(|(task, _)| ran(task)))
     }
 
     /// Counts the start of a task on a machine, and checks that the machine is a permitted one.
@@ -265,10 +262,8 @@
         self.task_starts += 1;
         let (job, _) = task_parts(task);
         let elsewhere = self.workers.iter().find(|(other, worker)| {
-            let runs_task = |((candidate, _), state): (&(String, u64), &Task)| {
-                candidate == task && occupies_machine(state)
-            };
-            *other != name && self.may_run_tasks(worker) && worker.tasks.iter().any(runs_task)
+            let runs = |((key, _), state): (&(String, u64), &Task)| key == task && is_active(state);
+            *other != name && self.may_run_tasks(worker) && worker.tasks.iter().any(runs)
         });
         if let Some((other, _)) = elsewhere {
             let detail = format!("{task} on {other} and {name}");
@@ -289,7 +284,7 @@
         let mut zones: Vec<String> = Vec::new();
         for (other, worker) in &self.workers {
             let runs_job = |((candidate, _), state): (&(String, u64), &Task)| {
-                task_parts(candidate).0 == job && occupies_machine(state)
+                task_parts(candidate).0 == job && is_active(state)
             };
             if other != name && self.may_run_tasks(worker) && worker.tasks.iter().any(runs_job) {
                 zones.push(worker.zone.clone());
@@ -301,7 +296,7 @@
                 format!("{task} in {zone}, others in {zones:?}"),
             );
         }
-        if self.jobs[job].observed_cancelled_at.is_some() {
+        if self.jobs[job].seen_cancelled_at.is_some() {
             self.starts_of_cancelled_jobs += 1;
         }
     }
@@ -339,7 +334,7 @@
                             },
                             cause: refused.then_some(ExitCause::AlreadyPresent),
                             until,
-                            phase_started_at: now_s,
+                            phase_since: now_s,
                             missing_since: None,
                         },
                     );
--- a/tests/interleavings.rs
+++ b/tests/interleavings.rs
@@ -41,18 +41,12 @@
     assert!(runs.iter().all(|run| run.failovers == 1));
 }
 
-fn unanswered_transactions(share: f64, applied_at_once: bool) -> Fault {
-    Fault::UnansweredTransactions {
-        share,
-        applied_at_once,
-    }
+fn late_writes(share: f64, at_once: bool) -> Fault {
+    Fault::LateWrites { share, at_once }
 }
 
-fn duplicate_heartbeats(share: f64, kept_for_next_leader: bool) -> Fault {
-    Fault::DuplicateHeartbeats {
-        share,
-        kept_for_next_leader,
-    }
+fn heartbeat_copies(share: f64, kept: bool) -> Fault {
+    Fault::HeartbeatCopies { share, kept }
 }
 
 /// The store refuses the leader alone, and then fails for all controllers. An outage of 63 s is longer
@@ -62,7 +56,7 @@
     for (refused_s, outage_s) in [(0.5, 63.0), (2.0, 63.0), (4.5, 25.0), (2.0, 8.0)] {
         run_seeds(seed_range(), |offset_s| {
             vec![
-                timed_fault(30.0 + offset_s, refused_s + 1.0, Fault::StoreRefusesLeader),
+                timed_fault(30.0 + offset_s, refused_s + 1.0, Fault::LeaderRefused),
                 timed_fault(30.2 + offset_s, 0.0, Fault::CancelJobs(3)),
                 timed_fault(30.0 + offset_s + refused_s, outage_s, Fault::StoreOutage),
                 timed_fault(30.3 + offset_s + refused_s, 0.0, Fault::CancelJobs(2)),
@@ -75,7 +69,7 @@
 fn invariants_hold_when_workers_hang_and_the_former_leader_crashes_during_a_store_outage() {
     run_seeds(seed_range(), |offset_s| {
         vec![
-            timed_fault(30.0 + offset_s, 4.0, Fault::StoreRefusesLeader),
+            timed_fault(30.0 + offset_s, 4.0, Fault::LeaderRefused),
             timed_fault(30.4 + offset_s, 0.0, Fault::CancelJobs(4)),
             timed_fault(30.5 + offset_s, 38.0, Fault::HangWorkers(0.4)),
             timed_fault(32.0 + offset_s, 63.0, Fault::StoreOutage),
@@ -88,9 +82,9 @@
 fn invariants_hold_when_the_store_refuses_the_leader_twice_and_then_responds_slowly() {
     run_seeds(seed_range(), |offset_s| {
         vec![
-            timed_fault(30.0 + offset_s, 2.5, Fault::StoreRefusesLeader),
+            timed_fault(30.0 + offset_s, 2.5, Fault::LeaderRefused),
             timed_fault(31.0 + offset_s, 0.0, Fault::CancelJobs(2)),
-            timed_fault(33.0 + offset_s, 2.5, Fault::StoreRefusesLeader),
+            timed_fault(33.0 + offset_s, 2.5, Fault::LeaderRefused),
             timed_fault(34.0 + offset_s, 0.0, Fault::CancelJobs(2)),
             timed_fault(36.0 + offset_s, 30.0, Fault::SlowStore(2.0)),
             timed_fault(40.0 + offset_s, 0.0, Fault::CancelJobs(3)),
@@ -104,7 +98,7 @@
 fn leader_without_successful_reads_loses_leadership_although_renewals_succeed() {
     let runs = run_seeds(seed_range(), |offset_s| {
         vec![
-            timed_fault(25.0 + offset_s, 70.0, Fault::LeaderReadsUnanswered),
+            timed_fault(25.0 + offset_s, 70.0, Fault::LeaderReadsLost),
             timed_fault(26.0 + offset_s, 0.0, Fault::CancelJobs(3)),
             timed_fault(30.0 + offset_s, 0.0, Fault::CancelJobs(3)),
         ]
@@ -119,7 +113,7 @@
             timed_fault(25.0 + offset_s, 0.0, Fault::CancelJobs(3)),
             timed_fault(25.1 + offset_s, 0.0, Fault::CrashLeader(2.0)),
             timed_fault(26.5 + offset_s, 0.0, Fault::CancelJobs(3)),
-            timed_fault(40.0 + offset_s, 12.0, Fault::LeaderCutFromWorkers),
+            timed_fault(40.0 + offset_s, 12.0, Fault::LeaderCutOff),
             timed_fault(44.0 + offset_s, 0.0, Fault::CancelJobs(3)),
             timed_fault(60.0 + offset_s, 7.0, Fault::PauseLeader),
             timed_fault(62.0 + offset_s, 0.0, Fault::CancelJobs(3)),
@@ -131,9 +125,9 @@
 fn invariants_hold_when_copies_of_heartbeats_arrive_late_or_at_the_next_leader() {
     let runs = run_seeds(seed_range(), |offset_s| {
         vec![
-            timed_fault(10.0, 80.0, duplicate_heartbeats(0.4, true)),
+            timed_fault(10.0, 80.0, heartbeat_copies(0.4, true)),
             timed_fault(30.0 + offset_s, 0.0, Fault::CrashLeader(1.0)),
-            timed_fault(45.0 + offset_s, 30.0, duplicate_heartbeats(0.4, false)),
+            timed_fault(45.0 + offset_s, 30.0, heartbeat_copies(0.4, false)),
             timed_fault(60.0 + offset_s, 0.0, Fault::CrashLeader(0.2)),
             timed_fault(75.0 + offset_s, 0.0, Fault::CrashAll(0.5)),
         ]
@@ -143,10 +137,10 @@
 
 #[test]
 fn invariants_hold_when_transactions_are_applied_late_or_their_responses_are_lost() {
-    for applied_at_once in [false, true] {
+    for at_once in [false, true] {
         run_seeds(seed_range(), |offset_s| {
             vec![
-                timed_fault(10.0, 60.0, unanswered_transactions(0.3, applied_at_once)),
+                timed_fault(10.0, 60.0, late_writes(0.3, at_once)),
                 timed_fault(30.0 + offset_s, 0.0, Fault::CrashLeader(0.3)),
                 timed_fault(35.0 + offset_s, 0.0, Fault::CancelJobs(4)),
                 timed_fault(50.0 + offset_s, 0.0, Fault::CrashLeader(5.0)),
@@ -195,11 +189,11 @@
     let runs = run_seeds(seed_range(), |offset_s| {
         let mut faults: Vec<TimedFault> = (0..10)
             .map(|n| {
-                let restart_delay_s = if n % 2 == 0 { 0.2 } else { 6.0 };
+                let delay_s = if n % 2 == 0 { 0.2 } else { 6.0 };
                 timed_fault(
                     20.0 + offset_s + f64::from(n) * 11.0,
                     0.0,
-                    Fault::CrashLeader(restart_delay_s),
+                    Fault::CrashLeader(delay_s),
                 )
             })
             .collect();
@@ -230,7 +224,7 @@
         let runs = run_seeds(seed_range(), |_| {
             vec![
                 timed_fault(3.0, 70.0, Fault::CancelAtCompletion(0.7)),
-                timed_fault(5.0, 70.0, unanswered_transactions(unanswered_share, true)),
+                timed_fault(5.0, 70.0, late_writes(unanswered_share, true)),
             ]
         });
         assert!(runs.iter().any(|run| run.ended_job_counts().1 > 0));
@@ -242,7 +236,7 @@
 fn invariants_hold_when_machines_terminate_while_writes_are_late_and_leaders_crash() {
     run_seeds(seed_range(), |offset_s| {
         vec![
-            timed_fault(20.0, 60.0, unanswered_transactions(0.4, false)),
+            timed_fault(20.0, 60.0, late_writes(0.4, false)),
             timed_fault(25.0 + offset_s, 0.0, Fault::TerminateMachines(4)),
             timed_fault(27.0 + offset_s, 0.0, Fault::CrashLeader(0.5)),
             timed_fault(45.0 + offset_s, 0.0, Fault::TerminateMachines(3)),
@@ -258,8 +252,8 @@
     for seed in seed_range() {
         let faults = [
             timed_fault(20.0, 0.0, Fault::CrashLeader(1.0)),
-            timed_fault(30.0, 20.0, unanswered_transactions(0.2, true)),
-            timed_fault(45.0, 4.0, Fault::StoreRefusesLeader),
+            timed_fault(30.0, 20.0, late_writes(0.2, true)),
+            timed_fault(45.0, 4.0, Fault::LeaderRefused),
         ];
         let mut simulation = Simulation::new(seed, &settings());
         for index in 0..240 {
@@ -305,7 +299,7 @@
             timed_fault(10.0, 80.0, Fault::Batches(batch_faults(0.25))),
             timed_fault(25.0 + offset_s, 0.0, Fault::CancelJobs(3)),
             timed_fault(26.0 + offset_s, 0.0, Fault::CrashLeader(0.3)),
-            timed_fault(40.0 + offset_s, 3.0, Fault::StoreRefusesLeader),
+            timed_fault(40.0 + offset_s, 3.0, Fault::LeaderRefused),
             timed_fault(41.0 + offset_s, 0.0, Fault::CancelJobs(3)),
             timed_fault(55.0 + offset_s, 7.0, Fault::PauseLeader),
             timed_fault(57.0 + offset_s, 0.0, Fault::CancelJobs(3)),
@@ -358,12 +352,12 @@
                 let duration_s = [2.0, 6.0, 15.0, 30.0][rng.random_range(0..4)];
                 let fault = match rng.random_range(0..21) {
                     0 => Fault::StoreOutage,
-                    1 => Fault::StoreRefusesLeader,
+                    1 => Fault::LeaderRefused,
                     2 => Fault::SlowStore(2.0),
-                    3 => unanswered_transactions(0.3, false),
-                    4 => unanswered_transactions(0.3, true),
-                    5 => duplicate_heartbeats(0.4, false),
-                    6 => duplicate_heartbeats(0.4, true),
+                    3 => late_writes(0.3, false),
+                    4 => late_writes(0.3, true),
+                    5 => heartbeat_copies(0.4, false),
+                    6 => heartbeat_copies(0.4, true),
                     7 => Fault::LoseResponses(0.4),
                     8 => Fault::LoseHeartbeats(0.4),
                     9 => Fault::HangWorkers(0.4),
@@ -372,8 +366,8 @@
                     12 => Fault::CrashLeader(5.0),
                     13 => Fault::CrashAll(rng.random_range(0.1..26.0)),
                     14 => Fault::PauseLeader,
-                    15 => Fault::LeaderCutFromWorkers,
-                    16 => Fault::LeaderReadsUnanswered,
+                    15 => Fault::LeaderCutOff,
+                    16 => Fault::LeaderReadsLost,
                     17 => Fault::Batches(batch_faults(0.3)),
                     18 => Fault::FollowerCutFromLeader,
                     19 => Fault::CrashFollower(0.2),
--- a/tests/link_faults.rs
+++ b/tests/link_faults.rs
@@ -193,7 +193,7 @@
 fn invariants_hold_when_the_store_refuses_the_leader_then_all_controllers_then_writes() {
     run_seeds(|offset_s| {
         vec![
-            timed_fault(25.0 + offset_s, 8.0, Fault::StoreRefusesLeader),
+            timed_fault(25.0 + offset_s, 8.0, Fault::LeaderRefused),
             timed_fault(27.0 + offset_s, 0.0, Fault::CancelJobs(3)),
             timed_fault(33.0 + offset_s, 25.0, Fault::StoreOutage),
             timed_fault(60.0 + offset_s, 10.0, Fault::WritesRefused),
@@ -242,10 +242,7 @@
         responses_delayed: 0.2,
     };
     run_seeds(|offset_s| {
-        let duplicates = |share, kept_for_next_leader| Fault::DuplicateHeartbeats {
-            share,
-            kept_for_next_leader,
-        };
+        let duplicates = |share, kept| Fault::HeartbeatCopies { share, kept };
         vec![
             timed_fault(10.0, 80.0, Fault::Batches(batches)),
             timed_fault(10.0, 60.0, duplicates(0.4, false)),
