--- a/tests/common/scenario.rs
+++ b/tests/common/scenario.rs
@@ -43,7 +43,7 @@
     }
 }
 
-/// A way to run faults.
+/// Settings of a scenario run.
 #[derive(Clone, Copy)]
 pub struct Scenario {
     /// Whether link monitoring is enabled.
--- a/tests/common/simulation.rs
+++ b/tests/common/simulation.rs
@@ -149,7 +149,7 @@
     pub kept_heartbeats_delivered: usize,
     /// Whether controllers refuse connections from one another.
     pub peers_refuse_connections: bool,
-    /// Time from which no fault is active, and no job may wait while there is room for it.
+    /// Time from which no fault is active, and the wait of jobs that have room is limited.
     pub faults_end_at: f64,
     /// Time since which a job waits although there is room for it, by job id.
     placeable_since: BTreeMap<String, f64>,
@@ -161,7 +161,7 @@
         Self::with_links(seed, settings_text, false)
     }
 
-    /// The same, with link monitoring enabled or disabled.
+    /// A simulation with link monitoring enabled or disabled; [`Self::new`] disables it.
     pub fn with_links(seed: u64, settings_text: &str, links_enabled: bool) -> Self {
         let settings = Settings::parse(settings_text, "a test").unwrap();
         let started_at = Instant::now();
--- a/tests/link_faults.rs
+++ b/tests/link_faults.rs
@@ -107,13 +107,13 @@
 #[test]
 fn controllers_that_reach_half_of_the_workers_hand_over_at_most_once() {
     let runs = run_seeds(|offset_s| {
-        let cut =
+        let blackhole =
             |zone, controller| Fault::Link(LinkId::Workers(zone, controller), LinkMode::BLACKHOLE);
         vec![
-            timed_fault(20.0 + offset_s, 40.0, cut(0, 0)),
-            timed_fault(20.0 + offset_s, 40.0, cut(1, 1)),
-            timed_fault(20.0 + offset_s, 40.0, cut(0, 2)),
-            timed_fault(20.0 + offset_s, 40.0, cut(1, 2)),
+            timed_fault(20.0 + offset_s, 40.0, blackhole(0, 0)),
+            timed_fault(20.0 + offset_s, 40.0, blackhole(1, 1)),
+            timed_fault(20.0 + offset_s, 40.0, blackhole(0, 2)),
+            timed_fault(20.0 + offset_s, 40.0, blackhole(1, 2)),
             timed_fault(35.0 + offset_s, 0.0, Fault::CancelJobs(3)),
         ]
     });
@@ -130,9 +130,9 @@
                 let (link, from) = (LinkId::Store(n), 20.0 + offset_s + n as f64);
                 faults.extend(flapping(link, LinkMode::BLACKHOLE, period_s, from, 140.0));
             }
-            let peers = LinkId::Peer(1, 2);
+            let peer_link = LinkId::Peer(1, 2);
             faults.extend(flapping(
-                peers,
+                peer_link,
                 LinkMode::RESPONSES_LOST,
                 period_s,
                 30.0,
@@ -143,12 +143,13 @@
         });
         assert!(
             runs.iter().all(|run| run.handovers <= 6),
-            "at most two handovers per controller"
+            "at most 3 handovers by each controller with a flapping store link"
         );
     }
 }
 
-/// Without a limit, the two controllers would hand leadership over to each other again and again.
+/// Without the limit of 3 handovers per controller, the two controllers would hand leadership over to each
+/// other again and again.
 #[test]
 fn store_links_that_flap_alternately_cause_at_most_six_handovers() {
     let runs = run_seeds(|offset_s| {
