--- a/src/api/admin/machines.rs
+++ b/src/api/admin/machines.rs
@@ -13,7 +13,7 @@
     let id = MachineId(path.as_str().into());
     cluster_response(&shared, "machine", |cluster, now| {
         let machine = cluster.machines.get(&id)?;
-        let judge = cluster.health_judge(now);
+        let judge = cluster.health_evaluator(now);
         Some(MachineStatus::of(cluster, machine, &judge))
     })
 }
--- a/src/api/admin/views.rs
+++ b/src/api/admin/views.rs
@@ -155,7 +155,7 @@
         return status;
     };
     status.unsettled_machines = cluster.unreconciled.len();
-    let judge = cluster.health_judge(now);
+    let judge = cluster.health_evaluator(now);
     for (id, machine) in &cluster.machines {
         let machine_status = MachineStatus::of(cluster, machine, &judge);
         *status
--- a/src/cluster/commands.rs
+++ b/src/cluster/commands.rs
@@ -10,7 +10,7 @@
 use crate::wire::{DirectCommand, WorkerCommand};
 
 /// Interval between direct repetitions of a stop. Every response to a heartbeat repeats it as well.
-const STOP_REPEAT_INTERVAL: Duration = Duration::from_secs(2);
+const TERMINATION_REPEAT_INTERVAL: Duration = Duration::from_secs(2);
 /// Shortest interval between two probes of a machine.
 const PROBE_INTERVAL: Duration = Duration::from_secs(3);
 /// Lower bound of the probes per scheduling cycle: each costs about as much as a heartbeat.
@@ -78,7 +78,7 @@
             }
             let mut commands = Vec::new();
             for (id, instance) in &mut machine.instances {
-                if let Some(command) = stop_command(id, instance, now) {
+                if let Some(command) = termination_command(id, instance, now) {
                     commands.push(command);
                 }
             }
@@ -254,7 +254,7 @@
 }
 
 /// The stop to send for an instance now, if one is due.
-pub(super) fn stop_command(
+pub(super) fn termination_command(
     id: &InstanceId,
     instance: &mut TaskInstance,
     now: Instant,
@@ -264,7 +264,7 @@
     let checkpointing = instance.phase == InstancePhase::Checkpointing && stop.grace_s > 0.0;
     let recently_sent = stop
         .last_sent_at
-        .is_some_and(|at| now.saturating_duration_since(at) < STOP_REPEAT_INTERVAL);
+        .is_some_and(|at| now.saturating_duration_since(at) < TERMINATION_REPEAT_INTERVAL);
     if checkpointing || recently_sent {
         return None;
     }
--- a/src/cluster/detection.rs
+++ b/src/cluster/detection.rs
@@ -66,7 +66,7 @@
 
     /// The judge of the machines' health at this time. A controller that receives few heartbeats
     /// can't distinguish failed machines from its own failure.
-    pub fn health_judge(&self, now: Instant) -> HealthJudge {
+    pub fn health_evaluator(&self, now: Instant) -> HealthJudge {
         HealthJudge {
             limits: HealthLimits {
                 suspect: self
--- a/src/cluster/faults.rs
+++ b/src/cluster/faults.rs
@@ -17,7 +17,7 @@
 /// Three, since two jobs may both be faulty themselves.
 const JOBS_TO_QUARANTINE: usize = 3;
 /// Machines on which a job without a completed task fails until the job is suspected.
-const MACHINES_TO_SUSPECT: usize = 3;
+const MACHINES_TO_SUSPECT_JOB: usize = 3;
 /// How long a machine gets no new tasks after a failure, so that a faulty machine does not attract
 /// all tasks.
 const MACHINE_BACKOFF: Duration = Duration::from_secs(10);
@@ -93,7 +93,7 @@
             }
             return;
         }
-        if job.done.is_empty() && job.failed_on.len() >= MACHINES_TO_SUSPECT {
+        if job.done.is_empty() && job.failed_on.len() >= MACHINES_TO_SUSPECT_JOB {
             let suspicion = SuspectedJob::default();
             info!(job = %job_id, machines = job.failed_on.len(), "job suspected of failing everywhere");
             job.backoff_until = Some(now + suspicion.backoff());
@@ -122,7 +122,7 @@
 
     /// Records that a task of the job has completed on the machine: neither is at fault, so the
     /// job's failures elsewhere were due to the machines.
-    pub(super) fn note_completion(&mut self, id: &MachineId, job_id: &JobId) {
+    pub(super) fn record_completion(&mut self, id: &MachineId, job_id: &JobId) {
         if let Some(machine) = self.machines.get_mut(id) {
             machine.faults.clear();
         }
--- a/src/cluster/instances.rs
+++ b/src/cluster/instances.rs
@@ -53,7 +53,7 @@
     }
 
     /// Requests the termination of a task, and drops a start that was never dispatched.
-    pub fn stop(&mut self, machine_id: &MachineId, instance: &InstanceId, grace_s: f64) {
+    pub fn terminate(&mut self, machine_id: &MachineId, instance: &InstanceId, grace_s: f64) {
         let Some(machine) = self.machines.get_mut(machine_id) else {
             return;
         };
@@ -80,9 +80,9 @@
     }
 
     /// Requests the termination of all tasks of a job.
-    pub fn stop_job(&mut self, id: &JobId, grace_s: f64) {
+    pub fn terminate_tasks(&mut self, id: &JobId, grace_s: f64) {
         for (machine, instance) in self.instances_of(id) {
-            self.stop(&machine, &instance, grace_s);
+            self.terminate(&machine, &instance, grace_s);
         }
     }
 
@@ -96,7 +96,7 @@
         }
         job.cancellation_requested = true;
         self.scheduling_needed = true;
-        self.stop_job(id, 0.0);
+        self.terminate_tasks(id, 0.0);
     }
 
     /// All instances of a job with their machines.
@@ -123,17 +123,17 @@
 
     /// Requests the termination of a gang's current attempt, with time for a checkpoint if the job
     /// can save one.
-    pub fn stop_gang(&mut self, id: &JobId) {
+    pub fn terminate_gang(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        job.stopping = true;
+        job.terminating = true;
         let grace = if job.spec.can_checkpoint() {
             job.spec.checkpoint_grace_s()
         } else {
             0.0
         };
-        self.stop_job(id, grace);
+        self.terminate_tasks(id, grace);
     }
 
     /// Removes an instance from its machine, and its placement from the job.
@@ -173,7 +173,7 @@
             // The attempt has ended; the next placement begins a new one.
             job.attempt = None;
             job.seen_running = false;
-            job.stopping = false;
+            job.terminating = false;
         }
         self.scheduling_needed = true;
     }
--- a/src/cluster/intern.rs
+++ b/src/cluster/intern.rs
@@ -19,7 +19,7 @@
 
 impl Images {
     /// The number of an image; a new image gets the next one.
-    pub fn id(&mut self, name: &str) -> ImageId {
+    pub fn intern(&mut self, name: &str) -> ImageId {
         if let Some(id) = self.ids.get(name) {
             return *id;
         }
@@ -46,7 +46,7 @@
 
 impl MachinePools {
     /// The number of a pool; a new pool gets the next one.
-    pub fn id(&mut self, machine_type: &str, zone: &str, spot: bool) -> PoolId {
+    pub fn intern(&mut self, machine_type: &str, zone: &str, spot: bool) -> PoolId {
         let same =
             |k: &MachinePool| k.spot == spot && k.zone == zone && k.machine_type == machine_type;
         if let Some(at) = self.0.iter().position(same) {
--- a/src/cluster/job.rs
+++ b/src/cluster/job.rs
@@ -109,7 +109,7 @@
     /// Whether a heartbeat has shown a member of the current attempt running.
     pub seen_running: bool,
     /// Whether all members of the current attempt are being stopped.
-    pub stopping: bool,
+    pub terminating: bool,
     /// Capacity that other tasks were terminated for.
     pub capacity_reservation: Option<CapacityReservation>,
     /// Until when no further starts are planned for it.
--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -93,7 +93,7 @@
     /// Machines whose images changed and jobs whose task counts may have changed since the summary
     /// was last published.
     unpublished: UnpublishedChanges,
-    inherited_hints: HashMap<MachineId, MachineSummary>,
+    inherited_summaries: HashMap<MachineId, MachineSummary>,
     /// Ratios of run time to estimate of the last tasks on any machine: the usual error of the
     /// estimates.
     slowdowns: VecDeque<f64>,
--- a/src/cluster/reconcile/exits.rs
+++ b/src/cluster/reconcile/exits.rs
@@ -51,8 +51,8 @@
             }
         }
         self.drop_plans(&instance.task);
-        self.note_completion(id, job_id);
-        self.note_slowdown(id, instance, now);
+        self.record_completion(id, job_id);
+        self.evaluate_slowdown(id, instance, now);
     }
 
     /// Drops the planned starts of a completed task. A late heartbeat of a machine that was
--- a/src/cluster/reconcile/machine_status.rs
+++ b/src/cluster/reconcile/machine_status.rs
@@ -13,7 +13,7 @@
 impl Machine {
     /// Detects a later epoch although the last response should still hold the lease, which means
     /// that the response was lost.
-    fn note_lost_lease(&mut self, order: MessageOrder, lease: Duration, now: Instant) {
+    fn detect_lost_response(&mut self, order: MessageOrder, lease: Duration, now: Instant) {
         let later_epoch = self.last_heartbeat_at.is_some() && order.epoch > self.last_message.epoch;
         let lease_held = self
             .last_response_at
@@ -50,14 +50,14 @@
     ) -> Option<bool> {
         let order = MessageOrder::of(heartbeat);
         let machine = self.machines.get_mut(id)?;
-        machine.note_lost_lease(order, self.timing.lease, now);
+        machine.detect_lost_response(order, self.timing.lease, now);
         machine.last_message = order;
         machine.pending_probe = None;
         machine.unanswered_commands = 0;
         machine.first_heartbeat_at.get_or_insert(now);
         self.scheduling_needed |= machine.apply_spot_notice(heartbeat.notice_s, now);
         if machine.last_heartbeat_at.replace(now).is_none() {
-            self.note_first_heartbeat(id, now);
+            self.apply_first_heartbeat(id, now);
         }
         self.apply_description(id, heartbeat);
         self.apply_token(id, heartbeat)
@@ -65,15 +65,15 @@
 
     /// Handles the first heartbeat of this term. An earlier leader's summary gives the machine's
     /// images.
-    fn note_first_heartbeat(&mut self, id: &MachineId, now: Instant) {
+    fn apply_first_heartbeat(&mut self, id: &MachineId, now: Instant) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
         self.scheduling_needed = true;
         machine.idle_since = now;
-        if let Some(hint) = self.inherited_hints.remove(id) {
+        if let Some(hint) = self.inherited_summaries.remove(id) {
             let images = hint.images.iter();
-            let images = images.map(|(name, gb)| (self.images.id(name), f64::from(*gb)));
+            let images = images.map(|(name, gb)| (self.images.intern(name), f64::from(*gb)));
             machine.images = images.collect();
         }
         self.unpublished.machines.insert(id.clone());
@@ -97,7 +97,7 @@
             machine.spot = heartbeat.spot;
             let pool = self
                 .pools
-                .id(&heartbeat.machine_type, &heartbeat.zone, heartbeat.spot);
+                .intern(&heartbeat.machine_type, &heartbeat.zone, heartbeat.spot);
             machine.pool = Some(pool);
         }
     }
--- a/src/cluster/reconcile/mod.rs
+++ b/src/cluster/reconcile/mod.rs
@@ -48,12 +48,12 @@
             self.remove_absent(&id, source, &reported, now);
             self.mark_reconciled(&id);
         }
-        self.note_idle(&id, was_busy, now);
+        self.update_idle_since(&id, was_busy, now);
         HeartbeatOrdering::Newer
     }
 
     /// Updates since when a machine has had no tasks.
-    fn note_idle(&mut self, id: &MachineId, was_busy: bool, now: Instant) {
+    fn update_idle_since(&mut self, id: &MachineId, was_busy: bool, now: Instant) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
--- a/src/cluster/reconcile/response.rs
+++ b/src/cluster/reconcile/response.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use crate::cluster::commands::stop_command;
+use crate::cluster::commands::termination_command;
 use crate::cluster::{Cluster, InstanceId, InstancePhase, Job, TaskInstance, Termination};
 use crate::model::{FencingToken, MachineId};
 use crate::wire::{ExitCause, WorkerCommand};
@@ -78,7 +78,7 @@
                 // Every heartbeat shows whether the stop has arrived, so it may be sent again.
                 stop.last_sent_at = None;
             }
-            if let Some(command) = stop_command(instance, state, now) {
+            if let Some(command) = termination_command(instance, state, now) {
                 commands.push(command);
             }
             let recorded = job.is_some_and(|job| job.may_dispatch_to(id));
--- a/src/cluster/reconcile/task_status.rs
+++ b/src/cluster/reconcile/task_status.rs
@@ -77,7 +77,7 @@
             return;
         }
         if implies_image(phase) {
-            self.note_image_use(id, instance);
+            self.apply_image_use(id, instance);
         }
         self.unpublished.jobs.insert(instance.task.job.clone());
         self.scheduling_needed = true;
@@ -90,7 +90,7 @@
             self.add_reported_placement(id, instance);
         }
         if phase == InstancePhase::Running {
-            self.note_running(instance, now);
+            self.record_running(instance, now);
         }
     }
 
@@ -132,7 +132,7 @@
     }
 
     /// Records that a machine has just used the image of an instance.
-    fn note_image_use(&mut self, id: &MachineId, instance: &InstanceId) {
+    fn apply_image_use(&mut self, id: &MachineId, instance: &InstanceId) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
@@ -175,7 +175,7 @@
     }
 
     /// Records that a task of the job is running.
-    fn note_running(&mut self, instance: &InstanceId, now: Instant) {
+    fn record_running(&mut self, instance: &InstanceId, now: Instant) {
         let Some(job) = self.jobs.get_mut(&instance.task.job) else {
             return;
         };
--- a/src/cluster/records.rs
+++ b/src/cluster/records.rs
@@ -390,20 +390,20 @@
                 self.dispatch_written(key, entries, committed, version);
             }
             RecordKind::Progress { job, chunk, digits } => {
-                self.note_version(keys::completed_tasks(job, *chunk), version);
+                self.record_version(keys::completed_tasks(job, *chunk), version);
                 self.progress_written(job, *chunk, digits, committed);
             }
             RecordKind::Finished { job } | RecordKind::Retired { job } => {
                 self.verdict_written(job, committed);
             }
             RecordKind::Inventory { shard, machines } => {
-                self.note_version(keys::inventory(*shard), version);
+                self.record_version(keys::inventory(*shard), version);
                 self.inventory_written(*shard, machines, committed);
             }
         }
     }
 
-    fn note_version(&mut self, key: String, version: Option<u64>) {
+    fn record_version(&mut self, key: String, version: Option<u64>) {
         if let Some(version) = version {
             self.written_versions.insert(key, version);
         }
@@ -446,7 +446,7 @@
 
     fn verdict_written(&mut self, id: &JobId, committed: bool) {
         if committed {
-            self.forget_job(id);
+            self.remove_ended_job(id);
         } else if let Some(job) = self.jobs.get_mut(id) {
             job.writing = false;
         }
--- a/src/cluster/recovery.rs
+++ b/src/cluster/recovery.rs
@@ -50,7 +50,7 @@
             pools: MachinePools::default(),
             images: Images::default(),
             unpublished: UnpublishedChanges::default(),
-            inherited_hints: HashMap::new(),
+            inherited_summaries: HashMap::new(),
             slowdowns: VecDeque::new(),
             terminated_machines: BTreeSet::new(),
             zone_partitions: BTreeMap::new(),
@@ -93,10 +93,10 @@
     /// Applies an earlier leader's summary of the machines. Late heartbeats of machines that it
     /// shows as removed must not add them again.
     pub fn adopt_summary(&mut self, summary: &SummaryCache) {
-        self.inherited_hints = summary.machines.clone();
+        self.inherited_summaries = summary.machines.clone();
         for id in &self.unreconciled {
             if let (Some(machine), Some(hint)) =
-                (self.machines.get_mut(id), self.inherited_hints.get(id))
+                (self.machines.get_mut(id), self.inherited_summaries.get(id))
             {
                 machine.address.clone_from(&hint.address);
                 machine.last_message.epoch = hint.epoch;
--- a/src/cluster/slow_machines.rs
+++ b/src/cluster/slow_machines.rs
@@ -15,7 +15,7 @@
 const SLOW_FACTOR: f64 = 2.5;
 /// Slowdowns kept of tasks on any machine, and how many are required for a comparison.
 const SLOWDOWNS_KEPT: usize = 60;
-const SLOWDOWNS_TO_JUDGE: usize = 15;
+const SLOWDOWNS_TO_COMPARE: usize = 15;
 
 /// The ratio of an instance's run time to its estimate, if both are known.
 fn slowdown_of(machine: &Machine, instance: &InstanceId, now: Instant) -> Option<f64> {
@@ -49,7 +49,12 @@
     /// Compares the run time of a task with its estimate, and the machine's slowdowns with the
     /// median of all. Estimates are often wrong by half, but not for several jobs on only one
     /// machine.
-    pub(super) fn note_slowdown(&mut self, id: &MachineId, instance: &InstanceId, now: Instant) {
+    pub(super) fn evaluate_slowdown(
+        &mut self,
+        id: &MachineId,
+        instance: &InstanceId,
+        now: Instant,
+    ) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
@@ -64,7 +69,7 @@
         let median = median(&self.slowdowns);
         let slow = |(_, slowdown): &(JobId, f64)| *slowdown > median * SLOW_FACTOR;
         let enough = machine.slowdowns.len() == JOBS_TO_COMPARE
-            && self.slowdowns.len() >= SLOWDOWNS_TO_JUDGE;
+            && self.slowdowns.len() >= SLOWDOWNS_TO_COMPARE;
         if enough && machine.slowdowns.iter().all(slow) && machine.drain.is_none() {
             warn!(machine = %id, median, slowdowns = ?machine.slowdowns, "machine declared slow");
             machine.drain = Some(DrainReason::Slow);
--- a/src/cluster/sync.rs
+++ b/src/cluster/sync.rs
@@ -65,7 +65,7 @@
             job.verdict = verdict.record.verdict;
             self.scheduling_needed = true;
             if job.verdict == Verdict::Cancelled {
-                self.stop_job(id, 0.0);
+                self.terminate_tasks(id, 0.0);
             }
         }
         // This leader has retired the job: its records are deleted, and no task of it is left. A
@@ -75,7 +75,7 @@
             && !replica.descriptions.contains_key(id)
             && verdict.record.verdict != Verdict::Accepted
         {
-            self.forget_job(id);
+            self.remove_ended_job(id);
         }
     }
 
@@ -103,7 +103,7 @@
         }
         Some(Job {
             spec: Arc::new(record.spec.clone()),
-            image: self.images.id(&record.spec.image),
+            image: self.images.intern(&record.spec.image),
             submitted_at: now.checked_sub(age).unwrap_or(now),
             version: verdict.version,
             verdict: verdict.record.verdict,
@@ -120,7 +120,7 @@
             placements: BTreeMap::new(),
             attempt: None,
             seen_running: false,
-            stopping: false,
+            terminating: false,
             capacity_reservation: None,
             backoff_until: None,
             failed_on: BTreeSet::new(),
@@ -134,7 +134,7 @@
     }
 
     /// Removes a job that is over.
-    pub(super) fn forget_job(&mut self, id: &JobId) {
+    pub(super) fn remove_ended_job(&mut self, id: &JobId) {
         let Some(job) = self.jobs.remove(id) else {
             return;
         };
@@ -179,7 +179,7 @@
             machine.machine_type.clone_from(&pool.machine_type);
             machine.zone.clone_from(&pool.zone);
             machine.spot = pool.spot;
-            machine.pool = Some(self.pools.id(&pool.machine_type, &pool.zone, pool.spot));
+            machine.pool = Some(self.pools.intern(&pool.machine_type, &pool.zone, pool.spot));
         }
     }
 
@@ -196,7 +196,11 @@
                 machine.machine_type.clone_from(&entry.machine_type);
                 machine.zone.clone_from(&entry.zone);
                 machine.spot = entry.spot;
-                machine.pool = Some(self.pools.id(&entry.machine_type, &entry.zone, entry.spot));
+                machine.pool = Some(self.pools.intern(
+                    &entry.machine_type,
+                    &entry.zone,
+                    entry.spot,
+                ));
                 if machine.address.is_empty() {
                     machine.address.clone_from(&entry.address);
                 }
--- a/src/sched/cycle.rs
+++ b/src/sched/cycle.rs
@@ -38,7 +38,7 @@
             true => PendingReason::TrialBackoff,
             false => PendingReason::FailureBackoff,
         })
-    } else if job.stopping {
+    } else if job.terminating {
         Some(PendingReason::Terminating)
     } else {
         None
--- a/src/sched/decisions.rs
+++ b/src/sched/decisions.rs
@@ -162,7 +162,7 @@
     }
     for GangRestart { job, reason } in &decisions.gang_restarts {
         tracing::info!(%job, %reason, "gang restarted");
-        cluster.stop_gang(job);
+        cluster.terminate_gang(job);
     }
     for termination in &decisions.terminations {
         let TaskTermination { task, machine, .. } = termination;
@@ -171,7 +171,7 @@
             task: task.clone(),
             attempt: termination.attempt,
         };
-        cluster.stop(machine, &instance, termination.grace_s);
+        cluster.terminate(machine, &instance, termination.grace_s);
     }
     for reservation in &decisions.reservations {
         if let Some(job) = cluster.jobs.get_mut(&reservation.job) {
--- a/src/sched/drain.rs
+++ b/src/sched/drain.rs
@@ -30,7 +30,7 @@
             let Some(job) = cluster.jobs.get(&id.task.job).filter(|_| !ending) else {
                 continue;
             };
-            if job.stopping || (job.is_gang() && !visited_gangs.insert(job.spec.id.clone())) {
+            if job.terminating || (job.is_gang() && !visited_gangs.insert(job.spec.id.clone())) {
                 continue;
             }
             if must_evict(machine, instance, job, now) {
--- a/src/sched/preempt/victims.rs
+++ b/src/sched/preempt/victims.rs
@@ -212,7 +212,7 @@
     /// Whether the preemptor may preempt tasks of the victim, given the resources that teams use.
     fn may_preempt(&self, team_use: &HashMap<&str, Resources>, victim: &Job) -> bool {
         let preemptor = self.preemptor;
-        if self.view.cluster.may_have_unreconciled_tasks(victim) || victim.stopping {
+        if self.view.cluster.may_have_unreconciled_tasks(victim) || victim.terminating {
             return false;
         }
         if victim.spec.priority < preemptor.job.spec.priority {
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -92,7 +92,7 @@
     let ids: Vec<MachineId> = scene.cluster.machines.keys().cloned().collect();
     for (number, id) in ids.iter().enumerate() {
         for at in 0..60 {
-            let known = scene.cluster.images.id(&image(number, at));
+            let known = scene.cluster.images.intern(&image(number, at));
             let machine = scene.cluster.machines.get_mut(id).unwrap();
             machine.record_image_use(known, 3.0, 200.0);
         }
