--- a/src/capacity/mod.rs
+++ b/src/capacity/mod.rs
@@ -105,7 +105,8 @@
             .collect()
     }
 
-    /// The pool with this number.
+    /// The pool with this number, which must come from the cluster state that the index was built
+    /// from.
     pub fn pool(&self, id: PoolId) -> IndexedPool<'a> {
         self.pools[usize::from(id.0)]
     }
--- a/src/capacity/price_cap.rs
+++ b/src/capacity/price_cap.rs
@@ -7,11 +7,12 @@
 use crate::model::{JobSpec, MachineType, Priority};
 
 /// A machine type is excluded if the share that a task takes of it costs more than this many times
-/// the cheapest type's. Prices of types for the same resource differ by less, as do spot and
-/// on-demand prices of one type: no objective says whether money matters more than time.
+/// the cheapest type's. Prices of machine types for the same resource differ by less than this
+/// factor, as do spot and on-demand prices of one type. The cap ignores such differences, since no
+/// objective says whether cost matters more than time.
 const PRICE_CAP_FACTOR: f64 = 3.0;
 
-/// The share of the task's dominant resource in the machine's capacity.
+/// The largest share that a task takes of any resource of a machine of this type.
 fn dominant_share(spec: &JobSpec, machine_type: &MachineType) -> f64 {
     let share = |need: f64, whole: f64| if need > 0.0 { need / whole } else { 0.0 };
     let (need, whole) = (&spec.task_resources, &machine_type.capacity);
@@ -29,13 +30,12 @@
     if spec.priority != Priority::BestEffort {
         return false;
     }
-    let usable = catalog.iter().filter(|machine_type| {
-        let mut zones = machine_type.zones.iter();
-        spec.task_resources.fits(&machine_type.capacity)
-            && zones.any(|zone| spec.allows(&machine_type.name, zone, false))
+    let usable = catalog.iter().filter(|candidate| {
+        let mut zones = candidate.zones.iter();
+        spec.task_resources.fits(&candidate.capacity)
+            && zones.any(|zone| spec.allows(&candidate.name, zone, false))
     });
-    let costs =
-        usable.map(|machine_type| machine_type.hourly_price * dominant_share(spec, machine_type));
-    let least = costs.fold(f64::INFINITY, f64::min);
-    machine_type.hourly_price * dominant_share(spec, machine_type) > least * PRICE_CAP_FACTOR
+    let costs = usable.map(|candidate| candidate.hourly_price * dominant_share(spec, candidate));
+    let lowest_cost = costs.fold(f64::INFINITY, f64::min);
+    machine_type.hourly_price * dominant_share(spec, machine_type) > lowest_cost * PRICE_CAP_FACTOR
 }
--- a/src/capacity/releases.rs
+++ b/src/capacity/releases.rs
@@ -7,7 +7,7 @@
 use crate::cluster::{ImageId, PoolId};
 use crate::model::{JobSpec, Resources};
 
-/// Expected remaining time, at least, of a task that has exceeded its estimate.
+/// Shortest expected remaining time of a task, also of one that has exceeded its estimate.
 const REMAINING_TIME_MIN_S: f64 = 3.0;
 /// Time from the end of a task to the start of another in its place: its heartbeat, a scheduling
 /// cycle, and the heartbeat whose response carries the start.
@@ -59,7 +59,7 @@
     by_image: Option<HashMap<ImageId, Vec<u32>>>,
 }
 
-/// See [`ExpectedReleases`].
+/// Indices of the releases by the images on their machines, soonest first.
 fn by_image(releases: &[ExpectedRelease], capacity: &CapacityIndex) -> HashMap<ImageId, Vec<u32>> {
     let mut by_image: HashMap<ImageId, Vec<u32>> = HashMap::new();
     for (index, release) in releases.iter().enumerate() {
@@ -103,7 +103,8 @@
         &self.releases
     }
 
-    /// Unreserved releases after which a task of the request fits, one per task.
+    /// Unreserved releases within the request's time after which a task of the request fits; one
+    /// for each task.
     fn matching<'a>(
         &'a self,
         capacity: &'a CapacityIndex,
--- a/src/cluster/commands.rs
+++ b/src/cluster/commands.rs
@@ -1,4 +1,4 @@
-//! Commands that are sent directly to the workers, and the summary for the other controllers.
+//! Commands that are sent directly to the agents, and the state summary for the other controllers.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -9,22 +9,26 @@
 use crate::state_summary::{MachineSummary, SummaryContents, TaskCounts};
 use crate::wire::{DirectCommand, WorkerCommand};
 
-/// Interval between direct repetitions of a stop. Every response to a heartbeat repeats it as well.
+/// Interval between direct repetitions of a termination command. Every response to a heartbeat
+/// repeats it as well.
 const TERMINATION_REPEAT_INTERVAL: Duration = Duration::from_secs(2);
-/// Shortest interval between two probes of a machine.
+/// Shortest interval between two status probes of a machine.
 const PROBE_INTERVAL: Duration = Duration::from_secs(3);
-/// Lower bound of the probes per scheduling cycle: each costs about as much as a heartbeat.
+/// Lower bound on the limit of status probes per scheduling cycle. Each probe costs about as much
+/// as a heartbeat.
 const PROBES_PER_CYCLE_MIN: usize = 40;
-/// Scheduling cycles in which all machines of an earlier term are probed once, if there are more.
+/// Number of scheduling cycles over which the status probes of all unreconciled machines are
+/// spread, if this limit is above its lower bound.
 const CYCLES_TO_PROBE_ALL: usize = 50;
 /// Processor time of a direct command with its connection.
 const COMMAND_CPU_S: f64 = 0.0003;
-/// Fraction of the processor for commands that can be deferred. Without them, the machines send
-/// their heartbeats a moment later anyway.
+/// Fraction of the processor for commands that can be deferred: status probes and raised tokens.
+/// Without them, the agents still send their next heartbeats a moment later.
 const DEFERRABLE_COMMANDS_CPU_FRACTION: f64 = 0.5;
 
-/// Limits deferrable direct commands by the processor time of the controller. With few cores, 767
-/// starts planned in one cycle raised as many tokens, which delayed all other work for seconds.
+/// Limits deferrable direct commands by the processor time of the controller. On a controller with
+/// few cores, 767 starts planned in one cycle raised as many tokens, which delayed all other work
+/// for seconds.
 #[derive(Debug)]
 pub struct CommandBudget {
     bucket: TokenBucket,
@@ -61,9 +65,9 @@
 }
 
 impl Cluster {
-    /// Commands that are sent directly: stops, and a raised token where a start waits for the
-    /// machine's next heartbeat, since a worker sends a heartbeat at once when its token rises.
-    /// Starts are never sent directly.
+    /// The commands to send directly now: status probes, terminations, and a raised token where a
+    /// start waits for the machine's next heartbeat, since an agent sends a heartbeat at once when
+    /// its token rises. Starts are never sent directly.
     pub fn direct_commands(&mut self, now: Instant) -> Vec<AddressedCommand> {
         let mut remaining = self.command_budget.available(now);
         let per_cycle = self.unreconciled.len() / CYCLES_TO_PROBE_ALL;
@@ -104,16 +108,16 @@
     }
 
     /// Status probes: direct commands without content, sent for their responses. They fence
-    /// machines from which a new leader has not received a heartbeat, and show whether an
-    /// apparently old heartbeat comes from a new incarnation.
+    /// machines from which a new leader has not received a heartbeat, make a machine confirm that
+    /// it is reachable, and show whether an apparently old heartbeat comes from a new incarnation.
     fn status_probes(&mut self, now: Instant, limit: usize) -> Vec<AddressedCommand> {
         let mut all = Vec::new();
         let first = FencingToken::first(self.term);
         let probe_due = |at: Option<Instant>| {
             at.is_none_or(|at| now.saturating_duration_since(at) >= PROBE_INTERVAL)
         };
-        // Machines never probed come first, then those probed longest ago, so that machines that do
-        // not respond never displace those that would.
+        // Machines never probed come first, then those probed longest ago, so that unresponsive
+        // machines never displace the others.
         let unreconciled = self
             .unreconciled
             .iter()
@@ -135,7 +139,7 @@
                 && probe_due(machine.last_probed_at)
                 && !machine.address.is_empty()
             {
-                // If the probe arrives, the machine sends its next heartbeat at once and confirms
+                // If the probe arrives, the agent sends its next heartbeat at once, which confirms
                 // it.
                 machine.last_probed_at = Some(now);
                 all.push(status_probe(machine, machine.last_message.epoch, first));
@@ -165,13 +169,13 @@
         }
     }
 
-    /// The changes since the last call, for the other controllers.
+    /// The part of the state summary that changed since the last call, for the other controllers.
     pub fn take_summary_changes(&mut self) -> SummaryContents {
         let changed = std::mem::take(&mut self.unpublished);
         self.summary_of(changed.jobs.iter(), changed.machines.iter())
     }
 
-    /// The whole summary, for a controller that lacks it.
+    /// The complete state summary, for a controller that lacks it.
     pub fn full_summary(&self) -> SummaryContents {
         self.summary_of(self.jobs.keys(), self.machines.keys())
     }
@@ -197,7 +201,7 @@
                 continue;
             };
             let images = machine.images.iter();
-            let hint = MachineSummary {
+            let summary = MachineSummary {
                 address: machine.address.clone(),
                 epoch: machine.last_message.epoch,
                 images: images
@@ -205,7 +209,7 @@
                     .collect(),
             };
             if machine.last_heartbeat_at.is_some() {
-                contents.machines.push((id.clone(), hint));
+                contents.machines.push((id.clone(), summary));
             }
         }
         contents
@@ -226,7 +230,7 @@
 }
 
 /// Raises the machine's token if a start waits for its heartbeat, and returns whether it did.
-/// Workers react to a raised token only once per half lease.
+/// Agents react to a raised token only once per half worker lease.
 fn raise_token(
     machine: &mut Machine,
     jobs: &BTreeMap<JobId, Job>,
@@ -253,25 +257,25 @@
     true
 }
 
-/// The stop to send for an instance now, if one is due.
+/// The termination command to send for an instance now, if one is due.
 pub(super) fn termination_command(
     id: &InstanceId,
     instance: &mut TaskInstance,
     now: Instant,
 ) -> Option<WorkerCommand> {
     let may_be_present = instance.is_dispatched() && instance.occupies();
-    let stop = instance.termination.as_mut().filter(|_| may_be_present)?;
-    let checkpointing = instance.phase == InstancePhase::Checkpointing && stop.grace_s > 0.0;
-    let recently_sent = stop
+    let termination = instance.termination.as_mut().filter(|_| may_be_present)?;
+    let checkpointing = instance.phase == InstancePhase::Checkpointing && termination.grace_s > 0.0;
+    let recently_sent = termination
         .last_sent_at
         .is_some_and(|at| now.saturating_duration_since(at) < TERMINATION_REPEAT_INTERVAL);
     if checkpointing || recently_sent {
         return None;
     }
-    stop.last_sent_at = Some(now);
+    termination.last_sent_at = Some(now);
     Some(WorkerCommand::Kill {
         task: id.task.to_string(),
         attempt: id.attempt.0,
-        grace_s: stop.grace_s,
+        grace_s: termination.grace_s,
     })
 }
--- a/src/cluster/detection.rs
+++ b/src/cluster/detection.rs
@@ -9,13 +9,13 @@
 
 /// The longest regular interval between two heartbeats, as a factor of the nominal one.
 const HEARTBEAT_INTERVAL_FACTOR_MAX: f64 = 1.25;
-/// How long a worker waits for a response before it tries another controller, by the protocol.
+/// How long an agent waits for a response before it tries another controller, by the protocol.
 const WORKER_RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
 
 impl Cluster {
-    /// Continues after an interval in which this process received no heartbeats, and counts it
-    /// against no machine. The ends of worker leases are not moved, since they count from this
-    /// leader's last response.
+    /// Excludes an interval of length `missed`, in which this process received no heartbeats, from
+    /// the failure detection of all machines. The ends of worker leases are not moved, since they
+    /// count from this leader's last response.
     pub fn resume_after_pause(&mut self, missed: Duration, now: Instant) {
         let shifted = |at: Instant| (at + missed).min(now);
         self.observing_since = shifted(self.observing_since);
@@ -39,11 +39,11 @@
         at.is_some_and(|at| now.saturating_duration_since(*at) < limit)
     }
 
-    /// Whether few of the machines that sent heartbeats or should have sent some still do. Either
-    /// these machines are lost, or this controller is partitioned from them.
+    /// Whether few of the machines that have sent heartbeats in this term, or should have, still
+    /// send them. Then either these machines are lost, or this controller is partitioned from them.
     pub fn receives_few_heartbeats(&self, now: Instant) -> bool {
-        // The longest regular interval, a response that timed out, and another controller tried
-        // first.
+        // The longest regular interval, and one response timeout of an agent that tries another
+        // controller first.
         let limit = self
             .timing
             .heartbeat_interval
@@ -64,7 +64,7 @@
         few_workers_reporting(known, reporting)
     }
 
-    /// The judge of the machines' health at this time. A controller that receives few heartbeats
+    /// The evaluator of the machines' health at `now`. A controller that receives few heartbeats
     /// can't distinguish failed machines from its own failure.
     pub fn health_evaluator(&self, now: Instant) -> HealthJudge {
         HealthJudge {
--- a/src/cluster/dispatch_log.rs
+++ b/src/cluster/dispatch_log.rs
@@ -9,7 +9,7 @@
 use crate::store::replica::Versioned;
 use crate::store::{to_value, Change, Condition};
 
-/// Bytes that a job and each of its machines take in a record.
+/// Bytes that a job takes in a record, and bytes that each of its machines takes in addition.
 const ENTRY_BYTES: usize = 24;
 const MACHINE_BYTES: usize = 20;
 /// Fraction of a value that a record may fill.
@@ -32,7 +32,7 @@
 #[derive(Debug)]
 struct DispatchRecord {
     version: u64,
-    /// The jobs that it names and that are not over.
+    /// The jobs that it names and that have not ended.
     jobs: BTreeSet<JobId>,
 }
 
@@ -53,7 +53,7 @@
 pub struct DispatchRecordChange {
     /// The key of the record.
     pub key: String,
-    /// What the record will name.
+    /// The jobs that the record will name, with their machines; none if it is to be deleted.
     pub entries: Vec<DispatchEntry>,
     /// Requires the version that the change replaces; 0 for a new key.
     pub condition: Condition,
@@ -105,7 +105,7 @@
         self.records.insert(key, DispatchRecord { version, jobs });
     }
 
-    /// Removes a job that is over, which no record needs to name any more.
+    /// Removes a job that has ended, which no record needs to name any more.
     pub fn remove_job(&mut self, id: &JobId) {
         for key in self.records_by_job.remove(id).into_iter().flatten() {
             if let Some(record) = self.records.get_mut(&key) {
@@ -114,15 +114,15 @@
         }
     }
 
-    /// Removes the jobs that are over already, which are those not `known`.
+    /// Removes the jobs that have ended already: those for which `known` returns false.
     pub fn retain_jobs(&mut self, known: impl Fn(&JobId) -> bool) {
-        let over: Vec<JobId> = self
+        let ended: Vec<JobId> = self
             .records_by_job
             .keys()
             .filter(|id| !known(id))
             .cloned()
             .collect();
-        for id in over {
+        for id in ended {
             self.remove_job(&id);
         }
     }
@@ -137,7 +137,8 @@
         self.writing.is_empty()
     }
 
-    /// Takes as many `entries` as fit one record, and returns its write.
+    /// Removes as many `entries` as fit one record, and returns the write of this record; `None` if
+    /// there are no entries.
     pub fn next_record_change(
         &mut self,
         entries: &mut Vec<DispatchEntry>,
@@ -175,7 +176,7 @@
         Some(self.begin_write(key, entries, change))
     }
 
-    /// The deletion of one record without jobs, if there are more than are kept.
+    /// The deletion of one record without jobs, if there are more than [`EMPTY_RECORDS_KEPT`].
     pub fn next_surplus_deletion(&mut self) -> Option<DispatchRecordChange> {
         let key = self.empty_records().nth(EMPTY_RECORDS_KEPT)?.clone();
         let change = Change::delete(key.clone());
--- a/src/cluster/dispatch_log/tests.rs
+++ b/src/cluster/dispatch_log/tests.rs
@@ -26,7 +26,7 @@
 /// One record per job would exhaust the write limit: several jobs arrive per second, and the store
 /// accepts 30 changes per second in total.
 #[test]
-fn jobs_share_a_record_and_a_record_whose_jobs_are_over_is_overwritten() {
+fn jobs_share_a_record_and_a_record_whose_jobs_have_ended_is_overwritten() {
     let mut log = dispatch_log();
     let mut due: Vec<DispatchEntry> = (0..40).map(entry).collect();
     let write = log.next_record_change(&mut due).unwrap();
--- a/src/cluster/display.rs
+++ b/src/cluster/display.rs
@@ -1,4 +1,4 @@
-//! Task counts for the admin interface and the summary.
+//! Task counts for the admin interface and the state summary.
 
 use super::{Cluster, InstancePhase};
 use crate::model::JobId;
--- a/src/cluster/expiry.rs
+++ b/src/cluster/expiry.rs
@@ -13,7 +13,7 @@
 /// What has expired on one machine.
 #[derive(Clone, Copy, Debug)]
 struct Expiry {
-    /// The worker's lease has expired, so that all its dispatched tasks have ended.
+    /// The worker lease has expired, so that all tasks dispatched to the machine have ended.
     lease_expired: bool,
     /// The machine's heartbeats are late, so that plans for it are dropped.
     suspected: bool,
@@ -42,7 +42,8 @@
 }
 
 impl Cluster {
-    /// Removes whatever ends by time alone. Only the current leader may call this.
+    /// Removes what expires without an event: plans, task instances, worker leases of earlier terms
+    /// and old submissions. Only the current leader may call this.
     pub fn expire(&mut self, now: Instant) {
         if now.saturating_duration_since(self.became_leader_at) > self.timing.inherited_lease {
             self.reconcile_expired();
@@ -71,8 +72,9 @@
         }
     }
 
-    /// Reconciles machines of earlier terms to which this leader has sent no response: their leases
-    /// have expired, so they hold no tasks. When such machines are released is decided separately.
+    /// Reconciles machines of earlier terms to which this leader has sent no response: their worker
+    /// leases have expired, so that no task can be on them. The fleet decides separately when they
+    /// are released.
     fn reconcile_expired(&mut self) {
         let expired = self.unreconciled.iter().filter(|id| {
             let machine = self.machines.get(*id);
--- a/src/cluster/faults.rs
+++ b/src/cluster/faults.rs
@@ -11,12 +11,13 @@
 use super::{Cluster, Job};
 use crate::model::{JobId, MachineId};
 
-/// Distinct jobs that fail on a machine and complete tasks elsewhere until it is quarantined.
-const PROVEN_JOBS_TO_QUARANTINE: usize = 2;
-/// Distinct jobs that fail on a machine until it is quarantined, whatever their results elsewhere.
-/// Three, since two jobs may both be faulty themselves.
-const JOBS_TO_QUARANTINE: usize = 3;
-/// Machines on which a job without a completed task fails until the job is suspected.
+/// A machine is drained as faulty when this many jobs that complete tasks elsewhere have failed on
+/// it.
+const PROVEN_JOBS_TO_DECLARE_FAULTY: usize = 2;
+/// A machine is drained as faulty when this many jobs have failed on it, whatever their results
+/// elsewhere. Three jobs are required, since two jobs may both be faulty themselves.
+const JOBS_TO_DECLARE_FAULTY: usize = 3;
+/// A job without a completed task is suspected when it has failed on this many machines.
 const MACHINES_TO_SUSPECT_JOB: usize = 3;
 /// How long a machine gets no new tasks after a failure, so that a faulty machine does not attract
 /// all tasks.
@@ -57,9 +58,10 @@
 }
 
 impl Machine {
-    fn quarantine_if_faulty(&mut self) {
+    fn drain_if_faulty(&mut self) {
         let proven = self.faults.iter().filter(|fault| fault.proven).count();
-        let faulty = proven >= PROVEN_JOBS_TO_QUARANTINE || self.faults.len() >= JOBS_TO_QUARANTINE;
+        let faulty =
+            proven >= PROVEN_JOBS_TO_DECLARE_FAULTY || self.faults.len() >= JOBS_TO_DECLARE_FAULTY;
         if faulty && self.drain.is_none() {
             warn!(machine = %self.id, faults = ?self.faults, "machine declared faulty");
             self.drain = Some(DrainReason::Faulty);
@@ -117,7 +119,7 @@
             }),
         }
         machine.backoff_until = Some(now + MACHINE_BACKOFF);
-        machine.quarantine_if_faulty();
+        machine.drain_if_faulty();
     }
 
     /// Records that a task of the job has completed on the machine: neither is at fault, so the
@@ -148,7 +150,7 @@
             let mut faults = machine.faults.iter_mut();
             if let Some(fault) = faults.find(|fault| fault.job == *job_id && !fault.proven) {
                 fault.proven = true;
-                machine.quarantine_if_faulty();
+                machine.drain_if_faulty();
             }
         }
     }
--- a/src/cluster/instances.rs
+++ b/src/cluster/instances.rs
@@ -17,7 +17,7 @@
         Attempt::of(self.term, self.attempts_issued)
     }
 
-    /// Plans a start. Nothing is dispatched until [`Cluster::respond`] finds it safe.
+    /// Plans a start, which [`Cluster::respond`] dispatches once that is safe.
     pub fn plan(&mut self, task: &TaskId, machine_id: &MachineId, attempt: Attempt, now: Instant) {
         let (Some(job), Some(machine)) = (
             self.jobs.get_mut(&task.job),
@@ -52,7 +52,7 @@
         machine.update_load();
     }
 
-    /// Requests the termination of a task, and drops a start that was never dispatched.
+    /// Requests the termination of a task, or drops its start if that was never dispatched.
     pub fn terminate(&mut self, machine_id: &MachineId, instance: &InstanceId, grace_s: f64) {
         let Some(machine) = self.machines.get_mut(machine_id) else {
             return;
@@ -69,7 +69,10 @@
         }
         // A shorter grace period, as of a cancellation, replaces the earlier one also during a
         // checkpoint.
-        if state.termination.is_none_or(|stop| grace_s < stop.grace_s) {
+        if state
+            .termination
+            .is_none_or(|earlier| grace_s < earlier.grace_s)
+        {
             state.termination = Some(Termination {
                 grace_s,
                 last_sent_at: None,
@@ -86,7 +89,7 @@
         }
     }
 
-    /// Stops the tasks of a job whose cancellation is final, before the replica shows it.
+    /// Terminates the tasks of a job whose cancellation is committed, before the replica shows it.
     pub fn cancel_tasks(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -128,12 +131,12 @@
             return;
         };
         job.terminating = true;
-        let grace = if job.spec.can_checkpoint() {
+        let grace_s = if job.spec.can_checkpoint() {
             job.spec.checkpoint_grace_s()
         } else {
             0.0
         };
-        self.terminate_tasks(id, grace);
+        self.terminate_tasks(id, grace_s);
     }
 
     /// Removes an instance from its machine, and its placement from the job.
--- a/src/cluster/job.rs
+++ b/src/cluster/job.rs
@@ -14,7 +14,7 @@
 /// A machine on which a task may be, with the attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Placement {
-    /// The machine on which the task is planned, dispatched or reported.
+    /// The machine for which the task is planned or dispatched, or whose heartbeats contain it.
     pub machine: MachineId,
     /// The attempt, which a gang's members share.
     pub attempt: Attempt,
@@ -62,8 +62,9 @@
     }
 }
 
-/// Machines named in a job's record, and writes of the record for further machines. Beyond either
-/// limit the record names no machines, which stands for any: a large array soon runs everywhere.
+/// Limits on the machines that the dispatch records name for a job, and on the writes that add
+/// machines to them. Beyond either limit they name no machines, which stands for any machine: a
+/// large array soon runs everywhere. The limit on writes does not apply to gangs.
 const NAMED_MACHINES_MAX: usize = 64;
 const DISPATCH_WRITES_MAX: u32 = 3;
 
@@ -89,9 +90,9 @@
     pub(super) version: u64,
     /// The verdict in the records, as the replica shows it.
     pub(super) verdict: Verdict,
-    /// Whether its cancellation is final though the replica does not show it yet.
+    /// Whether its cancellation is committed, though the replica may not show it yet.
     pub(super) cancellation_requested: bool,
-    /// Whether the records show that starts may have been sent.
+    /// Whether a record in the store shows that starts may have been sent.
     pub(super) dispatch_record: Persistence,
     /// Whether it was started in an earlier term, so that tasks of it may be on machines that are
     /// not reconciled yet.
@@ -108,7 +109,7 @@
     pub attempt: Option<Attempt>,
     /// Whether a heartbeat has shown a member of the current attempt running.
     pub seen_running: bool,
-    /// Whether all members of the current attempt are being stopped.
+    /// Whether all members of the current attempt are being terminated.
     pub terminating: bool,
     /// Capacity that other tasks were terminated for.
     pub capacity_reservation: Option<CapacityReservation>,
@@ -125,7 +126,7 @@
     pub(super) has_own_key: bool,
     /// When the last write of its completed tasks began, unless that write failed.
     pub(super) progress_written_at: Option<Instant>,
-    /// When a task of it was first seen running, for the metrics.
+    /// When a heartbeat of this term first showed a task of it running.
     pub first_running_at: Option<Instant>,
     /// Why tasks of it are pending, for the admin interface.
     pub pending_reason: PendingReason,
@@ -171,7 +172,7 @@
         reservation.filter(|reservation| now < reservation.until)
     }
 
-    /// Whether it is neither over nor cancelled.
+    /// Whether it has neither ended nor been cancelled.
     pub fn is_active(&self) -> bool {
         self.verdict == Verdict::Accepted && !self.cancellation_requested
     }
--- a/src/cluster/machine.rs
+++ b/src/cluster/machine.rs
@@ -16,9 +16,10 @@
 
 /// Bytes of a task in a heartbeat, in the encoding by which the body limit is measured.
 const TASK_STATUS_BYTES: usize = 80;
-/// Tasks on a machine, including results that are not recorded yet, from which it gets no more:
-/// half of what a heartbeat can hold. While records can't be written, results of short tasks would
-/// otherwise accumulate until the machine could send no heartbeat.
+/// Number of tasks on a machine, including exited ones whose results are not recorded yet, at which
+/// the machine gets no more. It is half of what a heartbeat can hold. While records can't be
+/// written, results of short tasks would otherwise accumulate until the agent could send no
+/// heartbeat.
 const TASKS_PER_MACHINE_MAX: usize = BODY_BYTES_MAX / TASK_STATUS_BYTES / 2;
 
 /// One start of a task.
@@ -30,12 +31,12 @@
     pub attempt: Attempt,
 }
 
-/// The phase of a task instance. The first two are this leader's, the others are reported.
+/// The phase of a task instance. This leader sets the first two; heartbeats contain the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InstancePhase {
     /// The start is decided and not sent, so it can have had no effect.
     Planned,
-    /// The start was sent in the response to a heartbeat. The next heartbeat that the worker sends
+    /// The start was sent in the response to a heartbeat. The next heartbeat that the agent sends
     /// on its own shows whether it arrived.
     Dispatched {
         /// The heartbeat whose response carried the start.
@@ -49,7 +50,7 @@
     Running,
     /// The task writes a checkpoint.
     Checkpointing,
-    /// The task has ended and occupies nothing, but the machine still reports it.
+    /// The task has ended and occupies nothing, but the machine's heartbeats still contain it.
     Exited(ExitCause),
 }
 
@@ -67,7 +68,8 @@
 pub struct TaskInstance {
     /// The job's description, if the job was known when the instance was first seen.
     pub spec: Option<Arc<JobSpec>>,
-    /// The phase, as last reported once a heartbeat has shown the instance.
+    /// The phase in the last heartbeat that contains the instance; until there is one, the phase
+    /// that this leader set.
     pub phase: InstancePhase,
     /// When it was planned or first seen.
     pub known_since: Instant,
@@ -115,14 +117,15 @@
     Written,
 }
 
-/// Why a machine takes no new tasks until an operator or a later finding clears it.
+/// Why a machine is drained: it takes no new tasks until an operator or a later finding ends the
+/// drain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainReason {
     /// Tasks of several jobs failed on it.
     Faulty,
     /// Its tasks exceed their estimates much further than tasks on other machines do.
     Slow,
-    /// An operator cordoned it.
+    /// An operator requested the drain.
     Operator,
 }
 
@@ -183,18 +186,18 @@
     pub first_heartbeat_at: Option<Instant>,
     /// When its last heartbeat of this term arrived.
     pub last_heartbeat_at: Option<Instant>,
-    /// When this leader last responded with 200. The worker's lease ends at most `timing.lease`
+    /// When this leader last responded with 200. The worker lease ends at most `timing.lease`
     /// later.
     pub last_response_at: Option<Instant>,
-    /// When the cloud will take back the spot machine, if it has given notice.
+    /// When the cloud will reclaim the spot machine, if a heartbeat has shown a spot notice.
     pub spot_deadline: Option<Instant>,
-    /// All instances that may be on it, and exited ones that it still reports.
+    /// All instances that may be on it, and exited ones that its heartbeats still contain.
     pub instances: BTreeMap<InstanceId, TaskInstance>,
     /// Whether the machine inventory in the store names it.
     pub inventory_record: Persistence,
     /// Images in its cache with their sizes in GB, most recently used last.
     pub images: Vec<(ImageId, f64)>,
-    /// Why it takes no new tasks, if it is cordoned or quarantined.
+    /// Why it is drained; `None` if it is not.
     pub drain: Option<DrainReason>,
     /// Whether its release has been requested.
     pub releasing: bool,
@@ -232,7 +235,7 @@
     Booting,
     /// The list shows it with any other status.
     Running,
-    /// The cloud reports that it failed.
+    /// The list shows it as failed.
     Failed,
 }
 
@@ -340,7 +343,7 @@
             .is_some_and(|at| now.saturating_duration_since(at) > limit)
     }
 
-    /// The evidence by which its health is judged.
+    /// The evidence by which its health is evaluated.
     pub fn health_evidence(&self) -> WorkerEvidence {
         WorkerEvidence {
             last_heartbeat: self.last_heartbeat_at,
@@ -401,7 +404,7 @@
         self.placement_refusal(now, suspect_after).is_none()
     }
 
-    /// Drops the planned starts of a job that is over. Dispatched instances stay until their
+    /// Drops the planned starts of a job that has ended. Dispatched instances stay until their
     /// termination is proven.
     pub(super) fn drop_plans_of(&mut self, job: &JobId) {
         let id = &self.id;
--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -1,5 +1,5 @@
-//! The cluster state of the leader, rebuilt from records and heartbeats: the only source of where a
-//! task may be placed.
+//! The cluster state of the leader, rebuilt from records and heartbeats. No other state shows where
+//! tasks may be.
 //!
 //! Quota checks, zone constraints and placement all read it, so that unconfirmed starts and
 //! unfinished terminations count the same for each of them. A placement ends only by
@@ -69,7 +69,7 @@
     pub observing_since: Instant,
     /// When this process became the leader; pauses do not move it.
     became_leader_at: Instant,
-    /// Heartbeat intervals, leases and timeouts of the workers.
+    /// Heartbeat intervals, worker leases and timeouts.
     pub timing: WorkerTiming,
     /// Jobs that have to run or may still have tasks on machines.
     pub jobs: BTreeMap<JobId, Job>,
@@ -78,8 +78,9 @@
     /// Machines of earlier terms that have not shown this term's token, may still hold a lease, and
     /// are not confirmed terminated.
     pub unreconciled: BTreeSet<MachineId>,
-    /// Whether the time until all of them were reconciled has been reported.
-    reconciliation_reported: bool,
+    /// Whether [`take_reconciliation_time`](Self::take_reconciliation_time) has returned the time
+    /// until all of them were reconciled.
+    reconciliation_time_taken: bool,
     /// Whether something has changed that the next scheduling cycle has to consider.
     pub scheduling_needed: bool,
     /// Times from submission to the first running task that the metrics have not taken yet.
@@ -90,9 +91,10 @@
     pub pools: MachinePools,
     /// Images of all jobs and machines seen in this term.
     pub images: Images,
-    /// Machines whose images changed and jobs whose task counts may have changed since the summary
-    /// was last published.
+    /// Machines whose images changed and jobs whose task counts may have changed since the state
+    /// summary was last published.
     unpublished: UnpublishedChanges,
+    /// An earlier leader's summaries of machines from which this leader has received no heartbeat.
     inherited_summaries: HashMap<MachineId, MachineSummary>,
     /// Ratios of run time to estimate of the last tasks on any machine: the usual error of the
     /// estimates.
--- a/src/cluster/placement_refusal.rs
+++ b/src/cluster/placement_refusal.rs
@@ -13,13 +13,13 @@
     Unreachable,
     /// Its release has been requested.
     Releasing,
-    /// It is quarantined, since tasks of several jobs failed on it.
+    /// It is drained as faulty, since tasks of several jobs failed on it.
     Faulty,
-    /// It is quarantined, since it is much slower than others.
+    /// It is drained as slow, since it is much slower than others.
     Slow,
-    /// An operator cordoned it.
+    /// It is drained on an operator's request.
     Drained,
-    /// The cloud has given notice that it takes back the spot machine.
+    /// It has received a spot notice: the cloud will reclaim it.
     SpotNotice,
     /// Its heartbeats are late.
     Suspected,
--- a/src/cluster/quota.rs
+++ b/src/cluster/quota.rs
@@ -18,8 +18,8 @@
         for job in self.jobs.values() {
             let mut count: usize = job.placements.values().map(Vec::len).sum();
             if self.may_have_unreconciled_tasks(job) {
-                // Pending tasks may still be running from an earlier term, not shown by a heartbeat
-                // yet.
+                // Tasks without a placement may still be running from an earlier term, though no
+                // heartbeat has shown them yet.
                 count += job.pending_count() as usize;
             }
             if count > 0 {
--- a/src/cluster/reconcile/absence.rs
+++ b/src/cluster/reconcile/absence.rs
@@ -19,7 +19,7 @@
             Some(TerminationEvidence::LaterEpoch)
         }
         // The response to a direct command may overtake the response that carried the start, so
-        // only the next heartbeat that the worker sends on its own proves that the start was lost.
+        // only the next heartbeat that the agent sends on its own proves that the start was lost.
         InstancePhase::Dispatched { in_reply_to }
             if source != HeartbeatSource::Worker || order <= in_reply_to =>
         {
@@ -30,7 +30,8 @@
 }
 
 impl Cluster {
-    /// Removes the instances that are not `reported` in the last heartbeat of a fenced machine.
+    /// Removes the instances that the last heartbeat of a fenced machine does not contain.
+    /// `reported` are those that it contains.
     pub(super) fn remove_absent(
         &mut self,
         id: &MachineId,
--- a/src/cluster/reconcile/exits.rs
+++ b/src/cluster/reconcile/exits.rs
@@ -35,8 +35,8 @@
                     job.backoff_until = Some(now + secs(BACKOFF_AFTER_REFUSAL_S));
                 }
             }
-            // If a gang can never succeed, every member fails by itself. A member that only ends
-            // because another one was lost has no fault of its own, and neither has the job.
+            // If a gang can never succeed, every member fails by itself. If a member ends only
+            // because another one was lost, neither this member nor the job is at fault.
             ExitCause::GangMemberLost => self.confirm_machine_faults(job_id),
             ExitCause::Stopped | ExitCause::GangBarrierTimeout | ExitCause::Other => {}
         }
--- a/src/cluster/reconcile/machine_status.rs
+++ b/src/cluster/reconcile/machine_status.rs
@@ -11,8 +11,8 @@
 use crate::wire::Heartbeat;
 
 impl Machine {
-    /// Detects a later epoch although the last response should still hold the lease, which means
-    /// that the response was lost.
+    /// Detects that a response was lost: the machine is in a later epoch, although the last
+    /// response should still extend its worker lease.
     fn detect_lost_response(&mut self, order: MessageOrder, lease: Duration, now: Instant) {
         let later_epoch = self.last_heartbeat_at.is_some() && order.epoch > self.last_message.epoch;
         let lease_held = self
@@ -63,16 +63,16 @@
         self.apply_token(id, heartbeat)
     }
 
-    /// Handles the first heartbeat of this term. An earlier leader's summary gives the machine's
-    /// images.
+    /// Handles the machine's first heartbeat of this term. An earlier leader's summary gives the
+    /// images in the machine's cache.
     fn apply_first_heartbeat(&mut self, id: &MachineId, now: Instant) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
         self.scheduling_needed = true;
         machine.idle_since = now;
-        if let Some(hint) = self.inherited_summaries.remove(id) {
-            let images = hint.images.iter();
+        if let Some(summary) = self.inherited_summaries.remove(id) {
+            let images = summary.images.iter();
             let images = images.map(|(name, gb)| (self.images.intern(name), f64::from(*gb)));
             machine.images = images.collect();
         }
--- a/src/cluster/reconcile/mod.rs
+++ b/src/cluster/reconcile/mod.rs
@@ -20,9 +20,9 @@
 use crate::wire::Heartbeat;
 
 impl Cluster {
-    /// Reconciles the cluster state with a heartbeat. One that the worker sends on its own shows
-    /// the effect of starts in the response to the one before, but may be a late copy. One in
-    /// response to a direct command is as recent as the command.
+    /// Reconciles the cluster state with a heartbeat. A heartbeat that the agent sends on its own
+    /// shows the effect of the starts in the response to the previous one, but may be a late copy.
+    /// A heartbeat in response to a direct command is at least as recent as the command.
     pub fn apply_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
@@ -52,7 +52,7 @@
         HeartbeatOrdering::Newer
     }
 
-    /// Updates since when a machine has had no tasks.
+    /// Updates `idle_since` of a machine that a heartbeat has shown to be idle again.
     fn update_idle_since(&mut self, id: &MachineId, was_busy: bool, now: Instant) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
--- a/src/cluster/reconcile/ordering.rs
+++ b/src/cluster/reconcile/ordering.rs
@@ -29,10 +29,10 @@
     }
 }
 
-/// What made a worker send a heartbeat.
+/// What made an agent send a heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeartbeatSource {
-    /// The worker's own schedule, or a raised token.
+    /// The agent's schedule, or a raised token.
     Worker,
     /// A direct command sent at that time, to which it is the response.
     Command(Instant),
@@ -45,7 +45,7 @@
     Newer,
     /// It is outdated or a copy, or its machine is terminated. Nothing of it was applied.
     Older,
-    /// The worker has seen a later term than this leader's.
+    /// The heartbeat shows a token of a later term than this leader's.
     Deposed,
 }
 
--- a/src/cluster/reconcile/response.rs
+++ b/src/cluster/reconcile/response.rs
@@ -7,8 +7,8 @@
 use crate::model::{FencingToken, MachineId};
 use crate::wire::{ExitCause, WorkerCommand};
 
-/// Whether a machine may drop an exited task from its heartbeats. A completion that still matters
-/// has to be recorded first.
+/// Whether a machine may drop an exited task from its heartbeats. A completion of an active job has
+/// to be recorded first.
 fn may_clear(job: Option<&Job>, instance: &InstanceId, cause: ExitCause) -> bool {
     let unrecorded = |job: &Job| job.is_active() && !job.done.is_durable(instance.task.index);
     cause != ExitCause::Done || !job.is_some_and(unrecorded)
@@ -16,7 +16,11 @@
 
 /// Requests the immediate termination of a task that must not run, also during a checkpoint.
 fn terminate_unwanted(state: &mut TaskInstance) {
-    if state.is_dispatched() && state.termination.is_none_or(|stop| stop.grace_s > 0.0) {
+    if state.is_dispatched()
+        && state
+            .termination
+            .is_none_or(|termination| termination.grace_s > 0.0)
+    {
         state.termination = Some(Termination {
             grace_s: 0.0,
             last_sent_at: None,
@@ -40,8 +44,8 @@
 }
 
 impl Cluster {
-    /// Records that a machine is sent a 200, which may renew its lease whatever commands it
-    /// contains. Returns the token for the response.
+    /// Records that a machine is sent a response with status 200, which may renew the worker lease
+    /// whatever commands it contains. Returns the token for the response.
     pub fn record_response(&mut self, id: &MachineId, now: Instant) -> FencingToken {
         let first = FencingToken::first(self.term);
         self.machines.get_mut(id).map_or(first, |machine| {
@@ -51,8 +55,8 @@
     }
 
     /// The commands in the response to a machine's last heartbeat. Only such responses carry
-    /// starts: the worker drops a late response, so no start in it takes effect late. Without
-    /// `starts`, planned starts wait, since the replica may lack a cancellation.
+    /// starts: the agent drops a late response, so no start in it takes effect late. If `starts` is
+    /// false, planned starts wait, since the replica may lack a cancellation.
     pub fn respond(&mut self, id: &MachineId, now: Instant, starts: bool) -> Vec<WorkerCommand> {
         let mut commands = Vec::new();
         let Some(machine) = self.machines.get_mut(id) else {
@@ -74,9 +78,10 @@
             if !wanted {
                 terminate_unwanted(state);
             }
-            if let Some(stop) = &mut state.termination {
-                // Every heartbeat shows whether the stop has arrived, so it may be sent again.
-                stop.last_sent_at = None;
+            if let Some(termination) = &mut state.termination {
+                // Every heartbeat shows whether the termination command has arrived, so it may be
+                // sent again.
+                termination.last_sent_at = None;
             }
             if let Some(command) = termination_command(instance, state, now) {
                 commands.push(command);
--- a/src/cluster/records.rs
+++ b/src/cluster/records.rs
@@ -39,7 +39,7 @@
 }
 
 impl MachineInventory {
-    /// Loads the stored shards. `value_kb` is the store's limit on a value.
+    /// Loads the stored shards. `value_kb` is the store's limit on a value, in KiB.
     pub fn load(records: &BTreeMap<usize, Versioned<InventoryRecord>>, value_kb: f64) -> Self {
         let shards = records
             .iter()
@@ -148,16 +148,16 @@
     pub priority: WritePriority,
 }
 
-/// The changes that delete all records of a job except its verdict.
-fn delete_records(id: &JobId, job: &Job, verdict: Verdict) -> Vec<Change> {
+/// The changes that write a job's verdict and delete all its other records.
+fn record_deletions(id: &JobId, job: &Job, verdict: Verdict) -> Vec<Change> {
     let record = JobRecord::without_description(verdict, job.spec.tasks);
-    let mut apply = vec![Change::put(keys::job(id), to_value(&record))];
+    let mut changes = vec![Change::put(keys::job(id), to_value(&record))];
     if job.has_own_key {
-        apply.push(Change::delete(keys::description(id)));
+        changes.push(Change::delete(keys::description(id)));
     }
     let chunks = (0..job.done.chunks()).filter(|c| job.done.chunk_written(*c));
-    apply.extend(chunks.map(|chunk| Change::delete(keys::completed_tasks(id, chunk))));
-    apply
+    changes.extend(chunks.map(|chunk| Change::delete(keys::completed_tasks(id, chunk))));
+    changes
 }
 
 /// Dispatches to be recorded, by the write priority of their jobs.
@@ -191,7 +191,7 @@
     let conditions = vec![Condition::new(keys::job(id), job.version)];
     Some(RecordWrite {
         kind,
-        transaction: Transaction::new(conditions, delete_records(id, job, verdict)),
+        transaction: Transaction::new(conditions, record_deletions(id, job, verdict)),
         priority,
     })
 }
@@ -278,7 +278,8 @@
             replica,
         };
         for (id, job) in &mut self.jobs {
-            // The replica does not show the cancellation yet. Its records are written once it does.
+            // The replica does not show the cancellation yet. The job's records are written once it
+            // does.
             let cancelling = job.cancellation_requested && job.verdict == Verdict::Accepted;
             if job.writing || cancelling {
                 continue;
--- a/src/cluster/recovery.rs
+++ b/src/cluster/recovery.rs
@@ -43,7 +43,7 @@
             jobs: BTreeMap::new(),
             machines: BTreeMap::new(),
             unreconciled,
-            reconciliation_reported: false,
+            reconciliation_time_taken: false,
             scheduling_needed: true,
             start_delays: Vec::new(),
             arrivals: Vec::new(),
@@ -78,13 +78,13 @@
         }
     }
 
-    /// Adds the jobs that are not over.
+    /// Adds the jobs that have not ended.
     fn recover_jobs(&mut self, replica: &Replica, now: Instant, wall: SystemTime) {
         let ids: Vec<JobId> = replica.descriptions.keys().cloned().collect();
         for id in ids {
             self.sync_job(&id, replica, now, wall, true);
         }
-        // Other jobs in the dispatch records are over, and no task of them can be on any machine.
+        // Other jobs in the dispatch records have ended, and no task of them can be on any machine.
         self.recovered_targets.clear();
         let jobs = &self.jobs;
         self.dispatch_log.retain_jobs(|id| jobs.contains_key(id));
@@ -95,11 +95,11 @@
     pub fn adopt_summary(&mut self, summary: &SummaryCache) {
         self.inherited_summaries = summary.machines.clone();
         for id in &self.unreconciled {
-            if let (Some(machine), Some(hint)) =
+            if let (Some(machine), Some(machine_summary)) =
                 (self.machines.get_mut(id), self.inherited_summaries.get(id))
             {
-                machine.address.clone_from(&hint.address);
-                machine.last_message.epoch = hint.epoch;
+                machine.address.clone_from(&machine_summary.address);
+                machine.last_message.epoch = machine_summary.epoch;
             }
         }
         let removed = summary
@@ -109,7 +109,7 @@
         self.terminated_machines.extend(removed.cloned());
     }
 
-    /// Marks the machine as reconciled: no tasks of earlier terms are unknown on it any more.
+    /// Marks the machine as reconciled: no unknown task of an earlier term can be on it any more.
     pub(super) fn mark_reconciled(&mut self, id: &MachineId) {
         if !self.unreconciled.remove(id) {
             return;
@@ -122,10 +122,10 @@
 
     /// The time from the start of observation until all machines were reconciled, returned once.
     pub fn take_reconciliation_time(&mut self, now: Instant) -> Option<Duration> {
-        if self.reconciliation_reported || !self.unreconciled.is_empty() {
+        if self.reconciliation_time_taken || !self.unreconciled.is_empty() {
             return None;
         }
-        self.reconciliation_reported = true;
+        self.reconciliation_time_taken = true;
         Some(now.saturating_duration_since(self.observing_since))
     }
 }
--- a/src/cluster/slow_machines.rs
+++ b/src/cluster/slow_machines.rs
@@ -9,11 +9,12 @@
 use super::Cluster;
 use crate::model::{JobId, MachineId};
 
-/// The last jobs on a machine whose slowdowns are compared with the median.
+/// Number of last jobs on a machine whose slowdowns are compared with the median.
 const JOBS_TO_COMPARE: usize = 3;
-/// A machine is quarantined if its slowdowns for all these jobs exceed the median by this factor.
+/// A machine is drained as slow if its slowdowns for all these jobs exceed the median by this
+/// factor.
 const SLOW_FACTOR: f64 = 2.5;
-/// Slowdowns kept of tasks on any machine, and how many are required for a comparison.
+/// Number of slowdowns kept of the last tasks on any machine, and number required for a comparison.
 const SLOWDOWNS_KEPT: usize = 60;
 const SLOWDOWNS_TO_COMPARE: usize = 15;
 
--- a/src/cluster/sync.rs
+++ b/src/cluster/sync.rs
@@ -31,7 +31,8 @@
 }
 
 impl Cluster {
-    /// Applies the current records of a job. `recovering` marks jobs that are not new submissions.
+    /// Applies the current records of a job. `recovering` is true if the job is not a new
+    /// submission.
     pub fn sync_job(
         &mut self,
         id: &JobId,
@@ -79,7 +80,7 @@
         }
     }
 
-    /// The job by its records, unless it is over.
+    /// The job by its records, unless it has ended.
     fn job_from_records(
         &mut self,
         id: &JobId,
@@ -88,8 +89,8 @@
         wall: SystemTime,
     ) -> Option<Job> {
         let verdict = replica.jobs.get(id)?;
-        let live = replica.descriptions.get(id)?;
-        let record = &live.record;
+        let description = replica.descriptions.get(id)?;
+        let record = &description.record;
         let recovered = self.recovered_targets.remove(id);
         let started = record.started || recovered.is_some();
         let mut dispatch_targets = targets_of(record);
@@ -126,14 +127,14 @@
             failed_on: BTreeSet::new(),
             suspicion: None,
             writing: false,
-            has_own_key: live.has_own_key,
+            has_own_key: description.has_own_key,
             progress_written_at: None,
             first_running_at: None,
             pending_reason: PendingReason::NotConsidered,
         })
     }
 
-    /// Removes a job that is over.
+    /// Removes a job that has ended.
     pub(super) fn remove_ended_job(&mut self, id: &JobId) {
         let Some(job) = self.jobs.remove(id) else {
             return;
@@ -183,7 +184,8 @@
         }
     }
 
-    /// Applies the cloud's list of machines. The list lags, so absence from it is no evidence.
+    /// Applies the cloud's list of machines. The list lags, so absence from it is no evidence that
+    /// a machine was released.
     pub fn apply_machine_list(&mut self, list: &[ListedMachine], now: Instant) {
         for entry in list {
             let id = MachineId(entry.id.as_str().into());
--- a/src/cluster/termination.rs
+++ b/src/cluster/termination.rs
@@ -16,11 +16,11 @@
     NewIncarnation,
     /// The cloud has confirmed that the machine is released.
     ReleaseConfirmed,
-    /// The lease of a fenced worker has expired during this leader's term.
+    /// The worker lease of a fenced machine has expired during this leader's term.
     WorkerLeaseExpired,
     /// The start was planned and never sent.
     NeverDispatched,
-    /// The worker reports that the task has exited.
+    /// A heartbeat shows that the task has exited.
     Exited,
 }
 
--- a/src/fleet/client.rs
+++ b/src/fleet/client.rs
@@ -18,7 +18,7 @@
 const PAGE_SIZE: usize = 500;
 /// The largest response body in bytes. A page of the machine list is the largest response; a
 /// machine takes about 200 bytes in it.
-const BODY_SIZE_MAX: usize = 1024 * 1024;
+const BODY_BYTES_MAX: usize = 1024 * 1024;
 
 /// The error of a request to the cloud.
 #[derive(Debug, Error, PartialEq)]
@@ -40,14 +40,14 @@
 /// A client of one cloud endpoint. Clones share the connections.
 #[derive(Clone)]
 pub struct CloudClient {
-    remote: HttpEndpoint,
+    endpoint: HttpEndpoint,
 }
 
 impl CloudClient {
     /// Creates a client that sends its requests to `address`.
     pub fn new(address: SocketAddrV4, http: Client) -> Self {
         Self {
-            remote: HttpEndpoint::new(address, http, BODY_SIZE_MAX),
+            endpoint: HttpEndpoint::new(address, http, BODY_BYTES_MAX),
         }
     }
 
@@ -63,7 +63,7 @@
             body,
             timeout: REQUEST_TIMEOUT,
         };
-        let response = self.remote.send(request).await;
+        let response = self.endpoint.send(request).await;
         let (status, body) = response.map_err(|_| CloudError::OutcomeUnknown)?;
         match status {
             200 => Ok(body),
--- a/src/fleet/demand.rs
+++ b/src/fleet/demand.rs
@@ -8,11 +8,12 @@
 
 /// The least number of arrivals from which the time between arrivals is estimated.
 const ARRIVALS_MIN: usize = 5;
-/// Time without arrivals, in mean times between two, after which the likelihood of more starts to
-/// decline. Random arrivals leave such a gap by chance one time in fifty.
+/// Time without arrivals, in multiples of the mean time between arrivals, after which the
+/// likelihood of more arrivals starts to decline. Random arrivals leave such a gap by chance one
+/// time in fifty.
 const DECLINE_START_GAPS: f64 = 4.0;
-/// Time without arrivals, in mean times between two, after which no more are expected. Random
-/// arrivals leave such a gap by chance one time in four hundred.
+/// Time without arrivals, in multiples of the mean time between arrivals, after which no more
+/// arrivals are expected. Random arrivals leave such a gap by chance one time in four hundred.
 const DECLINE_END_GAPS: f64 = 6.0;
 
 /// The spec of one job of a class, and the likelihood, from 0 to 1, that more arrive.
@@ -55,7 +56,7 @@
     }
 
     /// Returns the likelihood for the class of a job; 1 if the class has no recorded arrivals,
-    /// which gives no evidence either way.
+    /// since there is no evidence of a decline.
     pub(super) fn for_class(&self, spec: &JobSpec) -> f64 {
         let trend = self.0.get(spec.class.as_str());
         trend.map_or(1.0, |trend| trend.likelihood)
--- a/src/fleet/listing.rs
+++ b/src/fleet/listing.rs
@@ -1,8 +1,9 @@
 //! Reads the cloud's machine list page by page, within the cloud's rate limit.
 //!
-//! A list of 4,000 machines has more pages than the cloud accepts requests in one burst: read at
-//! once, it would be rejected every time. A listing therefore continues over several scaling
-//! cycles, and its result is used only when the last page has been read.
+//! A list of 4,000 machines has more pages than the number of requests that the cloud accepts in
+//! one burst. If all pages were requested at once, some would be rejected every time. A listing
+//! therefore continues over several scaling cycles, and its result is used only when the last page
+//! has been read.
 
 use std::time::{Duration, Instant};
 
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -31,7 +31,7 @@
 /// The most machines in one release request; a limit of the cloud's protocol.
 pub const RELEASE_SIZE_MAX: usize = 100;
 
-/// One request to the cloud that a scaling decision results in.
+/// One rental or release that a scaling decision results in.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ScalingAction {
     /// Rent this number of machines of a pool. It may exceed [`RENTAL_SIZE_MAX`].
--- a/src/fleet/partition.rs
+++ b/src/fleet/partition.rs
@@ -7,12 +7,12 @@
 use crate::cluster::{Cluster, Machine};
 
 /// The part of the fleet that must be responsive before the others may be declared failed. If fewer
-/// machines are, the fault is more likely on the side of this controller.
+/// machines are responsive, the fault is more likely on the side of this controller.
 const RESPONSIVE_PART_MIN: f64 = 0.5;
 /// The least number of unresponsive machines with which a zone may count as partitioned.
 const PARTITIONED_MACHINES_MIN: usize = 3;
-/// Unanswered status probes after which an unreconciled machine, which blocks jobs, is given no
-/// more time for its first heartbeat than [`heartbeat_delay_max`].
+/// Number of unanswered status probes after which an unreconciled machine, which blocks jobs, gets
+/// no more time for its first heartbeat than [`heartbeat_delay_max`].
 pub(super) const UNANSWERED_PROBES_MAX: u32 = 2;
 /// The longest time until a heartbeat arrives, in heartbeat intervals: one and a quarter intervals
 /// to the next heartbeat, the time to find a new leader, and the transmission.
@@ -49,9 +49,9 @@
     is_partitioned(cluster, ALL_ZONES, now)
 }
 
-/// Detects which zones are partitioned and whether this controller is isolated, and records it with
-/// the time. When a partition ends, the machines of a zone resume their heartbeats one after
-/// another; the record keeps the later half from being declared failed meanwhile.
+/// Detects which zones are partitioned and whether this controller is isolated, and records the
+/// time of each finding. When a partition ends, the machines of a zone resume their heartbeats one
+/// after another. The record keeps the later half of them from being declared failed meanwhile.
 pub fn detect_partitions(cluster: &mut Cluster, now: Instant) {
     let (mut machines, mut responsive) = (0, 0);
     for (_, unresponsive) in known_machines(cluster, now) {
@@ -72,15 +72,15 @@
 /// Returns the machines that should be sending heartbeats, and whether each is unresponsive.
 fn known_machines(cluster: &Cluster, now: Instant) -> impl Iterator<Item = (&Machine, bool)> {
     let timing = &cluster.timing;
-    let leading_for = now.saturating_duration_since(cluster.observing_since);
+    let observed_for = now.saturating_duration_since(cluster.observing_since);
     // An unreconciled machine counts as unresponsive before it may be declared failed. Otherwise a
     // new leader would release a partitioned zone machine by machine before it detects the
     // partition.
     let delay_max = heartbeat_delay_max(cluster);
     let first_heartbeat_overdue = move |machine: &Machine| {
         let probes_unanswered =
-            machine.unanswered_commands >= UNANSWERED_PROBES_MAX && leading_for > delay_max / 2;
-        probes_unanswered || leading_for > delay_max.min(timing.suspect_after)
+            machine.unanswered_commands >= UNANSWERED_PROBES_MAX && observed_for > delay_max / 2;
+        probes_unanswered || observed_for > delay_max.min(timing.suspect_after)
     };
     let known = cluster.machines.values().filter(|machine| {
         machine.last_heartbeat_at.is_some() || cluster.unreconciled.contains(&machine.id)
@@ -100,9 +100,9 @@
         unresponsive: usize,
     }
     let mut zones: HashMap<&str, Count> = HashMap::new();
-    // The zone of a machine that is known from its inventory record only is unknown. Most likely it
-    // has been terminated, and it blocks jobs that may run on it, so that an unknown zone never
-    // counts as partitioned.
+    // The zone of a machine that is known from its inventory record only is unknown. Most likely
+    // the machine has been terminated, and it blocks jobs that may run on it. An unknown zone
+    // therefore never counts as partitioned.
     for (machine, unresponsive) in machines.filter(|(machine, _)| !machine.zone.is_empty()) {
         let count = zones.entry(machine.zone.as_str()).or_default();
         count.machines += 1;
--- a/src/fleet/scale_in/failed.rs
+++ b/src/fleet/scale_in/failed.rs
@@ -10,10 +10,12 @@
 use crate::fleet::{Release, ReleaseReason};
 
 /// How long machines of a partitioned zone are kept, in worker leases. Their tasks are lost when
-/// the first lease expires. But booting replacements and pulling images again takes as long as most
-/// partitions last, and there are no replacements if all machines of a type are rented already.
+/// the first lease expires. However, booting replacements and pulling images again takes as long as
+/// most partitions last, and there are no replacements if all machines of a type are rented
+/// already.
 const PARTITION_TIMEOUT_LEASES: u32 = 4;
-/// A machine is released when its boot takes longer than its nominal boot time times this.
+/// A machine is released when its boot takes longer than its nominal boot time multiplied by this
+/// factor.
 const BOOT_TIMEOUT_FACTOR: f64 = 4.0;
 /// A machine is released when the cloud has listed it as running for this long without a heartbeat.
 const FIRST_HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(30);
@@ -65,14 +67,14 @@
                 .now
                 .saturating_duration_since(machine.cloud_status_since);
             let timed_out = running_for > FIRST_HEARTBEAT_TIMEOUT
-                && self.leading_for() > FIRST_HEARTBEAT_TIMEOUT;
+                && self.observed_for() > FIRST_HEARTBEAT_TIMEOUT;
             timed_out.then_some(ReleaseReason::NoFirstHeartbeat)
         } else {
             self.reason_while_booting()
         }
     }
 
-    fn leading_for(&self) -> Duration {
+    fn observed_for(&self) -> Duration {
         self.now
             .saturating_duration_since(self.cluster.observing_since)
     }
@@ -89,8 +91,8 @@
         }
     }
 
-    /// Whether the machine was up in an earlier term. Unlike an unreconciled machine, one that has
-    /// only an inventory record need not block any jobs.
+    /// Whether the machine was up in an earlier term. Unlike an unreconciled machine, a machine
+    /// that has only an inventory record may block no jobs.
     fn up_in_earlier_term(&self) -> bool {
         self.cluster.unreconciled.contains(&self.machine.id)
             || self.machine.inventory_record == Persistence::Written
@@ -125,7 +127,7 @@
         } else {
             self.failure_timeout()
         };
-        (self.leading_for() > timeout).then_some(ReleaseReason::NotReconciled)
+        (self.observed_for() > timeout).then_some(ReleaseReason::NotReconciled)
     }
 
     fn reason_while_booting(&self) -> Option<ReleaseReason> {
--- a/src/fleet/scale_out/bins.rs
+++ b/src/fleet/scale_out/bins.rs
@@ -10,8 +10,8 @@
 use crate::cluster::{Cluster, Machine};
 use crate::model::{MachineId, MachinePool, Resources};
 
-/// A machine that has been booting for longer than its nominal boot time times this is late. Its
-/// capacity no longer counts, unless too many machines of its pool are late.
+/// A machine that has been booting for longer than its nominal boot time multiplied by this factor
+/// is late. Its capacity no longer counts, unless too many machines of its pool are late.
 const LATE_BOOT_FACTOR: f64 = 1.8;
 /// The part of a pool's machines that may be replaced at once because they boot late; at least
 /// [`LATE_BOOTS_REPLACED_MIN`].
--- a/src/fleet/scale_out/mod.rs
+++ b/src/fleet/scale_out/mod.rs
@@ -106,8 +106,8 @@
         options::cheapest_first(&self.options, usable)
     }
 
-    /// Places unmet demand, and rents machines for what doesn't fit. A single-zone job without a
-    /// zone is placed in the cheapest one.
+    /// Places unmet demand, and plans rentals for the tasks that don't fit. A single-zone job
+    /// without a zone is placed in the cheapest one.
     pub(super) fn place(&mut self, demand: &UnmetDemand) {
         let spec = &demand.spec;
         let mut zone = demand.zone.clone();
@@ -127,8 +127,8 @@
         self.pack(spec, demand.tasks, &mut limits);
     }
 
-    /// Returns the zone in which the fewest tasks need a new machine, then the one of the lowest
-    /// price.
+    /// Returns the zone in which the fewest tasks need a new machine; among these, the zone with
+    /// the lowest price.
     fn cheapest_zone(&self, demand: &UnmetDemand) -> Option<String> {
         let spec = &demand.spec;
         let mut zones: Vec<&String> = self
@@ -166,7 +166,7 @@
         best.map(|(_, _, zone)| zone)
     }
 
-    /// Packs tasks into bins and rents for the rest.
+    /// Packs tasks into bins, and plans rentals for the rest.
     fn pack(&mut self, spec: &JobSpec, tasks: u32, limits: &mut PackingLimits) {
         let usable = self.usable_options(spec, limits.zone);
         let remaining = self.pack_into_bins(spec, tasks, &usable, limits);
@@ -220,7 +220,7 @@
         remaining
     }
 
-    /// Rents machines for the tasks, cheapest first, and packs the tasks into them.
+    /// Plans rentals of machines for the tasks, cheapest first, and packs the tasks into them.
     fn rent_for(
         &mut self,
         spec: &JobSpec,
--- a/src/fleet/scale_out/spare.rs
+++ b/src/fleet/scale_out/spare.rs
@@ -8,8 +8,8 @@
 use crate::fleet::IdlePolicy;
 use crate::model::JobSpec;
 
-/// Spare capacity covers the mean of what arrives while a machine boots, plus this many standard
-/// deviations.
+/// Spare capacity covers the mean number of tasks that arrive while a machine boots, plus this many
+/// standard deviations.
 const SPARE_DEVIATIONS: f64 = 3.0;
 /// The shortest time over which arrivals are averaged, so that the first arrivals under a new
 /// leader don't appear as a high rate. The longest is twice that.
@@ -23,7 +23,7 @@
 }
 
 impl<'a> ScaleOutPlanner<'a> {
-    /// Reserves capacity, and rents machines, for what may arrive while a machine boots, for
+    /// Reserves capacity, and plans rentals, for jobs that may arrive while a machine boots, for
     /// classes whose jobs have to start sooner than that.
     pub(in crate::fleet) fn reserve_spare_capacity(
         &mut self,
--- a/src/leader/election_state.rs
+++ b/src/leader/election_state.rs
@@ -27,8 +27,8 @@
     pub(super) keep_alive_limit: Duration,
     pub(super) heartbeat_staleness_limit: Duration,
     freshness: ReplicaFreshness,
-    /// When the first renewal after the lease last lapsed was sent. `None` until the first renewal of a
-    /// leadership.
+    /// When the first successful renewal since the lease last expired, by the clock of this process, was
+    /// sent. `None` until the first renewal of a leadership.
     renewed_without_gap_since: Option<Instant>,
     /// The lease under which this process campaigns or leads.
     lease: Option<HeldLease>,
@@ -59,7 +59,8 @@
         }
     }
 
-    /// The role at `now`. It changes with time alone, so that callers must query it for each action.
+    /// The role at `now`. It also changes without an event, as time passes, so that callers must query it for
+    /// each action.
     pub fn role(&self, now: Instant) -> Role {
         match (&self.leadership, &self.lease) {
             (Some(leadership), Some(lease)) => self.role_in_own_term(leadership, lease, now),
@@ -88,7 +89,7 @@
         Role::Follower(None)
     }
 
-    /// The observed leader with the highest term; `None` if that leader is this process.
+    /// The observed leader with the highest term; `None` if there is none or it is this process.
     fn leader_hint(&self) -> Option<LeaderHint> {
         let recorded = self.recorded_leader.as_ref().map(|record| LeaderHint {
             term: record.term,
@@ -129,9 +130,9 @@
             .allows_starts(self.start_staleness_limit, now)
     }
 
-    /// Whether this process should hand over because renewals succeed while reads fail. This holds after
-    /// half of the time for which a stale replica still allows heartbeats to be answered, so that workers
-    /// reach another controller before their leases expire.
+    /// Whether this process should hand over because renewals succeed while reads fail. This holds once both
+    /// have lasted for half of the staleness limit for heartbeats, so that agents reach another controller
+    /// before the worker leases expire.
     pub fn replica_too_stale_to_lead(&self, now: Instant) -> bool {
         let limit = self.heartbeat_staleness_limit / 2;
         let renewed_beyond_limit = self
--- a/src/leader/freshness.rs
+++ b/src/leader/freshness.rs
@@ -2,13 +2,13 @@
 
 use std::time::{Duration, Instant};
 
-/// The time up to which the replica is known to be complete. No other state records this: the replica,
-/// and the cluster state derived from it, contain everything that any controller confirmed to a client
-/// before the newest answered read was sent.
+/// The staleness bound of the replica, which no other state records. The replica, and the cluster state
+/// derived from it, contain everything that any controller confirmed to a client before the newest successful
+/// read was sent.
 ///
-/// Lease renewals do not confirm the replica. A key-value store that first refuses only this process and
-/// then all processes grants every lease its full duration again afterwards. A former leader then
-/// renews its lease successfully while its replica is as old as the first refusal.
+/// Lease renewals do not confirm the replica. If the key-value store first refuses only this process and then
+/// all processes, every lease gets its full duration again after this outage. A former leader then renews its
+/// lease successfully while its replica is as old as the first refusal.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ReplicaFreshness {
     /// When the newest read whose response was applied completely was sent.
--- a/src/leader/lease.rs
+++ b/src/leader/lease.rs
@@ -24,12 +24,13 @@
     }
 
     /// When the newest successful renewal, or else the grant, was sent. This process counts the lease
-    /// duration from this time; the store executed the request later, and the lease cannot expire earlier.
+    /// duration from this time. The store executes the request later, so that the lease cannot expire before
+    /// this process treats it as expired.
     pub fn renewal_sent_at(&self) -> Instant {
         self.renewal_sent_at
     }
 
-    /// Time since the newest successful renewal was sent.
+    /// Time since the newest successful renewal, or else the grant, was sent.
     pub(super) fn age(&self, now: Instant) -> Duration {
         now.saturating_duration_since(self.renewal_sent_at)
     }
--- a/src/leader/role.rs
+++ b/src/leader/role.rs
@@ -32,15 +32,17 @@
 
 use crate::model::Term;
 
-/// The actions that this process may take.
+/// The role of this process, which determines the actions that it may take.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Role {
     /// It may make all decisions and send all messages. Starts also need a fresh replica.
     Leader(Leadership),
-    /// It may extend the workers' leases and stop tasks, but start none. Its lease has expired by its own
-    /// clock, and a newer leader waits for longer than this role lasts.
+    /// It may extend worker leases and terminate tasks, but start none. The lease of this process has expired
+    /// by its own clock. A newer leader waits for longer than this role lasts before it treats inherited
+    /// worker leases as expired.
     KeepAlive(Term),
-    /// It may only redirect requests to that leader. `None` if no leader is known.
+    /// It makes no scheduling decisions. It redirects or forwards heartbeats to that leader; `None` if no
+    /// leader is known.
     Follower(Option<LeaderHint>),
 }
 
--- a/src/leader/tests.rs
+++ b/src/leader/tests.rs
@@ -39,7 +39,7 @@
     assert_eq!(
         election.role(outage_end),
         Role::Follower(None),
-        "heartbeats must not be answered either"
+        "responses to heartbeats must not be allowed either"
     );
     assert!(election.needs_confirming_read(outage_end));
     election.freshness().confirm(outage_end);
@@ -58,7 +58,7 @@
     election.freshness().confirm(at(400));
     assert!(
         election.leadership(at(600)).is_some(),
-        "heartbeats are still answered and tasks stopped"
+        "responses to heartbeats and terminations of tasks are still allowed"
     );
     assert!(election.leadership_for_starts(at(600)).is_none());
     assert!(election.needs_confirming_read(at(600)));
@@ -67,10 +67,10 @@
     assert!(!election.needs_confirming_read(at(800)));
 }
 
-/// Renewals succeed while reads fail: starts end at the staleness limit for starts and responses to
-/// heartbeats at the one for heartbeats, and the leader hands over before the latter.
+/// Renewals succeed while reads fail. Starts end at the staleness limit for starts, responses to heartbeats
+/// end at the limit for heartbeats, and the leader hands over before the latter.
 #[test]
-fn leader_with_failing_reads_hands_over_before_it_stops_answering_heartbeats() {
+fn leader_with_failing_reads_hands_over_before_responses_to_heartbeats_end() {
     let start = Instant::now();
     let mut election = election(start);
     let mut handover_age = None;
@@ -134,9 +134,9 @@
     assert_eq!(election.role(now), Role::Follower(None));
 }
 
-/// On a site of small machines, three leaders in succession lost their leases within twelve seconds
-/// under little load, each during the burst of workers that connected to it. Such a burst delays the
-/// responses to renewals.
+/// On a site of small machines, three leaders in succession lost their leases within twelve seconds under
+/// little load, each during the burst of agents that connected to it. Such a burst delays the responses to
+/// renewals.
 #[test]
 fn renewals_answered_out_of_order_count_from_when_the_newest_was_sent() {
     let start = Instant::now();
--- a/src/model.rs
+++ b/src/model.rs
@@ -108,8 +108,8 @@
 )]
 pub struct Term(pub u64);
 
-/// The fencing token by which workers reject commands of deposed leaders: a term, then a counter. A
-/// leader may raise the counter for one machine, which makes the worker send a heartbeat at once.
+/// The fencing token by which agents reject commands of deposed leaders: a term, then a counter. A
+/// leader may raise the counter for one machine, which makes the agent send a heartbeat at once.
 /// Tokens of a later term are higher than all tokens of an earlier one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FencingToken(pub u64);
@@ -149,13 +149,13 @@
 /// Priority class, lowest first, so that the derived order is that of the priorities.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Priority {
-    /// `best_effort`
+    /// In submissions `best_effort`. A price cap applies to jobs of this class.
     BestEffort,
-    /// `standard`
+    /// In submissions `standard`.
     Standard,
-    /// `urgent`
+    /// In submissions `urgent`.
     Urgent,
-    /// `prod`
+    /// In submissions `prod`.
     Production,
 }
 
@@ -258,7 +258,7 @@
     pub image: String,
     /// The size of the image in GB.
     pub image_gb: f64,
-    /// The owner's estimate of a task's run time, in seconds; 0: none.
+    /// The user's estimate of a task's run time, in seconds; 0: none.
     pub estimate_s: f64,
     /// Seconds of progress between two checkpoints; 0: no checkpoints.
     #[serde(rename = "checkpoint_s")]
@@ -287,11 +287,11 @@
 
     /// The grace period for writing a last checkpoint, in seconds.
     pub fn checkpoint_grace_s(&self) -> f64 {
-        // One extra second, so that rounding on the way to the worker never makes it too short.
+        // One extra second, so that rounding on the way to the agent never makes it too short.
         self.checkpoint_cost_s + 1.0
     }
 
-    /// The owner's estimate as a duration.
+    /// The user's estimate of a task's run time; zero if there is none.
     pub fn estimate(&self) -> Duration {
         crate::time::secs(self.estimate_s)
     }
--- a/src/model/tests.rs
+++ b/src/model/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// Workers compare tokens by their numeric value alone, so the tokens of two terms must never
+/// Agents compare tokens by their numeric value alone, so the tokens of two terms must never
 /// overlap, however often a token is raised.
 #[test]
 fn tokens_of_a_later_term_exceed_all_tokens_of_an_earlier_term() {
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -80,10 +80,10 @@
     /// Whether this usage is within the limit of the team's quota. A team removed from the settings
     /// has no limit, since its accepted jobs still have to run.
     pub fn within_limit(&self, team: &str, used: &Resources) -> bool {
-        self.teams.get(team).is_none_or(|t| {
+        self.teams.get(team).is_none_or(|quota| {
             let limit = Resources {
-                cpus: unlimited_if_zero(t.cpus_max),
-                gpus: unlimited_if_zero(t.gpus_max),
+                cpus: unlimited_if_zero(quota.cpus_max),
+                gpus: unlimited_if_zero(quota.gpus_max),
                 memory: f64::INFINITY,
             };
             used.fits(&limit)
@@ -99,24 +99,24 @@
 
     /// Whether this usage exceeds the team's guarantee of any resource that the task uses.
     pub fn exceeds_guarantee(&self, team: &str, used: &Resources, task: &Resources) -> bool {
-        self.teams.get(team).is_none_or(|t| {
+        self.teams.get(team).is_none_or(|quota| {
             let exceeds = |used: f64, guaranteed: f64, task: f64| task > 0.0 && used > guaranteed;
-            let managed = t.cpus > 0.0 || t.cpus_max > 0.0;
-            (managed && exceeds(used.cpus, t.cpus, task.cpus))
-                || exceeds(used.gpus, t.gpus, task.gpus)
+            let manages_cpus = quota.cpus > 0.0 || quota.cpus_max > 0.0;
+            (manages_cpus && exceeds(used.cpus, quota.cpus, task.cpus))
+                || exceeds(used.gpus, quota.gpus, task.gpus)
         })
     }
 
     /// Whether this usage is within the team's guarantee.
     pub fn within_guarantee(&self, team: &str, used: &Resources) -> bool {
-        self.teams.get(team).is_some_and(|t| {
-            let managed = t.cpus > 0.0 || t.gpus > 0.0;
+        self.teams.get(team).is_some_and(|quota| {
+            let has_guarantee = quota.cpus > 0.0 || quota.gpus > 0.0;
             let limit = Resources {
-                cpus: unlimited_if_zero(t.cpus),
-                gpus: unlimited_if_zero(t.gpus),
+                cpus: unlimited_if_zero(quota.cpus),
+                gpus: unlimited_if_zero(quota.gpus),
                 memory: f64::INFINITY,
             };
-            managed && used.fits(&limit)
+            has_guarantee && used.fits(&limit)
         })
     }
 }
--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-/// An objective that allows several boots before a start must not keep machines idle: that took 8%
-/// of a day's cost at Brackenridge, for a class that can wait for a boot.
+/// An objective that allows several boots before a start must not keep machines idle: at one site,
+/// idle machines took 8% of a day's cost for a class that can wait for a boot.
 #[test]
 fn only_start_objectives_below_a_few_boot_times_need_spare_capacity() {
     let text = include_str!("../../deploy/example.toml");
--- a/src/sched/allocate.rs
+++ b/src/sched/allocate.rs
@@ -10,13 +10,14 @@
 use crate::cluster::{ImageId, InstancePhase, Job, PoolId};
 use crate::model::{JobSpec, MachineId, Resources};
 
-/// Penalty for a machine all of whose capacity would stay unused, in seconds of pulling an image. A
-/// part that stays unused counts in proportion.
+/// Penalty, in seconds of pulling an image, for a machine all of whose capacity would stay unused.
+/// A part that stays unused counts in proportion.
 const FRAGMENTATION_PENALTY_S: f64 = 6.0;
 /// Factor on the remaining time of a concurrent pull of another image. Each of the two pulls delays
 /// the other.
 const CONCURRENT_PULL_FACTOR: f64 = 1.5;
-/// Penalty for capacity that a class of higher priority could use, and would have to preempt later.
+/// Penalty for capacity that a class of higher priority could use, and that it would have to free
+/// by preemption later.
 const CONTENTION_PENALTY_S: f64 = 15.0;
 /// Penalty for an on-demand machine, so that a spot machine is preferred.
 const ON_DEMAND_PENALTY_S: f64 = 2.0;
@@ -242,8 +243,8 @@
     pools: &[PoolId],
     capacity: &CapacityIndex,
 ) -> BinaryHeap<Candidate> {
-    // Machines on which this job failed are excluded, unless it failed on as many as take tasks
-    // now.
+    // Machines on which this job failed are excluded, unless it failed on at least as many machines
+    // as take tasks now.
     let all_failed = capacity.machines.len() <= job.failed_on.len();
     let eligible =
         |i: &usize| all_failed || !job.failed_on.contains(&capacity.machines[*i].machine.id);
@@ -357,7 +358,7 @@
     let occupied: HashSet<&str> = placements_by_zone(view.cluster, job).into_keys().collect();
     if !occupied.is_empty() {
         // A single-zone job must not have tasks in several zones. If it has, nothing is started
-        // until all but one zone are free of them.
+        // until only one zone has any.
         let mut zones: Vec<_> = occupied
             .into_iter()
             .map(|zone| Some(zone.to_owned()))
--- a/src/sched/cycle.rs
+++ b/src/sched/cycle.rs
@@ -106,7 +106,7 @@
             &missing,
             &self.capacity,
         );
-        // The gang can start when allocated, placed and succeeded members together reach the
+        // The gang can start when allocated, placed and completed members together reach the
         // minimum.
         let allocated = allocation.members.len() as u32;
         let placed = job.placements.len() as u32;
@@ -261,7 +261,7 @@
     };
     let mut placements = job.placements.values().flatten();
     let has_other_attempts = placements.any(|placement| placement.attempt != attempt);
-    // A gang that has run can't continue with fewer running and succeeded members than the minimum.
+    // A gang that has run can't continue with fewer placed and completed members than the minimum.
     let remaining = job.placements.len() as u32 + job.done.len();
     let below_minimum = job.seen_running && remaining < job.spec.min_running_tasks();
     (!has_other_attempts && !below_minimum).then_some(AttemptChoice::Current(attempt))
--- a/src/sched/decisions.rs
+++ b/src/sched/decisions.rs
@@ -9,7 +9,8 @@
 use crate::pending_reason::PendingReason;
 
 /// How long capacity freed by preemption stays reserved for the gang it was freed for. It covers
-/// saving checkpoints, termination, and the heartbeats that report it, on the slowest machine.
+/// saving checkpoints, terminating tasks, and the heartbeats that show the termination, on the
+/// slowest machine.
 const RESERVATION_LIFETIME: Duration = Duration::from_secs(20);
 
 /// The attempt under which tasks start.
@@ -24,7 +25,7 @@
 /// Tasks of one job that start together, under one attempt.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Start {
-    /// The job of all the tasks.
+    /// The job that all the tasks belong to.
     pub job: JobId,
     /// [`apply`] allocates the number of a new attempt.
     pub attempt: AttemptChoice,
@@ -81,7 +82,7 @@
 pub struct PendingJob {
     /// The job, at most once per cycle.
     pub job: JobId,
-    /// Operators see it in the status of the job.
+    /// The reason, which the status of the job shows to operators.
     pub reason: PendingReason,
 }
 
--- a/src/sched/drain.rs
+++ b/src/sched/drain.rs
@@ -12,9 +12,9 @@
 /// command is lost.
 const TERMINATION_LATENCY: Duration = Duration::from_secs(3);
 
-/// Terminates tasks on machines that are drained or have received a spot reclaim notice. Tasks that
-/// have not started are terminated at once, tasks that can save a checkpoint while there is time
-/// to. Running tasks that can't are left alone, since they may still complete.
+/// Terminates tasks on machines that are drained or have received a spot notice. Tasks that have
+/// not started are terminated at once. Tasks that can save a checkpoint are terminated while there
+/// is time for it. Other running tasks continue, since they may still complete.
 pub(super) fn evict_from_draining_machines(
     cluster: &Cluster,
     decisions: &mut Decisions,
@@ -61,7 +61,7 @@
         return !started || job.spec.can_checkpoint();
     };
     if !started {
-        // A task that starts on another machine now need not start a second time.
+        // If the task starts on another machine now, it need not start a second time.
         return true;
     }
     // The task may still complete before it has to start saving a checkpoint. A task that can't
--- a/src/sched/order.rs
+++ b/src/sched/order.rs
@@ -15,8 +15,8 @@
 /// freed.
 const START_DEADLINE_DIVISOR: u32 = 2;
 
-/// For classes without deadline objectives: a second objective after the deadline, as a factor of
-/// it. A job that misses its deadline by less still meets one objective.
+/// A second objective after the deadline, as a factor of the deadline, for classes without deadline
+/// objectives. A job that misses its deadline but completes by this time still meets one objective.
 const DEADLINE_GRACE_FACTOR: f64 = 1.5;
 
 /// A job in the queue, with what its position depends on.
--- a/src/sched/preempt/guarantee.rs
+++ b/src/sched/preempt/guarantee.rs
@@ -25,8 +25,8 @@
     entry.guaranteed && waiting_time >= delay
 }
 
-/// Whether the victim's team would still exceed its guarantee after the loss of one task of the
-/// victim.
+/// Whether the victim's team would still exceed its guarantee after the termination of one task of
+/// the victim.
 pub(super) fn exceeds_guarantee_without(
     view: SchedulingView,
     team_use: &HashMap<&str, Resources>,
--- a/src/sched/preempt/releases.rs
+++ b/src/sched/preempt/releases.rs
@@ -27,8 +27,8 @@
         let allowed = |zone: &String| spec.allows(&machine_type.name, zone, false);
         spec.task_resources.fits(&machine_type.capacity) && machine_type.zones.iter().any(allowed)
     });
-    let fetch_rates = usable.map(|machine_type| machine_type.pull_gb_per_s.max(f64::MIN_POSITIVE));
-    let slowest_rate = fetch_rates.fold(f64::INFINITY, f64::min);
+    let pull_rates = usable.map(|machine_type| machine_type.pull_gb_per_s.max(f64::MIN_POSITIVE));
+    let slowest_rate = pull_rates.fold(f64::INFINITY, f64::min);
     let pull_s = spec.image_gb / slowest_rate;
     let wait_s = (time_left.as_secs_f64() - pull_s - RELEASE_WAIT_MIN_S).max(RELEASE_WAIT_MIN_S);
     match policy.guarantee_objective {
--- a/src/sched/preempt/victims.rs
+++ b/src/sched/preempt/victims.rs
@@ -85,11 +85,14 @@
             victims: Vec::new(),
             reserved: BTreeMap::new(),
         };
-        let mut victims: HashSet<(MachineId, InstanceId)> = HashSet::new();
+        let mut planned_victims: HashSet<(MachineId, InstanceId)> = HashSet::new();
         let mut options: BinaryHeap<Reverse<PreemptionOption>> = BinaryHeap::new();
         let machines = self.capacity.machines.iter().enumerate();
         for (index, _) in machines.filter(|(_, machine)| pools.contains(&machine.pool)) {
-            options.extend(self.cheapest_option(index, &plan, &victims).map(Reverse));
+            options.extend(
+                self.cheapest_option(index, &plan, &planned_victims)
+                    .map(Reverse),
+            );
         }
         while plan.served < tasks {
             let Some(Reverse(best)) = options.pop() else {
@@ -98,15 +101,18 @@
             let index = best.machine_index;
             // Victims selected since this option was computed may have brought a team down to its
             // guarantee.
-            match self.cheapest_option(index, &plan, &victims) {
+            match self.cheapest_option(index, &plan, &planned_victims) {
                 Some(current) if current.victims == best.victims => {}
                 changed => {
                     options.extend(changed.map(Reverse));
                     continue;
                 }
             }
-            self.add_to_plan(best, &mut plan, &mut victims);
-            options.extend(self.cheapest_option(index, &plan, &victims).map(Reverse));
+            self.add_to_plan(best, &mut plan, &mut planned_victims);
+            options.extend(
+                self.cheapest_option(index, &plan, &planned_victims)
+                    .map(Reverse),
+            );
         }
         (plan.served > 0).then_some(plan)
     }
@@ -115,7 +121,7 @@
         &self,
         option: PreemptionOption,
         plan: &mut PreemptionPlan,
-        victims: &mut HashSet<(MachineId, InstanceId)>,
+        planned_victims: &mut HashSet<(MachineId, InstanceId)>,
     ) {
         let machine = &self.capacity.machines[option.machine_index].machine.id;
         plan.served += 1;
@@ -131,7 +137,7 @@
                     team_use.sub(&job.spec.task_resources);
                 }
             }
-            victims.insert((machine.clone(), instance.clone()));
+            planned_victims.insert((machine.clone(), instance.clone()));
             plan.victims.push((machine.clone(), instance));
         }
     }
@@ -142,7 +148,7 @@
         &self,
         index: usize,
         plan: &PreemptionPlan,
-        victims: &HashSet<(MachineId, InstanceId)>,
+        planned_victims: &HashSet<(MachineId, InstanceId)>,
     ) -> Option<PreemptionOption> {
         let machine = self.capacity.machines[index].machine;
         let catalog = self.view.cluster.catalog();
@@ -150,7 +156,7 @@
         let job = self.preemptor.job;
         let needed = &job.spec.task_resources;
         let (mut free, mut victim_candidates) =
-            self.victim_candidates(machine, machine_type, plan, victims)?;
+            self.victim_candidates(machine, machine_type, plan, planned_victims)?;
         victim_candidates.sort_by(|a, b| a.lost_work_s.total_cmp(&b.lost_work_s));
         let mut lost_work_s = 0.0;
         let mut victims = Vec::new();
@@ -178,7 +184,7 @@
         machine: &'m Machine,
         machine_type: &MachineType,
         plan: &PreemptionPlan,
-        victims: &HashSet<(MachineId, InstanceId)>,
+        planned_victims: &HashSet<(MachineId, InstanceId)>,
     ) -> Option<(Resources, Vec<VictimCandidate<'m>>)> {
         let SchedulingView { cluster, now, .. } = self.view;
         let reserved = plan.reserved.get(&machine.id);
@@ -191,7 +197,7 @@
             let spec = instance.spec.as_ref()?;
             let is_victim = || {
                 let key = (machine.id.clone(), id.clone());
-                victims.contains(&key) || self.victims.contains(&key)
+                planned_victims.contains(&key) || self.victims.contains(&key)
             };
             if instance.termination.is_some() || is_victim() {
                 continue;
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -38,7 +38,7 @@
 /// A client of the key-value store. Clones share the connections.
 #[derive(Clone)]
 pub struct StoreClient {
-    remote: HttpEndpoint,
+    endpoint: HttpEndpoint,
     response_timeout: Duration,
 }
 
@@ -76,7 +76,7 @@
     pub fn new(settings: &Settings, http: Client) -> Self {
         let body_bytes_max = response_bytes_max(settings.params.resources.mem_mb);
         Self {
-            remote: HttpEndpoint::new(settings.external.store, http, body_bytes_max),
+            endpoint: HttpEndpoint::new(settings.external.store, http, body_bytes_max),
             response_timeout: RESPONSE_TIMEOUT.mul_f64(timeout_factor(settings)),
         }
     }
@@ -86,16 +86,16 @@
         method: Method,
         path: &str,
         body: Option<Vec<u8>>,
-        limit: Duration,
+        response_timeout: Duration,
     ) -> Result<(u16, Vec<u8>), StoreError> {
         let request = OutgoingRequest {
             method,
             path,
             body,
-            timeout: limit,
+            timeout: response_timeout,
         };
-        let response = self.remote.send(request).await;
-        response.map_err(|failure| match failure {
+        let response = self.endpoint.send(request).await;
+        response.map_err(|error| match error {
             RequestError::NoResponse => StoreError::OutcomeUnknown,
             RequestError::ResponseTooLarge => StoreError::ResponseTooLarge,
         })
@@ -180,21 +180,21 @@
         Self::decode_ok(response.await?)
     }
 
-    /// Watches the keys with a prefix: the store responds once there are changes after the revision
-    /// `after`, or after `timeout`. Without a response within `limit` the outcome is unknown.
+    /// Watches the keys with a prefix: the store responds once there are changes after the revision `after`,
+    /// or after `timeout`. Without a response within `response_timeout` the outcome is unknown.
     pub async fn watch(
         &self,
         prefix: &str,
         after: u64,
         timeout: Duration,
-        limit: Duration,
+        response_timeout: Duration,
     ) -> Result<WatchResponse, StoreError> {
         let path = format!(
             "/follow?under={prefix}&after={after}&holdMs={}",
             timeout.as_millis()
         );
-        let response = match self.call(Method::GET, &path, None, limit).await {
-            // Each page of a complete read is within the limit on a response.
+        let response = match self.call(Method::GET, &path, None, response_timeout).await {
+            // The caller then reads all keys page by page, and each page is within the limit on a response.
             Err(StoreError::ResponseTooLarge) => return Err(StoreError::HistoryCompacted),
             response => response?,
         };
@@ -211,17 +211,21 @@
         Ok(response.lease)
     }
 
-    /// Renews a lease for its full duration. Without a response within `limit` the outcome is unknown.
-    pub async fn renew(&self, lease: u64, limit: Duration) -> Result<(), StoreError> {
+    /// Renews a lease for its full duration. Without a response within `response_timeout` the outcome is
+    /// unknown.
+    pub async fn renew(&self, lease: u64, response_timeout: Duration) -> Result<(), StoreError> {
         let path = format!("/leases/{lease}/renew");
-        match self.call(Method::POST, &path, None, limit).await? {
+        match self
+            .call(Method::POST, &path, None, response_timeout)
+            .await?
+        {
             (200, _) => Ok(()),
             (status, body) => Err(Self::status_error(status, &body)),
         }
     }
 
-    /// Revokes a lease, with which the store deletes the attached keys. A lease that has ended already
-    /// counts as revoked.
+    /// Revokes a lease, so that the store deletes the attached keys. A lease that has ended already counts as
+    /// revoked.
     pub async fn revoke(&self, lease: u64) -> Result<(), StoreError> {
         let path = format!("/leases/{lease}");
         match self
--- a/src/store/commit_queue.rs
+++ b/src/store/commit_queue.rs
@@ -7,7 +7,7 @@
 use super::{Change, Transaction, TransactionOutcome, WritePriority};
 use crate::config::StoreSettings;
 
-/// Number of conditions that a transaction may have for each change that it may have.
+/// Largest number of conditions of a transaction, per change that the store's limit allows.
 pub(super) const CONDITIONS_PER_CHANGE: usize = 4;
 /// Largest estimated size of a batch. It is below the store's limit on a transaction, because the store
 /// measures sizes in an encoding other than the one that is sent.
--- a/src/store/commit_sender.rs
+++ b/src/store/commit_sender.rs
@@ -18,7 +18,7 @@
 const TRANSACTIONS_IN_FLIGHT_MAX: usize = 3;
 /// Number of times that a batch refused by the store's rate limit is sent again.
 const REFUSALS_MAX: u32 = 3;
-/// Time between such a refusal and the next attempt.
+/// Time between a refusal by the store's rate limit and the next attempt.
 const REFUSAL_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// Sends the queued transactions until the process ends. A batch is formed only when the rate limits allow
--- a/src/store/keys.rs
+++ b/src/store/keys.rs
@@ -116,7 +116,7 @@
 pub struct LeaderRecord {
     /// The leader's name, as in the settings.
     pub member: String,
-    /// The leader's address for users and workers.
+    /// The leader's address for users and agents.
     pub address: String,
     /// The term that began with the leader's election.
     pub term: Term,
@@ -166,7 +166,8 @@
     /// versions write [`DispatchedJobsRecord`]s.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub started: bool,
-    /// The only machines to which starts may have been sent; `None` means any machine.
+    /// The only machines to which starts may have been sent. `None` means any machine if `started` is true,
+    /// and no machine otherwise.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub hosts: Option<Vec<String>>,
 }
@@ -189,8 +190,7 @@
 /// Record below [`misdirected`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct MisdirectedRecord {
-    /// Misdirected heartbeats since the controller started: those that it answered with a status other than
-    /// 200.
+    /// Number of heartbeats since the controller started to which it responded with a status other than 200.
     #[serde(rename = "knocks")]
     pub count: u64,
 }
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,5 +1,5 @@
-//! The external key-value store: its protocol and limits, the keys and records, and the replica of
-//! them that every controller keeps up to date with a watch.
+//! The external key-value store: its protocol and limits, the keys and records, and the replica of them that
+//! every controller keeps up to date with a watch.
 //!
 //! Writes are compare-and-swap transactions: either all conditions on key versions hold, or nothing
 //! changes. Reads are served from the replica, after a linearizable read has brought it up to date.
@@ -37,7 +37,7 @@
     #[error("no response; the outcome of the request is unknown")]
     OutcomeUnknown,
     /// The response does not follow the protocol.
-    #[error("malformed response of the key-value store: {0}")]
+    #[error("malformed response from the key-value store: {0}")]
     MalformedResponse(String),
     /// The lease expired or was revoked.
     #[error("lease expired or was revoked")]
@@ -169,7 +169,7 @@
     Progress,
 }
 
-/// The outcome of a transaction, as far as this process can tell.
+/// The outcome of a transaction, as far as it is known to this process.
 #[derive(Debug, Clone, PartialEq)]
 pub enum TransactionOutcome {
     /// The store committed it at this revision.
--- a/src/store/shared_replica.rs
+++ b/src/store/shared_replica.rs
@@ -41,7 +41,8 @@
         self.read_requested.notify_one();
     }
 
-    /// Resolves once [`request_read`](Self::request_read) has been called since this last resolved.
+    /// Waits for a call of [`request_read`](Self::request_read). It returns at once if there was a
+    /// call since the last wait ended.
     pub(super) async fn wait_for_read_request(&self) {
         self.read_requested.notified().await;
     }
--- a/src/store/verdict_lookup.rs
+++ b/src/store/verdict_lookup.rs
@@ -46,8 +46,8 @@
     std::mem::replace(queries, rest)
 }
 
-/// The keys of those jobs that have a record. Each condition requires that a key does not exist, so that
-/// the conditions of these keys fail.
+/// The keys of those jobs that have a record. Each condition requires that the key of a job does not exist,
+/// so that the conditions on these keys fail.
 async fn existing_keys(
     context: &StoreContext,
     jobs: impl Iterator<Item = &JobId>,
--- a/src/store/watch.rs
+++ b/src/store/watch.rs
@@ -79,7 +79,7 @@
         match select(open_watch, read_requested).await {
             Either::Left((response, _)) => {
                 match &response {
-                    // A watch without a response is not reported as a failure: in an outage of the store
+                    // The observer is not notified of a watch without a response: in an outage of the store
                     // watches stay open, and only the failure of a read shows the outage.
                     Err(StoreError::OutcomeUnknown) => {}
                     response => {
@@ -107,8 +107,8 @@
     context.wait_for_limit(1.0, 0.0).await;
     let queries = context.pending_reads.take();
     let sent_at = Instant::now();
-    let limit = READ_TIMEOUT.mul_f64(context.timeout_factor);
-    let response = watch(context, Duration::ZERO, limit).await;
+    let response_timeout = READ_TIMEOUT.mul_f64(context.timeout_factor);
+    let response = watch(context, Duration::ZERO, response_timeout).await;
     context.notify_request(StoreOperation::Read, sent_at, response.as_ref().err());
     match response {
         Ok(response) => {
@@ -180,11 +180,13 @@
 async fn watch(
     context: &StoreContext,
     timeout: Duration,
-    limit: Duration,
+    response_timeout: Duration,
 ) -> Result<WatchResponse, StoreError> {
     let after = context.replica.lock().revision;
     let client = &context.client;
-    client.watch(keys::ROOT, after, timeout, limit).await
+    client
+        .watch(keys::ROOT, after, timeout, response_timeout)
+        .await
 }
 
 /// Applies the response to a watch or a read that was sent at `sent_at`, and notifies the observer.
--- a/src/timing.rs
+++ b/src/timing.rs
@@ -10,8 +10,8 @@
 /// Shortest leader lease. It is short enough for a quick failover after a crash, and long enough that a slow
 /// response of the key-value store or a late timer does not end the leadership.
 pub const LEADER_LEASE_MIN: Duration = Duration::from_secs(3);
-/// Processor time in seconds that a leader must get within one lease. All workers connect to a new leader at
-/// once, and a small machine does nothing else until it has handled them.
+/// Processor time in seconds that a leader must get within one lease. All agents connect to a new leader at
+/// once, and a controller on a small machine does nothing else until it has handled them.
 const RECONNECT_CPU_S: f64 = 0.12;
 /// Longest leader lease. An even slower failover would be worse than a lease that expires because the machine
 /// is slow.
@@ -40,12 +40,12 @@
 pub const LEADER_WATCH_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time after the timeout of a watch within which the response may still arrive.
 pub const WATCH_GRACE: Duration = Duration::from_millis(1500);
-/// Subtracted from the cancellation deadline for the staleness limit of heartbeats: timers may fire late,
-/// and a worker takes some time to kill its tasks.
+/// Subtracted from the cancellation deadline for the staleness limit of heartbeats: timers may fire late, and
+/// an agent takes some time to terminate its tasks.
 const CANCELLATION_MARGIN: Duration = Duration::from_secs(2);
 /// Staleness bound of the replica for starts. The newest confirmation may be as old as two watches and the
-/// grace of the second: a watch confirms the replica only as of its sending, and the next one may be
-/// answered late.
+/// grace of the second: a watch confirms the replica only as of its sending, and the response to the next one
+/// may be late.
 pub fn start_staleness_limit(timeout_factor: f64) -> Duration {
     LEADER_WATCH_TIMEOUT * 2 + WATCH_GRACE.mul_f64(timeout_factor)
 }
@@ -58,40 +58,41 @@
 
 /// Staleness bound of the replica for responses to heartbeats. A job may have been cancelled since the
 /// replica was last confirmed, and its tasks must have ended by the cancellation deadline. A response extends
-/// the worker's lease, and with it the time for which these tasks may run.
+/// the worker lease, and with it the time for which these tasks may run.
 pub fn heartbeat_staleness_limit(settings: &Settings) -> Duration {
     let workers = &settings.params.workers;
     let drift = workers.cancel_s * 2.0 * CLOCK_DRIFT;
     secs(workers.cancel_s - workers.lease_s - drift).saturating_sub(CANCELLATION_MARGIN)
 }
 
-/// Time after the end of its lease for which a keep-alive leader may answer heartbeats, however fresh its
+/// Time after the end of its lease for which a keep-alive leader may respond to heartbeats, however fresh its
 /// replica is. A new leader relies on this limit for machines from which it receives no heartbeats.
 pub fn keep_alive_limit(settings: &Settings) -> Duration {
     heartbeat_staleness_limit(settings).saturating_sub(FOLLOWER_WATCH_TIMEOUT + WATCH_GRACE)
 }
 
-/// Added to a worker's lease before the leader treats it as expired: timers may fire late, and the worker
-/// takes some time to kill its tasks.
+/// Added to a worker lease before the leader treats it as expired: timers may fire late, and the agent takes
+/// some time to terminate its tasks.
 const WORKER_LEASE_MARGIN: Duration = Duration::from_secs(1);
 /// Number of heartbeat intervals without a heartbeat after which a machine is suspected.
 const SUSPECT_INTERVALS: f64 = 2.5;
 /// Number of heartbeat intervals without a heartbeat after which a machine is declared failed and released.
 const FAILED_INTERVALS: f64 = 3.0;
-/// Durations for heartbeats, worker leases and gangs, derived from the settings of the workers.
+/// Durations for heartbeats, worker leases and gangs, derived from the settings for workers.
 #[derive(Clone, Debug)]
 pub struct WorkerTiming {
-    /// Time between two heartbeats of a worker.
+    /// Time between two heartbeats of an agent.
     pub heartbeat_interval: Duration,
-    /// Longest time for which a worker's lease may last, including clock drift and a margin.
+    /// Longest time for which a worker lease may last, including clock drift and a margin.
     pub lease: Duration,
     /// Time without a heartbeat after which a machine is suspected, so that no task is placed on it.
     pub suspect_after: Duration,
     /// Time without a heartbeat after which a machine is declared failed and released.
     pub failed_after: Duration,
-    /// Time from the failover until the tasks that an earlier leader started on a worker have ended with the
-    /// worker's lease, if no controller has answered the worker in the new term. The earlier leader may have
-    /// extended leases up to its keep-alive limit, and a lease counts from the answered heartbeat.
+    /// Time from the failover until the tasks that an earlier leader started on a machine have ended with the
+    /// worker lease, if no controller has responded to the agent in the new term. The earlier leader may have
+    /// extended worker leases up to its keep-alive limit, and a lease counts from the heartbeat that the
+    /// response belongs to.
     pub inherited_lease: Duration,
     /// Time within which the members of a gang detect the loss of another member.
     pub gang_loss_detection_time: Duration,
--- a/src/timing/tests.rs
+++ b/src/timing/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 /// On a site of small machines, three leaders in succession lost their leases within twelve seconds
-/// under little load, each during the burst of workers that connected to it.
+/// under little load, each during the burst of agents that connected to it.
 #[test]
 fn leader_lease_is_longer_on_a_small_machine() {
     let text = include_str!("../../deploy/example.toml");
