--- a/src/cluster/machine.rs
+++ b/src/cluster/machine.rs
@@ -159,12 +159,13 @@
     pub rented_at: Instant,
     /// Order of the last heartbeat within its current incarnation.
     pub(super) last_message: MessageOrder,
-    /// Highest token that it has shown or that this leader has used for it.
+    /// Highest token in its heartbeats or in this leader's messages to it.
     pub token: FencingToken,
-    /// Whether it has shown this term, so that it rejects commands of earlier leaders.
+    /// Whether its last heartbeat contained a token of this term, so that its agent rejects
+    /// commands of earlier leaders.
     pub fenced: bool,
-    /// Whether the cloud has named it and its last heartbeat showed no token and no tasks. Starts
-    /// may then be planned for it, and are sent once it is fenced.
+    /// Whether the cloud has named it and its last heartbeat contained no token and no tasks.
+    /// Starts may then be planned for it, and are sent once it is fenced.
     pub(super) never_fenced: bool,
     /// Whether a rental's response or the cloud's list has named it. A late copy of a heartbeat
     /// alone does not prove that the machine exists.
@@ -418,8 +419,9 @@
         self.update_load();
     }
 
-    /// Excludes the machine from starts after a response or command had no effect, until it shows a
-    /// raised token, which it can only have from a later response or command.
+    /// Excludes the machine from starts after a response or command had no effect, until a
+    /// heartbeat contains a raised token, which the agent can only have from a later response or
+    /// command.
     pub(super) fn require_confirmation(&mut self, now: Instant) {
         if let Some(raised) = self
             .token
--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -73,10 +73,10 @@
     pub timing: WorkerTiming,
     /// Jobs that have to run or may still have tasks on machines.
     pub jobs: BTreeMap<JobId, Job>,
-    /// Machines known from records, the cloud or heartbeats, and not confirmed terminated.
+    /// Machines known from records, the cloud or heartbeats whose release is not confirmed.
     pub machines: BTreeMap<MachineId, Machine>,
-    /// Machines of earlier terms that have not shown this term's token, may still hold a lease, and
-    /// are not confirmed terminated.
+    /// Machines of earlier terms that are not fenced, may still hold a worker lease, and whose
+    /// release is not confirmed.
     pub unreconciled: BTreeSet<MachineId>,
     /// Whether [`take_reconciliation_time`](Self::take_reconciliation_time) has returned the time
     /// until all of them were reconciled.
@@ -99,8 +99,8 @@
     /// Ratios of run time to estimate of the last tasks on any machine: the usual error of the
     /// estimates.
     slowdowns: VecDeque<f64>,
-    /// Terminated machines, whose late heartbeats must not add them again.
-    terminated_machines: BTreeSet<MachineId>,
+    /// Released machines, whose late heartbeats must not add them again.
+    released_machines: BTreeSet<MachineId>,
     /// When a zone last counted as partitioned. The caller uses a reserved name for all machines.
     zone_partitions: BTreeMap<String, Instant>,
     attempts_issued: u32,
--- a/src/cluster/reconcile/machine_status.rs
+++ b/src/cluster/reconcile/machine_status.rs
@@ -102,8 +102,8 @@
         }
     }
 
-    /// Applies the token that the machine shows, and whether it may hold tasks. Returns whether it
-    /// was busy before.
+    /// Applies the token in the heartbeat, and whether the machine may hold tasks. Returns whether
+    /// it was busy before.
     fn apply_token(&mut self, id: &MachineId, heartbeat: &Heartbeat) -> Option<bool> {
         let machine = self.machines.get_mut(id)?;
         let token = FencingToken(heartbeat.token);
--- a/src/cluster/reconcile/mod.rs
+++ b/src/cluster/reconcile/mod.rs
@@ -33,7 +33,7 @@
             return HeartbeatOrdering::Deposed;
         }
         let id = MachineId(heartbeat.machine.as_str().into());
-        if self.terminated_machines.contains(&id) || !self.is_newer(&id, heartbeat, source, now) {
+        if self.released_machines.contains(&id) || !self.is_newer(&id, heartbeat, source, now) {
             return HeartbeatOrdering::Older;
         }
         let Some(was_busy) = self.apply_machine_status(&id, heartbeat, now) else {
--- a/src/cluster/reconcile/ordering.rs
+++ b/src/cluster/reconcile/ordering.rs
@@ -43,7 +43,7 @@
 pub enum HeartbeatOrdering {
     /// It is newer than all before, and was applied.
     Newer,
-    /// It is outdated or a copy, or its machine is terminated. Nothing of it was applied.
+    /// It is outdated or a copy, or its machine is released. Nothing of it was applied.
     Older,
     /// The heartbeat shows a token of a later term than this leader's.
     Deposed,
--- a/src/cluster/records.rs
+++ b/src/cluster/records.rs
@@ -32,7 +32,7 @@
 pub struct MachineInventory {
     shards: BTreeMap<usize, BTreeSet<MachineId>>,
     machines_per_shard: usize,
-    /// Shards that differ from their records. Terminated machines are removed as promptly as others
+    /// Shards that differ from their records. Released machines are removed as promptly as others
     /// are added, since a new leader waits for every machine named.
     dirty: BTreeSet<usize>,
     writing: BTreeSet<usize>,
@@ -77,7 +77,7 @@
         self.dirty.insert(shard);
     }
 
-    /// Removes a terminated machine. The next write of its shard removes the name from the record.
+    /// Removes a released machine. The next write of its shard removes the name from the record.
     pub fn remove(&mut self, id: &MachineId) {
         for (shard, names) in &mut self.shards {
             if names.remove(id) {
--- a/src/cluster/recovery.rs
+++ b/src/cluster/recovery.rs
@@ -1,5 +1,5 @@
 //! Recovery of the cluster state by a new leader from the records. Machines of earlier terms stay
-//! unreconciled until they are fenced, terminated, or their leases have expired.
+//! unreconciled until they are fenced or released, or their worker leases have expired.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::time::{Duration, Instant, SystemTime};
@@ -52,7 +52,7 @@
             unpublished: UnpublishedChanges::default(),
             inherited_summaries: HashMap::new(),
             slowdowns: VecDeque::new(),
-            terminated_machines: BTreeSet::new(),
+            released_machines: BTreeSet::new(),
             zone_partitions: BTreeMap::new(),
             attempts_issued: 0,
             command_budget: commands::CommandBudget::new(settings.params.resources.cores, now),
@@ -106,7 +106,7 @@
             .removed_machines
             .iter()
             .filter(|id| !self.unreconciled.contains(*id));
-        self.terminated_machines.extend(removed.cloned());
+        self.released_machines.extend(removed.cloned());
     }
 
     /// Marks the machine as reconciled: no unknown task of an earlier term can be on it any more.
--- a/src/cluster/sync.rs
+++ b/src/cluster/sync.rs
@@ -149,8 +149,8 @@
         }
     }
 
-    /// Removes a machine that is confirmed terminated, and all tasks that were on it.
-    pub fn remove_terminated_machine(&mut self, id: &MachineId) {
+    /// Removes a machine whose release the cloud has confirmed, and all tasks that were on it.
+    pub fn remove_released_machine(&mut self, id: &MachineId) {
         if let Some(machine) = self.machines.remove(id) {
             for instance in machine.instances.keys() {
                 self.remove_placement(id, instance, TerminationEvidence::ReleaseConfirmed);
@@ -160,9 +160,9 @@
         self.unpublished.machines.insert(id.clone());
         self.inventory.remove(id);
         // Late heartbeats may still arrive and must not add the machine again.
-        self.terminated_machines.insert(id.clone());
-        if self.terminated_machines.len() > REMOVED_MACHINES_MAX {
-            self.terminated_machines.pop_first();
+        self.released_machines.insert(id.clone());
+        if self.released_machines.len() > REMOVED_MACHINES_MAX {
+            self.released_machines.pop_first();
         }
         self.scheduling_needed = true;
     }
@@ -171,7 +171,7 @@
     pub fn add_rented_machines(&mut self, names: &[String], pool: &MachinePool, now: Instant) {
         for name in names {
             let id = MachineId(name.as_str().into());
-            if self.terminated_machines.contains(&id) {
+            if self.released_machines.contains(&id) {
                 continue;
             }
             let machine = self.machines.entry(id.clone());
@@ -189,7 +189,7 @@
     pub fn apply_machine_list(&mut self, list: &[ListedMachine], now: Instant) {
         for entry in list {
             let id = MachineId(entry.id.as_str().into());
-            if self.terminated_machines.contains(&id) {
+            if self.released_machines.contains(&id) {
                 continue;
             }
             let machine = self.machines.entry(id.clone());
--- a/src/fleet/partition.rs
+++ b/src/fleet/partition.rs
@@ -101,7 +101,7 @@
     }
     let mut zones: HashMap<&str, Count> = HashMap::new();
     // The zone of a machine that is known from its inventory record only is unknown. Most likely
-    // the machine has been terminated, and it blocks jobs that may run on it. An unknown zone
+    // the machine no longer exists, and it blocks jobs that may run on it. An unknown zone
     // therefore never counts as partitioned.
     for (machine, unresponsive) in machines.filter(|(machine, _)| !machine.zone.is_empty()) {
         let count = zones.entry(machine.zone.as_str()).or_default();
--- a/src/fleet/scale_in/failed.rs
+++ b/src/fleet/scale_in/failed.rs
@@ -120,9 +120,9 @@
     /// heartbeat is enough if status probes were unanswered or the machine's zone is unknown.
     fn reason_if_not_reconciled(&self) -> Option<ReleaseReason> {
         let machine = self.machine;
-        let likely_terminated =
+        let likely_lost =
             machine.unanswered_commands >= UNANSWERED_PROBES_MAX || machine.zone.is_empty();
-        let timeout = if self.missing_heartbeats_are_evidence && likely_terminated {
+        let timeout = if self.missing_heartbeats_are_evidence && likely_lost {
             heartbeat_delay_max(self.cluster)
         } else {
             self.failure_timeout()
--- a/src/service/mod.rs
+++ b/src/service/mod.rs
@@ -166,7 +166,7 @@
     pub fn machines_released(&self, ids: &[MachineId]) {
         if let Some(cluster) = self.cluster.lock().as_mut() {
             for id in ids {
-                cluster.remove_terminated_machine(id);
+                cluster.remove_released_machine(id);
             }
         }
         self.wake_ups.scheduler.notify_one();
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -79,7 +79,7 @@
     assert_eq!(scene.cluster.unreconciled, written);
     // One machine that goes costs one shard, not all of them.
     let gone = MachineId("m-c000000n".into());
-    scene.cluster.remove_terminated_machine(&gone);
+    scene.cluster.remove_released_machine(&gone);
     let replica = scene.replica();
     assert_eq!(scene.cluster.due_writes(&replica, scene.now).len(), 1);
 }
@@ -268,11 +268,11 @@
 fn machines_that_are_gone_are_remembered_while_a_fleet_of_4000_is_replaced_twice() {
     let mut scene = reported(10);
     let first = MachineId("m-c000000n".into());
-    scene.cluster.remove_terminated_machine(&first);
+    scene.cluster.remove_released_machine(&first);
     for number in 0..2 * MACHINES {
         scene
             .cluster
-            .remove_terminated_machine(&MachineId(format!("m-z{number:06}").into()));
+            .remove_released_machine(&MachineId(format!("m-z{number:06}").into()));
     }
     const { assert!(REMOVED_MACHINES_MAX > 2 * MACHINES) };
     scene.heartbeat("m-c000000n", &[]);
--- a/tests/reports.rs
+++ b/tests/reports.rs
@@ -29,7 +29,7 @@
     s.round();
     s.note("a machine that was returned does not come back by a late report");
     s.cluster
-        .remove_terminated_machine(&MachineId("m-g1n".into()));
+        .remove_released_machine(&MachineId("m-g1n".into()));
     assert_eq!(
         s.report_as("m-g1n", (2, 2, 1), &[], true),
         HeartbeatOrdering::Older
@@ -183,7 +183,7 @@
     assert!(s.cluster.machines.values().all(|m| m.faults.is_empty()));
     s.note("a machine that was returned, then copies of what it said");
     s.cluster
-        .remove_terminated_machine(&MachineId("m-g2n".into()));
+        .remove_released_machine(&MachineId("m-g2n".into()));
     s.report_as(
         "m-g2n",
         (1, 90, 1),
--- a/tests/take_over.rs
+++ b/tests/take_over.rs
@@ -50,7 +50,7 @@
     let decisions = s.round();
     s.fleet(&decisions);
     s.cluster
-        .remove_terminated_machine(&MachineId("m-g2n".into()));
+        .remove_released_machine(&MachineId("m-g2n".into()));
     s.report_as("m-g3n", (1, 1, 1), &[], true);
     s.round();
     insta::assert_snapshot!(s.log);
@@ -152,7 +152,7 @@
     s.fleet(&decisions);
     s.note("its return is the proof");
     s.cluster
-        .remove_terminated_machine(&MachineId("m-g1n".into()));
+        .remove_released_machine(&MachineId("m-g1n".into()));
     s.heartbeat("m-g2n", &[]);
     s.round();
     insta::assert_snapshot!(s.log);
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -86,7 +86,7 @@
     s.round();
     s.note("one machine is returned; the other member is told to stop with time to save");
     s.cluster
-        .remove_terminated_machine(&MachineId("m-c2n".into()));
+        .remove_released_machine(&MachineId("m-c2n".into()));
     s.round();
     s.note("until it is gone nothing of the gang starts");
     s.heartbeat(
@@ -114,7 +114,7 @@
     s.heartbeat("m-c2n", &[]);
     s.heartbeat("m-c1n", &[("wk-000001/0", FIRST, GATHERING, None)]);
     s.cluster
-        .remove_terminated_machine(&MachineId("m-c2n".into()));
+        .remove_released_machine(&MachineId("m-c2n".into()));
     s.round();
     s.heartbeat("m-c3n", &[]);
     insta::assert_snapshot!(s.log);
@@ -128,7 +128,7 @@
         &[("wk-000001/0", FIRST, EXITED, Some(ExitCause::Done))],
     );
     s.cluster
-        .remove_terminated_machine(&MachineId("m-c2n".into()));
+        .remove_released_machine(&MachineId("m-c2n".into()));
     s.round();
     s.note("only the member without a result starts again; it need not wait for the other");
     insta::assert_snapshot!(s.log);
