--- a/src/actors/election.rs
+++ b/src/actors/election.rs
@@ -23,7 +23,7 @@
 use crate::timing::{leader_lease, lease_renewal_interval};
 use renewal::LeaseRenewals;
 
-/// A timer that fires this late shows that the process lacks processor time.
+/// A timer that fires later than this shows that the process lacks processor time.
 const LATE_TIMER_THRESHOLD: Duration = Duration::from_millis(250);
 /// Delay before the next attempt after a failed one. Where several controllers may retry at the same time,
 /// a random delay of up to the same length is added.
@@ -117,8 +117,8 @@
         }
     }
 
-    /// Recovers the cluster state, hands over leadership or renews the lease, when this process wrote the
-    /// leader's record.
+    /// Acts on a leader's record that this process wrote: recovers the cluster state, hands over leadership
+    /// or renews the lease.
     async fn act_as_leader(&self, leader: &Versioned<LeaderRecord>, revision: u64) -> Duration {
         let recovered = self.shared.election.lock().own_term().is_some();
         if !recovered && revision >= leader.version {
@@ -131,8 +131,9 @@
         self.renew_lease()
     }
 
-    /// Relinquishes the lease, if one is held, when another process wrote the leader's record, and
-    /// revokes the lease of that process if it was an earlier one of this controller.
+    /// Acts on a leader's record that another process wrote: relinquishes the lease of this process, if it
+    /// holds one. If an earlier process of this controller wrote the record, also revokes the lease of that
+    /// process.
     async fn act_as_follower(&self, leader: &LeaderRecord) -> Duration {
         self.relinquish_lease().await;
         if leader.member != self.shared.settings.member {
--- a/src/actors/election/handover.rs
+++ b/src/actors/election/handover.rs
@@ -7,14 +7,14 @@
 
 use super::Election;
 
-/// How long after a late timer missing heartbeats and stale reads are attributed to a lack of processor
-/// time in this process.
+/// Time after a late timer for which missing heartbeats and a stale replica are attributed to a lack of
+/// processor time in this process.
 const LATE_TIMER_GRACE: Duration = Duration::from_secs(10);
 
 impl Election {
-    /// Whether another controller should lead instead of this one: the replica is stale here only, the
-    /// agents reach other controllers, or another controller is better connected. Otherwise the agents'
-    /// leases would expire while the leader's lease is renewed.
+    /// Whether another controller should lead instead of this one: only this controller's replica is stale,
+    /// the agents reach other controllers, or another controller is better connected. Without a handover, the
+    /// worker leases would expire while the leader's lease is renewed.
     pub(super) fn should_hand_over(&self) -> bool {
         let now = Instant::now();
         // A handover does not help when processor time is short: the burst of reconnecting agents would
@@ -25,7 +25,7 @@
             return false;
         }
         let links = self.shared.links.active();
-        if links.is_some_and(|links| links.handovers_exhausted(now)) {
+        if links.is_some_and(|links| links.handover_limit_reached(now)) {
             return false;
         }
         let replica_stale = self.is_replica_stale_here_only(now);
--- a/src/actors/election/renewal.rs
+++ b/src/actors/election/renewal.rs
@@ -14,8 +14,8 @@
 use crate::store::actor::{SetLeading, StoreActor};
 use crate::store::StoreError;
 
-/// Most renewals in flight. A renewal without a response does not delay the next one, and a renewal
-/// counts from the time at which it was sent, even if its response is handled late.
+/// Maximum number of renewals in flight. A renewal without a response does not delay the next one, and a
+/// renewal counts from the time at which it was sent, even if its response is handled late.
 const RENEWALS_IN_FLIGHT_MAX: usize = 3;
 
 /// When the next renewal of a lease is due.
--- a/src/actors/fleet.rs
+++ b/src/actors/fleet.rs
@@ -51,8 +51,8 @@
     pool: MachinePool,
 }
 
-/// A release with an unknown outcome. The cloud may still execute it, so the machines get no tasks, and
-/// it is repeated until the cloud responds.
+/// A release with an unknown outcome. The cloud may still execute it, so the machines get no tasks, and the
+/// release is repeated until the cloud responds.
 struct PendingRelease {
     machines: Vec<MachineId>,
     reason: ReleaseReason,
@@ -235,7 +235,8 @@
         }
     }
 
-    /// Reads as many pages of the machine list as the rate limit allows without a wait, and at least one.
+    /// Reads as many pages of the machine list as the rate limit allows without a wait, and at least one if
+    /// the list is due.
     async fn read_machine_list(&mut self) {
         let cloud = &self.shared.settings.params.cloud;
         let (interval, rate) = (secs(cloud.list_lag_s), cloud.rps * CLOUD_RATE_FRACTION);
--- a/src/actors/forward.rs
+++ b/src/actors/forward.rs
@@ -115,9 +115,8 @@
                 let now = Instant::now();
                 let mut forwarding = self.shared.forwarding.lock();
                 forwarding.record_batch_failure(&leader, failure, now);
-                // The batch is dropped only after the failure is recorded: dropping it wakes the
-                // handlers that wait for it, and they read the state of the path to answer their
-                // agents.
+                // The batch is dropped only after the failure is recorded: dropping it wakes the handlers
+                // that wait for it, and they read the state of the path to respond to their agents.
                 drop(batch);
             }
         }
@@ -177,9 +176,9 @@
 
 /// Decodes the response to a batch. One of another version, or with another number of decisions than
 /// the batch has heartbeats, is rejected as a whole.
-fn decode_response(bytes: &[u8], heartbeats: usize) -> Result<BatchAnswer, UpstreamFailure> {
+fn decode_response(bytes: &[u8], heartbeat_count: usize) -> Result<BatchAnswer, UpstreamFailure> {
     let response: Option<BatchAnswer> = peer::decode(bytes);
     response
-        .filter(|answer| answer.version == BATCH_VERSION && answer.answers.len() == heartbeats)
+        .filter(|answer| answer.version == BATCH_VERSION && answer.answers.len() == heartbeat_count)
         .ok_or(UpstreamFailure::Unsupported)
 }
--- a/src/actors/links.rs
+++ b/src/actors/links.rs
@@ -24,7 +24,7 @@
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(900);
 /// Two ticks that are further apart than this show that the process was paused.
 const PROCESS_PAUSE_MIN: Duration = Duration::from_millis(2500);
-/// Backoff after a peer responded that it does not support rows.
+/// Backoff after a peer responded that it does not support rows or that links are disabled there.
 const UNSUPPORTED_BACKOFF: Duration = Duration::from_secs(30);
 
 /// A peer that receives rows.
@@ -34,17 +34,18 @@
     unsupported_until: Option<Instant>,
 }
 
-/// Sends rows only where the features file enables links.
+/// Sends rows and evaluates the links once per interval; started only if the features file enables links.
 pub struct LinksActor {
     shared: Arc<Shared>,
     store: Addr<StoreActor>,
     http: Client,
     peers: Vec<RowPeer>,
-    last_tick: Instant,
+    last_tick_at: Instant,
     probe_count: u64,
 }
 
-/// The named peer does not support rows. Sent to the actor by the task that awaited the peer's response.
+/// Message that the named peer accepts no rows, sent to the actor by the task that awaited the peer's
+/// response.
 #[derive(Message)]
 #[rtype(result = "()")]
 struct RowsUnsupported(String);
@@ -52,8 +53,8 @@
 impl LinksActor {
     /// Sends rows through `http` and writes probes through `store`.
     pub fn new(shared: Arc<Shared>, store: Addr<StoreActor>, http: Client) -> Self {
-        let known = shared.settings.peers.iter();
-        let peers = known.map(|peer| RowPeer {
+        let known_peers = shared.settings.peers.iter();
+        let peers = known_peers.map(|peer| RowPeer {
             member: peer.member.clone(),
             address: peer.peer_addr,
             unsupported_until: None,
@@ -63,7 +64,7 @@
             shared,
             store,
             http,
-            last_tick: Instant::now(),
+            last_tick_at: Instant::now(),
             probe_count: 0,
         }
     }
@@ -74,29 +75,29 @@
             return;
         };
         let now = Instant::now();
-        let paused = now.saturating_duration_since(self.last_tick) > PROCESS_PAUSE_MIN;
-        self.last_tick = now;
+        let paused = now.saturating_duration_since(self.last_tick_at) > PROCESS_PAUSE_MIN;
+        self.last_tick_at = now;
         if paused {
             active.resume_after_pause(now);
         }
         active.evaluate(now);
-        let leads = self.shared.election.lock().leadership(now);
-        if active.needs_write_probe(leads.is_some(), now) {
+        let own_leadership = self.shared.election.lock().leadership(now);
+        if active.needs_write_probe(own_leadership.is_some(), now) {
             self.probe_writes();
         }
         if self.peers.is_empty() {
             return;
         }
         let row = active.next_row(
-            leads.map(|leadership| leadership.term.0),
+            own_leadership.map(|leadership| leadership.term.0),
             now,
             SystemTime::now(),
         );
         let Some(body) = peer::encode(&row.to_message()).map(Bytes::from) else {
             return;
         };
-        let due = |peer: &&RowPeer| peer.unsupported_until.is_none_or(|until| now >= until);
-        for peer in self.peers.iter().filter(due) {
+        let is_due = |peer: &&RowPeer| peer.unsupported_until.is_none_or(|until| now >= until);
+        for peer in self.peers.iter().filter(is_due) {
             self.send_row(peer, body.clone(), address.clone());
         }
     }
--- a/src/actors/metrics.rs
+++ b/src/actors/metrics.rs
@@ -12,7 +12,7 @@
 /// Time between two log entries with metrics.
 const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Logs nothing if level debug is disabled when the actor starts.
+/// Logs all metrics at a regular interval, but only if level debug is enabled when the actor starts.
 pub struct MetricsActor {
     shared: Arc<Shared>,
 }
--- a/src/actors/peers/misdirected.rs
+++ b/src/actors/peers/misdirected.rs
@@ -11,8 +11,8 @@
 use crate::store::keys::{self, MisdirectedRecord};
 use crate::store::{to_value, Change, Condition, Transaction, WritePriority};
 
-/// Misdirected heartbeats are recorded in the key-value store when no summary of a leader has arrived
-/// for this long. A leader that is not disconnected from the store reads the record there.
+/// Misdirected heartbeats are recorded in the key-value store when no summary of a leader has arrived for
+/// this long. A leader that reaches the store reads the record there.
 const SUMMARY_TIMEOUT: Duration = Duration::from_secs(3);
 /// Shortest time between two such records of one controller, so that all controllers together cost one
 /// or two writes per second.
--- a/src/actors/peers/summaries.rs
+++ b/src/actors/peers/summaries.rs
@@ -19,7 +19,7 @@
     StateSummary, SummaryContents, SummaryRecipient, SummaryReply, SUMMARY_BYTES_MAX,
 };
 
-/// A peer with the state of what it has received.
+/// A peer, with the record of the summaries that it has received.
 struct SummaryPeer {
     member: String,
     address: SocketAddrV4,
@@ -96,8 +96,8 @@
         }
     }
 
-    /// At the start of a term the numbers begin again, and nothing is known of what the peers have
-    /// received.
+    /// Resets the numbers and the records of the peers if the term has changed: no peer has received a
+    /// summary of the new term.
     fn begin_term(&mut self, term: Term) {
         if term == self.term {
             return;
--- a/src/actors/scheduler.rs
+++ b/src/actors/scheduler.rs
@@ -37,7 +37,7 @@
 const CYCLE_PAUSE_MAX: Duration = Duration::from_secs(2);
 /// Backoff of all writes after one that failed.
 const WRITE_RETRY_DELAY: Duration = Duration::from_millis(400);
-/// Timeout for the response to a direct command. Without one the agent gets the command with the
+/// Timeout for the response to a direct command. Without a response, the agent gets the command with the
 /// response to its next heartbeat.
 const DIRECT_COMMAND_TIMEOUT: Duration = Duration::from_secs(2);
 
@@ -104,10 +104,11 @@
 /// Results of a scheduling cycle that are handled without the lock on the cluster state.
 struct CycleOutcome {
     direct_commands: Vec<AddressedCommand>,
-    /// Times from submission to the first running task, for the jobs for which it was reported since
-    /// the last cycle.
+    /// Times from submission to the first running task, for the jobs whose first running task appeared in a
+    /// heartbeat since the last cycle.
     start_waits: Vec<Duration>,
-    /// Time to reconcile all machines after a failover, in the cycle at which the reconciliation ended.
+    /// Time that the reconciliation of all machines after a failover took; only in the cycle in which it
+    /// ended.
     reconciled_after: Option<Duration>,
 }
 
@@ -275,9 +276,8 @@
         self.shared.wake_ups.scheduler.notify_one();
     }
 
-    /// Sends a direct command to an agent: terminations, or a higher token, to which the agent responds
-    /// with a heartbeat. A late or repeated command does no harm, since no attempt number is used
-    /// twice.
+    /// Sends a direct command to an agent: terminations, or only a higher token. The agent responds with a
+    /// heartbeat. A late or repeated command does no harm, since no attempt number is used twice.
     async fn send_command(self: Rc<Self>, command: AddressedCommand) {
         let AddressedCommand {
             machine,
--- a/src/admin_client.rs
+++ b/src/admin_client.rs
@@ -10,7 +10,7 @@
 
 use crate::cli::AdminAction;
 
-/// Time limit for a controller's response.
+/// Timeout for a controller's response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Largest response body: the status of 4,000 machines and 20,000 jobs takes about 6 MB.
 const RESPONSE_BYTES_MAX: usize = 64 * 1024 * 1024;
@@ -18,7 +18,7 @@
 /// Why an administration request failed.
 #[derive(Debug, Error)]
 pub enum AdminClientError {
-    /// The file with the settings to send can't be read.
+    /// The file with the settings to send cannot be read.
     #[error("cannot read settings from {path}: {source}")]
     UnreadableFile {
         /// The path as it was given.
@@ -27,26 +27,26 @@
         source: std::io::Error,
     },
     /// No response was received.
-    #[error("no response from {node}: {source}")]
+    #[error("no response from {controller}: {source}")]
     NoResponse {
         /// The controller to which the request was sent.
-        node: SocketAddrV4,
+        controller: SocketAddrV4,
         /// The error of the HTTP client.
         source: SendRequestError,
     },
     /// The response was truncated, or its body is too large.
-    #[error("incomplete response from {node}: {source}")]
+    #[error("incomplete response from {controller}: {source}")]
     IncompleteResponse {
         /// The controller to which the request was sent.
-        node: SocketAddrV4,
+        controller: SocketAddrV4,
         /// The error of the HTTP client.
         source: PayloadError,
     },
     /// The controller responded with an error status.
-    #[error("{node} rejected the request ({status}): {body}")]
+    #[error("{controller} rejected the request ({status}): {body}")]
     Rejected {
         /// The controller to which the request was sent.
-        node: SocketAddrV4,
+        controller: SocketAddrV4,
         /// The HTTP status of the response.
         status: StatusCode,
         /// The body of the response, which contains the reason.
@@ -103,13 +103,16 @@
     })
 }
 
-/// Sends the request for `action` to `node` and returns the body of the response.
-pub async fn execute(node: SocketAddrV4, action: AdminAction) -> Result<String, AdminClientError> {
+/// Sends the request for `action` to `controller` and returns the body of the response.
+pub async fn execute(
+    controller: SocketAddrV4,
+    action: AdminAction,
+) -> Result<String, AdminClientError> {
     let request = AdminRequest::for_action(action)?;
     let client = Client::builder().timeout(RESPONSE_TIMEOUT).finish();
     let outgoing = client.request(
         request.method,
-        format!("http://{node}/admin/{}", request.path),
+        format!("http://{controller}/admin/{}", request.path),
     );
     let sent = match request.body {
         Some(body) => outgoing.send_body(body),
@@ -117,16 +120,20 @@
     };
     let mut response = sent
         .await
-        .map_err(|source| AdminClientError::NoResponse { node, source })?;
+        .map_err(|source| AdminClientError::NoResponse { controller, source })?;
     let status = response.status();
     let body = response
         .body()
         .limit(RESPONSE_BYTES_MAX)
         .await
-        .map_err(|source| AdminClientError::IncompleteResponse { node, source })?;
+        .map_err(|source| AdminClientError::IncompleteResponse { controller, source })?;
     let body = String::from_utf8_lossy(&body).into_owned();
     if !status.is_success() {
-        return Err(AdminClientError::Rejected { node, status, body });
+        return Err(AdminClientError::Rejected {
+            controller,
+            status,
+            body,
+        });
     }
     Ok(body)
 }
--- a/src/api/admin/machines.rs
+++ b/src/api/admin/machines.rs
@@ -13,8 +13,8 @@
     let id = MachineId(path.as_str().into());
     cluster_response(&shared, "machine", |cluster, now| {
         let machine = cluster.machines.get(&id)?;
-        let judge = cluster.health_judge(now);
-        Some(MachineStatus::of(cluster, machine, &judge))
+        let evaluator = cluster.health_judge(now);
+        Some(MachineStatus::of(cluster, machine, &evaluator))
     })
 }
 
--- a/src/api/admin/mod.rs
+++ b/src/api/admin/mod.rs
@@ -41,7 +41,7 @@
     );
 }
 
-/// Responds with the result of `find` on the leader's cluster state. A node that does not lead responds
+/// Responds with the result of `find` on the leader's cluster state. A controller that does not lead responds
 /// with 503 and the name of the leader, if one is known.
 fn cluster_response<T: Serialize>(
     shared: &Shared,
--- a/src/api/admin/settings.rs
+++ b/src/api/admin/settings.rs
@@ -17,7 +17,7 @@
     keys, to_value, Change, Condition, Transaction, TransactionOutcome, WritePriority,
 };
 
-/// Time limit for the write of a change; without an outcome by then the response is 503.
+/// Timeout for the write of a change; without an outcome by then the response is 503.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Settings with their version, which a change must name to be accepted.
--- a/src/api/admin/status.rs
+++ b/src/api/admin/status.rs
@@ -4,14 +4,14 @@
 
 use actix_web::{web, HttpResponse};
 
-use super::views::{node_status, JobStatus};
+use super::views::{controller_status, JobStatus};
 use super::{cluster_response, error_response};
 use crate::model::JobId;
 use crate::service::Shared;
 
-/// `GET /admin/status`: the state of this node, and on the leader that of all machines and jobs.
+/// `GET /admin/status`: the state of this controller, and on the leader that of all machines and jobs.
 pub async fn status(shared: web::Data<Shared>) -> HttpResponse {
-    HttpResponse::Ok().json(node_status(&shared))
+    HttpResponse::Ok().json(controller_status(&shared))
 }
 
 /// `GET /admin/metrics`: counters and histograms of this process.
--- a/src/api/admin/views.rs
+++ b/src/api/admin/views.rs
@@ -50,8 +50,8 @@
 }
 
 impl MachineStatus {
-    pub(super) fn of(cluster: &Cluster, machine: &Machine, judge: &HealthJudge) -> Self {
-        let now = judge.now;
+    pub(super) fn of(cluster: &Cluster, machine: &Machine, evaluator: &HealthJudge) -> Self {
+        let now = evaluator.now;
         let since_heartbeat = machine
             .last_heartbeat_at
             .map(|at| now.saturating_duration_since(at));
@@ -70,7 +70,7 @@
             passed_over: machine
                 .placement_refusal(now, cluster.timing.suspect_after)
                 .map(PlacementRefusal::as_str),
-            health: MachineHealth::of(judge.judge(&machine.health_evidence()), now),
+            health: MachineHealth::of(evaluator.judge(&machine.health_evidence()), now),
         }
     }
 }
@@ -112,7 +112,7 @@
     }
 }
 
-/// The state of this node, and on the leader that of all machines and jobs.
+/// The state of this controller, and on the leader that of all machines and jobs.
 #[derive(Debug, Serialize)]
 pub(super) struct Status {
     member: String,
@@ -122,13 +122,13 @@
     records_revision: u64,
     state_service_answers: bool,
     unsettled_machines: usize,
-    /// Number of machines by health; empty on a node that does not lead.
+    /// Number of machines by health; empty on a controller that does not lead.
     worker_health: BTreeMap<HealthState, usize>,
     machines: BTreeMap<String, MachineStatus>,
     jobs: BTreeMap<String, JobStatus>,
 }
 
-pub(super) fn node_status(shared: &Shared) -> Status {
+pub(super) fn controller_status(shared: &Shared) -> Status {
     let now = Instant::now();
     let role = shared.election.lock().role(now);
     let leading = matches!(role, Role::Leader(_));
@@ -155,9 +155,9 @@
         return status;
     };
     status.unsettled_machines = cluster.unreconciled.len();
-    let judge = cluster.health_judge(now);
+    let evaluator = cluster.health_judge(now);
     for (id, machine) in &cluster.machines {
-        let machine_status = MachineStatus::of(cluster, machine, &judge);
+        let machine_status = MachineStatus::of(cluster, machine, &evaluator);
         *status
             .worker_health
             .entry(machine_status.health.state)
--- a/src/api/links.rs
+++ b/src/api/links.rs
@@ -86,7 +86,7 @@
     member: String,
     placement_gate: GateView,
     suppressed: Vec<String>,
-    /// Rows by controller; `None` where no recent row is present.
+    /// Rows by controller; `None` where there is no recent row.
     matrix: BTreeMap<String, Option<RowView>>,
     decisions: Vec<DecisionView>,
     rows_taken: u64,
@@ -144,7 +144,7 @@
     }
 }
 
-/// `GET /admin/links`: 404 where links are not turned on.
+/// `GET /admin/links`: 404 where links are not enabled.
 pub async fn links(shared: web::Data<Shared>) -> HttpResponse {
     match shared.links.active() {
         Some(active) => HttpResponse::Ok().json(links_view(&shared, active, Instant::now())),
--- a/src/api/users/cancel.rs
+++ b/src/api/users/cancel.rs
@@ -32,7 +32,8 @@
     };
     let started_at = Instant::now();
     match actix::clock::timeout(WRITE_TIMEOUT, record_cancellation(&shared, &store, &id)).await {
-        // After a pause of the process, another node may have reported a later status than this response.
+        // After a pause of the process, another controller may have responded with a later status than this
+        // response has.
         Ok(response) if started_at.elapsed() < WRITE_TIMEOUT => response,
         _ => store_failure(&StoreError::OutcomeUnknown),
     }
@@ -52,22 +53,22 @@
         if verdict != Verdict::Accepted {
             return state_response(shared, id, verdict, tasks);
         }
-        let (version, live) = {
+        let (version, inline_description) = {
             let replica = shared.replica.lock();
-            let live = replica
+            let replicated = replica
                 .descriptions
                 .get(id)
-                .filter(|live| !live.has_own_key);
+                .filter(|description| !description.has_own_key);
             (
                 replica.job_version(id),
-                live.map(|live| live.record.clone()),
+                replicated.map(|description| description.record.clone()),
             )
         };
         // The record keeps the job's specification until every task is confirmed terminated.
         let record = JobRecord {
             verdict: Verdict::Cancelled,
             tasks,
-            description: live,
+            description: inline_description,
         };
         let transaction = Transaction::new(
             vec![Condition::new(keys::job(id), version)],
--- a/src/api/users/mod.rs
+++ b/src/api/users/mod.rs
@@ -1,5 +1,5 @@
-//! Handlers of users' requests. Every node serves them, whether it leads or not: a verdict is written to
-//! and read from the key-value store, and no other source may supply a verdict in a response.
+//! Handlers of users' requests. Every controller serves them, whether it leads or not: a verdict is written
+//! to and read from the key-value store, and no other source may supply a verdict in a response.
 
 mod cancel;
 mod poll;
@@ -19,12 +19,13 @@
 use crate::service::Shared;
 use crate::store::actor::StoreActor;
 
-/// Time limit for the response to a submission or cancellation, short enough that the user still waits.
+/// Timeout for the response to a submission or cancellation, short enough that the user still waits for the
+/// response.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
 
 type StoreAddr = web::Data<Addr<StoreActor>>;
 
-/// `GET /up`: the health check of the load balancer; 503 if this node should get no requests.
+/// `GET /up`: the health check of the load balancer; 503 if this controller should get no requests.
 pub async fn health(shared: web::Data<Shared>) -> HttpResponse {
     shared.metrics.lock().requests.health_checks += 1;
     if shared.can_serve_requests(Instant::now()) {
--- a/src/api/users/status.rs
+++ b/src/api/users/status.rs
@@ -14,12 +14,12 @@
 use crate::store::StoreError;
 use crate::wire::JobState;
 
-/// Time limit for reading a verdict from the key-value store.
+/// Timeout for reading a verdict from the key-value store.
 const READ_TIMEOUT: Duration = Duration::from_millis(1700);
 
-/// The status of a job as reported to its user. A verdict that is final in the replica by now replaces the
-/// one given: the process may have been paused since that was read, and another node may have reported
-/// the final one.
+/// The status of a job as reported to its user. If the replica now has a final verdict, it replaces the given
+/// one: the process may have been paused since the given one was read, and another controller may have
+/// responded with the final one.
 pub(super) fn job_state(shared: &Shared, id: &JobId, verdict: Verdict, tasks: u32) -> JobState {
     let replicated = shared.replica.lock().jobs.get(id).map(|job| job.record);
     let JobVerdict { verdict, tasks } = replicated
@@ -71,7 +71,7 @@
     let started_at = Instant::now();
     let read = store.send(ReadVerdict(id.clone()));
     match actix::clock::timeout(READ_TIMEOUT, read).await {
-        // After a pause of the process, this result may be older than what another node has reported.
+        // After a pause of the process, this result may be older than a response of another controller.
         Ok(Ok(result)) if started_at.elapsed() < READ_TIMEOUT => result,
         _ => Err(StoreError::OutcomeUnknown),
     }
--- a/src/api/users/submit.rs
+++ b/src/api/users/submit.rs
@@ -39,7 +39,8 @@
         Err(error) => return error_response(StatusCode::BAD_REQUEST, error.to_string()),
     };
     let response = match actix::clock::timeout(WRITE_TIMEOUT, accept(&shared, &store, spec)).await {
-        // After a pause of the process, another node may have reported a later status than this response.
+        // After a pause of the process, another controller may have responded with a later status than this
+        // response has.
         Ok(response) if started_at.elapsed() < WRITE_TIMEOUT => response,
         _ => store_failure(&StoreError::OutcomeUnknown),
     };
--- a/src/api/workers.rs
+++ b/src/api/workers.rs
@@ -17,7 +17,7 @@
 /// The result of receiving a heartbeat.
 #[derive(Debug)]
 pub enum HeartbeatOutcome {
-    /// This node responds at once.
+    /// This controller responds at once.
     Answered(HttpResponse),
     /// The heartbeat is queued for the leader, whose response will be relayed.
     Queued(PendingHeartbeat),
@@ -25,8 +25,8 @@
 
 /// `POST /hello`: a heartbeat.
 ///
-/// The connection is closed after the response while more public connections are open than the threshold
-/// for heartbeats, and after any response other than 200: the agent then sends to another node and does not
+/// The connection is closed after the response while more public connections are open than the threshold for
+/// heartbeats, and after any response other than 200: the agent then sends to another controller and does not
 /// use this connection again.
 pub async fn heartbeat(
     shared: web::Data<Shared>,
@@ -128,7 +128,7 @@
     error_response(StatusCode::BAD_REQUEST, error.to_string())
 }
 
-/// Queues a heartbeat for the leader, or responds at once if it can't be forwarded.
+/// Queues a heartbeat for the leader, or responds at once if it cannot be forwarded.
 fn queue_for_leader(
     shared: &Shared,
     leader: &LeaderHint,
@@ -193,8 +193,8 @@
     }
 }
 
-/// Builds the response to an agent from the leader's answer. If the agent can't use the answer, the
-/// response is an error, so that the agent tries another node.
+/// Builds the response to an agent from the leader's decision. If the agent cannot use the decision, the
+/// response is an error, so that the agent tries another controller.
 pub fn relay_response(
     pending: &PendingHeartbeat,
     answer: ForwardedAnswer,
@@ -206,8 +206,8 @@
     }
 }
 
-/// Builds the response for a heartbeat to which the leader did not respond in time. It redirects the agent
-/// to the leader where the route allows that: the agent may reach the leader although this node does not.
+/// Builds the response for a forwarded heartbeat without a decision of the leader. It redirects the agent to
+/// the leader where the route allows that: the agent may reach the leader although this controller does not.
 pub fn upstream_unavailable(shared: &Shared, now: Instant) -> HttpResponse {
     let role = shared.election.lock().role(now);
     if let Role::Follower(Some(leader)) = role {
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -11,7 +11,7 @@
     /// Serve as a controller with this settings file.
     #[arg(long, value_name = "FILE")]
     pub config: Option<PathBuf>,
-    /// Turn on the optional subsystems named in this file; see deploy/features.toml. Default: none.
+    /// Enable the optional subsystems named in this file; see deploy/features.toml. Default: none.
     #[arg(long, value_name = "FILE")]
     pub features: Option<PathBuf>,
     /// The command to run instead of serving.
--- a/src/config.rs
+++ b/src/config.rs
@@ -8,10 +8,10 @@
 use serde::Deserialize;
 use thiserror::Error;
 
-/// Why a settings file can't be used. Each message names the file or the field that is wrong.
+/// Why a settings file cannot be used. Each message names the file or the field that is wrong.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// The file can't be opened or read.
+    /// The file cannot be opened or read.
     #[error("cannot read settings file {path}: {source}")]
     Unreadable {
         /// The path as it was given.
@@ -45,7 +45,7 @@
     /// The zone in which it runs; empty if not given.
     #[serde(default, rename = "area")]
     pub zone: String,
-    /// The address at which its `peer_bind` is reachable from this node.
+    /// The address at which its `peer_bind` is reachable from this controller.
     pub peer_addr: SocketAddrV4,
 }
 
@@ -88,7 +88,7 @@
     pub class: String,
     /// The allowed time in seconds, for the kinds that have one.
     pub within_s: Option<f64>,
-    /// The factor of its deadline within which a job must finish, for the kind `deadline`.
+    /// For the kind `deadline`: the multiple of its deadline within which a job must finish.
     pub times: Option<f64>,
 }
 
@@ -97,7 +97,7 @@
 pub struct WorkerSettings {
     /// The heartbeat interval.
     pub report_s: f64,
-    /// The worker lease: an agent whose heartbeats get no response for this time kills all tasks.
+    /// The worker lease: an agent whose heartbeats get no response for this time terminates all tasks.
     pub lease_s: f64,
     /// How long a member of a gang waits for the others at the gang barrier.
     pub gang_wait_s: f64,
@@ -110,9 +110,9 @@
 /// Limits that the key-value store enforces.
 #[derive(Debug, Clone, Deserialize)]
 pub struct StoreSettings {
-    /// Requests per second, for all nodes together.
+    /// Requests per second, for all controllers together.
     pub rps: f64,
-    /// Puts and deletes per second, for all nodes together.
+    /// Puts and deletes per second, for all controllers together.
     pub write_rps: f64,
     /// Size of the largest value in KiB.
     pub value_kb: f64,
@@ -132,9 +132,9 @@
 /// The resource limits of this process.
 #[derive(Debug, Clone, Deserialize)]
 pub struct ProcessResources {
-    /// Share of one processor core.
+    /// Number of processor cores; it may be below 1.
     pub cores: f64,
-    /// Memory in MB.
+    /// Memory in MiB.
     pub mem_mb: f64,
     /// Maximum number of sockets open at once.
     pub max_sockets: usize,
@@ -148,7 +148,7 @@
     /// Names of the zones of the deployment.
     #[serde(default)]
     pub zones: Vec<String>,
-    /// Maximum error of each node's time of day, in milliseconds.
+    /// Maximum error of each controller's wall clock, in milliseconds.
     #[serde(default)]
     pub clock_off_ms: f64,
     /// The teams that may submit jobs.
@@ -180,7 +180,7 @@
     pub public_addr: SocketAddrV4,
     /// The address that serves the other controllers and operators.
     pub peer_bind: SocketAddrV4,
-    /// The other controllers of the deployment; without any this node has no peers.
+    /// The other controllers of the deployment; empty if this is the only controller.
     #[serde(default, rename = "known")]
     pub peers: Vec<Peer>,
     /// Addresses of the external systems.
@@ -220,7 +220,7 @@
             return Err(invalid_field("member", "must not be empty"));
         }
         if self.has_peer(&self.member) {
-            return Err(invalid_field("known", "names this node itself"));
+            return Err(invalid_field("known", "names this controller itself"));
         }
         self.params
             .teams
--- a/src/features.rs
+++ b/src/features.rs
@@ -1,17 +1,17 @@
-//! Optional subsystems, which are turned on by the features file named on the command line.
+//! Optional subsystems, which are enabled by the features file named on the command line.
 //!
-//! Without a features file all of them are off. The file is read once at startup; an error in it terminates
-//! the program with one line that names the file, the field, its value and the allowed values.
+//! Without a features file all of them are disabled. The file is read once at startup; an error in it
+//! terminates the program with one line that names the file, the field, its value and the allowed values.
 
 use std::path::Path;
 
 use thiserror::Error;
 use toml::{Table, Value};
 
-/// Why a features file can't be used.
+/// Why a features file cannot be used.
 #[derive(Debug, Error)]
 pub enum FeaturesError {
-    /// The file can't be opened or read.
+    /// The file cannot be opened or read.
     #[error("cannot read features file {path}: {source}")]
     Unreadable {
         /// The path as it was given.
@@ -51,17 +51,17 @@
     },
 }
 
-/// The optional subsystems that are turned on.
+/// The optional subsystems that are enabled.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Features {
-    /// The judgement of links; absent if it is turned off.
+    /// The evaluation of links with its parameters; `None` if it is disabled.
     pub links: Option<LinkFeatures>,
 }
 
-/// The features of the judgement of links, and its parameters; see docs/links.md.
+/// The features of the evaluation of links, and its parameters; see docs/links.md.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LinkFeatures {
-    /// Whether a leader suspends placements while it can't read or write the key-value store.
+    /// Whether a leader suspends placements while it cannot read or write the key-value store.
     pub placement_gate: bool,
     /// Whether a flapping link counts as down.
     pub damping: bool,
--- a/src/forwarding/mod.rs
+++ b/src/forwarding/mod.rs
@@ -25,12 +25,13 @@
 pub const RELAY_TIMEOUT: Duration = Duration::from_millis(3500);
 /// Timeout for the leader's response to a batch.
 pub const BATCH_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Most batches in flight to the leader. With two of them, a late response does not delay the next
-/// batch, but the one after it.
+/// Maximum number of batches in flight to the leader. With two, a late response delays the batch after the
+/// next one, but not the next one.
 pub const BATCHES_IN_FLIGHT: usize = 2;
-/// Most heartbeats in a batch.
+/// Maximum number of heartbeats in a batch.
 pub const BATCH_HEARTBEATS_MAX: usize = 128;
-/// Most bytes of the agents' request bodies in a batch. A single body of the largest size always fits.
+/// Maximum number of bytes of the agents' request bodies in a batch. A single body of the largest size always
+/// fits.
 pub const BATCH_BYTES_MAX: usize = 4 * BODY_BYTES_MAX;
 /// Fraction of the memory of the process for the bodies of queued heartbeats.
 const QUEUE_MEMORY_FRACTION: f64 = 1.0 / 64.0;
@@ -41,9 +42,9 @@
 /// controller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QueueLimits {
-    /// Most queued heartbeats. Each agent has one in flight, on a public connection of its own.
+    /// Maximum number of queued heartbeats. Each agent has one in flight, on a public connection of its own.
     pub heartbeats: usize,
-    /// Most bytes of the bodies of queued heartbeats.
+    /// Maximum number of bytes of the bodies of queued heartbeats.
     pub bytes: usize,
 }
 
@@ -62,12 +63,12 @@
 const BATCH_CPU_S: f64 = 0.0002;
 /// Fraction of the leader's processor time for the batches of all followers.
 const BATCH_CPU_FRACTION: f64 = 0.1;
-/// Bounds on the time for which heartbeats are collected into a batch, which delays a start on its way
-/// to its machine.
+/// Bounds on the time for which heartbeats are collected into a batch, which delays the starts in the
+/// leader's responses.
 const BATCH_DELAY_MIN: Duration = Duration::from_millis(10);
 const BATCH_DELAY_MAX: Duration = Duration::from_millis(250);
 
-/// Backoff after a batch without a response.
+/// Backoff after a batch without a response, or with a server error as the response.
 const UNRESPONSIVE_BACKOFF: Duration = Duration::from_secs(1);
 /// Backoff after the leader refused a connection or a batch.
 const REFUSED_BACKOFF: Duration = Duration::from_secs(2);
@@ -84,16 +85,18 @@
     delay.clamp(BATCH_DELAY_MIN, BATCH_DELAY_MAX)
 }
 
-/// Why heartbeats cannot be forwarded to the leader at present.
+/// Why heartbeats cannot be forwarded to the leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UpstreamFailure {
     /// The leader did not respond to a batch in time, or responded with a server error.
     Unresponsive,
     /// The leader's address refuses connections.
     ConnectionRefused,
-    /// The controller responded that it does not lead in the term of the batch.
+    /// The leader rejected the batch with 409: it does not lead in the term of the batch, or the batch is too
+    /// old.
     NotLeading,
-    /// The leader does not support forwarded heartbeats, or not in this version.
+    /// The leader does not support forwarded heartbeats, or not in this version, or rejected the batch for
+    /// another reason.
     Unsupported,
 }
 
--- a/src/forwarding/tests.rs
+++ b/src/forwarding/tests.rs
@@ -30,7 +30,7 @@
     }
 }
 
-/// The limits of a controller with 512 public connections and 136 MB of memory.
+/// The limits of a controller with 512 public connections and 136 MiB of memory.
 const LIMITS: QueueLimits = QueueLimits {
     heartbeats: 512,
     bytes: 17 * 128 * 1024,
--- a/src/http.rs
+++ b/src/http.rs
@@ -37,7 +37,7 @@
     pub path: &'a str,
     /// The CBOR body, if the request has one.
     pub body: Option<Vec<u8>>,
-    /// Time limit for the response.
+    /// Timeout for the response.
     pub timeout: Duration,
 }
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -27,13 +27,13 @@
     }
 }
 
-/// Why a file named on the command line can't be used.
+/// Why a file named on the command line cannot be used.
 #[derive(Debug, Error)]
 enum LoadError {
-    /// The settings file can't be used.
+    /// The settings file cannot be used.
     #[error(transparent)]
     Settings(#[from] ConfigError),
-    /// The features file can't be used.
+    /// The features file cannot be used.
     #[error(transparent)]
     Features(#[from] FeaturesError),
 }
@@ -102,8 +102,8 @@
         .init();
 }
 
-fn admin(node: SocketAddrV4, action: AdminAction) -> ExitCode {
-    match actix::System::new().block_on(admin_client::execute(node, action)) {
+fn admin(controller: SocketAddrV4, action: AdminAction) -> ExitCode {
+    match actix::System::new().block_on(admin_client::execute(controller, action)) {
         Ok(body) => {
             println!("{body}");
             ExitCode::SUCCESS
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -57,14 +57,14 @@
     }
 }
 
-/// Numbers of heartbeats that arrived at this node, by the status of the response.
+/// Numbers of heartbeats that arrived at this controller, by the status of the response.
 #[derive(Debug, Default, Clone, PartialEq, Serialize)]
 pub struct HeartbeatMetrics {
     /// Heartbeats that were the first request on their connection.
     pub new_connection: u64,
     /// Heartbeats on a connection that had carried a request before.
     pub kept_connection: u64,
-    /// Responses with 200, decided here or by the leader.
+    /// Responses with 200, decided by this controller or by the leader.
     pub accepted: u64,
     /// Responses with 421, which redirect the agent to the leader.
     pub redirected: u64,
@@ -113,7 +113,7 @@
     pub health_checks: u64,
 }
 
-/// State summaries that this node sent to its peers as the leader.
+/// State summaries that this controller sent to its peers as the leader.
 #[derive(Debug, Default, Clone, PartialEq, Serialize)]
 pub struct SummaryMetrics {
     /// Incremental summaries, counted once for each peer.
@@ -127,23 +127,23 @@
 /// Numbers of events since the process started.
 #[derive(Debug, Default, Clone, PartialEq, Serialize)]
 pub struct EventCounts {
-    /// Submissions that this node accepted.
+    /// Submissions that this controller accepted.
     pub accepted: u64,
-    /// Submissions that this node rejected temporarily, with 429 or a 5xx status.
+    /// Submissions that this controller rejected temporarily, with 429 or a 5xx status.
     pub refused: u64,
     /// Terms that this process led.
     pub terms: u64,
-    /// Task starts sent by scheduling cycles.
+    /// Task starts decided by scheduling cycles.
     pub starts: u64,
-    /// Tasks stopped by scheduling cycles; a gang is counted once.
+    /// Terminations decided by scheduling cycles; a gang that is restarted is counted once.
     pub stops: u64,
     /// Machines that the cloud granted to this process.
     pub rented: u64,
     /// Machines that this process released.
     pub returned: u64,
-    /// Direct commands sent to agents.
+    /// Direct commands to agents that scheduling cycles issued.
     pub direct_commands: u64,
-    /// Records that the leader wrote, counted once for each requested transaction.
+    /// Transactions with records that scheduling cycles issued, whatever their outcome.
     pub records_written: u64,
     /// Changes received through the watch of the key-value store.
     pub replica_events: u64,
@@ -159,17 +159,17 @@
     pub cycles_total: Duration,
     /// Times from a job's submission to its first running task.
     pub job_waits: DurationHistogram,
-    /// Times that this node took to respond to a submission.
+    /// Times that this controller took to respond to a submission.
     pub submissions: DurationHistogram,
     /// Times from becoming leader until all machines were reconciled.
     pub failovers: DurationHistogram,
     /// Numbers of events since the process started.
     pub counts: EventCounts,
-    /// Heartbeats that arrived at this node.
+    /// Heartbeats that arrived at this controller.
     pub heartbeats: HeartbeatMetrics,
     /// Requests from users and from the load balancer.
     pub requests: RequestMetrics,
-    /// State summaries that this node sent.
+    /// State summaries that this controller sent.
     pub summaries: SummaryMetrics,
 }
 
@@ -233,7 +233,7 @@
     pub round_time: HistogramSummary,
     /// Times from a job's submission to its first running task.
     pub waiting: HistogramSummary,
-    /// Times that this node took to respond to a submission.
+    /// Times that this controller took to respond to a submission.
     pub submission: HistogramSummary,
     /// Share of the time since the process started that scheduling cycles took.
     pub rounds_part: f64,
@@ -243,17 +243,17 @@
     /// Numbers of events since the process started.
     #[serde(flatten)]
     pub counts: EventCounts,
-    /// Heartbeats that arrived at this node.
+    /// Heartbeats that arrived at this controller.
     #[serde(rename = "reports")]
     pub heartbeats: HeartbeatMetrics,
     /// Requests from users and from the load balancer.
     pub requests: RequestMetrics,
-    /// State summaries that this node sent.
+    /// State summaries that this controller sent.
     #[serde(rename = "digests")]
     pub summaries: SummaryMetrics,
     /// Resident memory in bytes; absent where the operating system does not report it.
     pub resident_bytes: Option<u64>,
-    /// Counters of the links; absent where links are not turned on.
+    /// Counters of the links; absent where links are not enabled.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub links: Option<LinkMetrics>,
 }
@@ -272,7 +272,7 @@
     pub rows_refused: u64,
     /// Total time for which the placement gate has suspended placements, in seconds.
     pub gate_refused_s: f64,
-    /// Number of links that are suppressed at present, because they flap.
+    /// Number of links that are currently suppressed because they flap.
     pub suppressed: usize,
     /// Handovers of leadership by this controller.
     pub handovers: u64,
--- a/src/peer/cancelled.rs
+++ b/src/peer/cancelled.rs
@@ -1,4 +1,4 @@
-//! Receives notifications of cancellations from peers, so that this node stops the tasks at once.
+//! Receives notifications of cancellations from peers, so that this controller terminates the tasks at once.
 
 use actix_web::{web, HttpResponse};
 use serde::{Deserialize, Serialize};
@@ -13,10 +13,10 @@
 /// [`crate::service::UnpublishedCancellations`].
 pub const CANCELLED_BYTES_MAX: usize = 64 * 1024;
 
-/// A notification of jobs whose cancellation is on record, sent to all other nodes at once. A node that
-/// can't reach the key-value store but still responds to heartbeats receives it in no other way. The
-/// notification only makes tasks stop earlier; [`crate::leader::ReplicaFreshness`] ensures that they stop
-/// by the cancellation deadline.
+/// A notification of jobs whose cancellation is on record, sent to all peers at once. A controller that
+/// cannot reach the key-value store but still responds to heartbeats receives the cancellations in no other
+/// way. The notification only leads to an earlier termination of the tasks;
+/// [`crate::leader::ReplicaFreshness`] ensures that they have terminated by the cancellation deadline.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CancellationNotice {
     /// Name of the sending controller; notifications from unknown ones are rejected.
@@ -25,7 +25,7 @@
     pub jobs: Vec<JobId>,
 }
 
-/// `POST /peer/cancelled`: stops the tasks of the cancelled jobs.
+/// `POST /peer/cancelled`: terminates the tasks of the cancelled jobs.
 pub async fn receive_cancelled(shared: web::Data<Shared>, body: web::Bytes) -> HttpResponse {
     let Some(notification) = decode::<CancellationNotice>(&body) else {
         return HttpResponse::BadRequest().finish();
--- a/src/peer/heartbeats.rs
+++ b/src/peer/heartbeats.rs
@@ -21,7 +21,8 @@
 
 /// Path of forwarded heartbeats; the name is part of the wire format.
 pub const HEARTBEATS_PATH: &str = "/peer/reports";
-/// Maximum age of a batch by the time of day. No agent still waits for the responses to an older one.
+/// Maximum age of a batch by the wall clocks of sender and receiver. No agent still waits for the responses
+/// to an older one.
 pub const BATCH_AGE_MAX: Duration = Duration::from_secs(4);
 
 impl From<HeartbeatDecision> for ForwardedAnswer {
@@ -42,7 +43,7 @@
     /// The body exceeds the size limit or was truncated.
     #[error("the body is too large or truncated")]
     Unreadable,
-    /// The batch has a format version that this node does not support.
+    /// The batch has a format version that this controller does not support.
     #[error("unsupported version {0} of forwarded heartbeats")]
     UnknownVersion(u16),
     /// The body does not decode as a batch.
@@ -51,8 +52,8 @@
     /// The sender is not one of the controllers in the settings.
     #[error("the sender `{0}` is not a known controller")]
     UnknownMember(String),
-    /// This node does not lead the term to which the batch is addressed.
-    #[error("the batch is for term {0}, which this node does not lead")]
+    /// This controller does not lead the term to which the batch is addressed.
+    #[error("the batch is for term {0}, which this controller does not lead")]
     OtherTerm(u64),
     /// The batch is older than the limit; its age in milliseconds.
     #[error("the batch was sent {0} ms ago, which is too old")]
@@ -60,8 +61,9 @@
 }
 
 impl BatchError {
-    /// The HTTP status for the follower. After 400 or 403 it suspends forwarding to this leader for a while;
-    /// 409 concerns this batch only.
+    /// The HTTP status for the follower. After 400 or 403 the follower treats this leader as one without
+    /// support for forwarding, and redirects agents to it for a while; after 409 it rejects heartbeats for
+    /// this leader during a shorter backoff, see [`crate::forwarding::UpstreamFailure`].
     pub fn status(&self) -> StatusCode {
         match self {
             Self::Unreadable | Self::UnknownVersion(_) | Self::Malformed => StatusCode::BAD_REQUEST,
@@ -80,18 +82,18 @@
 }
 
 /// Decodes a batch and handles its heartbeats, in order. `clock` is the monotonic clock, which is read for
-/// each decision; `wall` is the time of day.
+/// each decision; `wall_time` is the wall-clock time.
 pub fn answer_batch(
     shared: &Shared,
     bytes: &[u8],
     clock: &dyn Fn() -> Instant,
-    wall: SystemTime,
+    wall_time: SystemTime,
 ) -> Result<BatchAnswer, BatchError> {
     let batch = decode_batch(bytes)?;
     if !shared.settings.has_peer(&batch.member) {
         return Err(BatchError::UnknownMember(batch.member));
     }
-    check_age(shared, &batch, wall)?;
+    check_age(shared, &batch, wall_time)?;
     check_term(shared, &batch, clock())?;
     {
         let mut metrics = shared.metrics.lock();
@@ -108,13 +110,17 @@
     })
 }
 
-/// Rejects a stale batch. The clocks of both nodes may be off by the bound in the settings.
-fn check_age(shared: &Shared, batch: &HeartbeatBatch, wall: SystemTime) -> Result<(), BatchError> {
-    let age = unix_ms(wall).saturating_sub(batch.sent_at_ms);
+/// Rejects a stale batch. The wall clocks of both controllers may be off by the bound in the settings.
+fn check_age(
+    shared: &Shared,
+    batch: &HeartbeatBatch,
+    wall_time: SystemTime,
+) -> Result<(), BatchError> {
+    let age_ms = unix_ms(wall_time).saturating_sub(batch.sent_at_ms);
     let clock_error_ms = shared.settings.params.clock_off_ms.max(0.0) * 2.0;
-    let limit = BATCH_AGE_MAX.as_millis() as u64 + clock_error_ms as u64;
-    if age > limit {
-        return Err(BatchError::Stale(age));
+    let age_max_ms = BATCH_AGE_MAX.as_millis() as u64 + clock_error_ms as u64;
+    if age_ms > age_max_ms {
+        return Err(BatchError::Stale(age_ms));
     }
     Ok(())
 }
@@ -152,7 +158,7 @@
 
 fn reject(error: &BatchError) -> HttpResponse {
     match error {
-        // Expected during every election.
+        // These rejections are expected during every election.
         BatchError::OtherTerm(_) | BatchError::Stale(_) => {
             debug!(reason = %error, "heartbeat batch rejected");
         }
--- a/src/peer/heartbeats/tests.rs
+++ b/src/peer/heartbeats/tests.rs
@@ -216,7 +216,7 @@
 fn repeated_batch_gets_no_commands() {
     let now = Instant::now();
     let shared = leader(now);
-    // A task of an unknown job is killed, but only in the response to a newer heartbeat.
+    // The leader terminates a task of an unknown job, but only in the response to a newer heartbeat.
     let mut first = heartbeat(1);
     first.token = FencingToken::first(Term(3)).0;
     let repeated = batch(3, NOW_MS, vec![first]);
--- a/src/peer/links.rs
+++ b/src/peer/links.rs
@@ -1,5 +1,5 @@
-//! Receives rows of the connectivity matrix from peers. A node responds with 404 if links are not turned
-//! on there, or if its version does not support them.
+//! Receives rows of the connectivity matrix from peers. A controller responds with 404 if links are not
+//! enabled there, or if its version does not support them.
 
 use std::time::{Instant, SystemTime};
 
@@ -24,16 +24,16 @@
     decode(bytes).ok_or(RowRejection::Malformed)
 }
 
-/// Decodes a row and applies it to the matrix. A row that can't be decoded is counted as rejected, without
-/// a sender.
+/// Decodes a row and applies it to the matrix. A row that cannot be decoded is counted as rejected, without a
+/// sender.
 pub fn accept_encoded_row(
     active: &ActiveLinks,
     bytes: &[u8],
     now: Instant,
-    wall: SystemTime,
+    wall_time: SystemTime,
 ) -> Result<RowReply, RowRejection> {
     match decode_row(bytes) {
-        Ok(message) => active.accept_row(message, now, unix_ms(wall)),
+        Ok(message) => active.accept_row(message, now, unix_ms(wall_time)),
         Err(rejection) => {
             active.record_row_rejection("", rejection);
             Err(rejection)
--- a/src/peer/links/tests.rs
+++ b/src/peer/links/tests.rs
@@ -103,9 +103,9 @@
     assert!(next.len() < ROW_BYTES_MAX);
 }
 
-/// The host's clock is set back between two runs of a process, so the restarted process has a lower
-/// incarnation. Without the newest incarnation in the reply, its rows would be rejected until the clock has
-/// passed the former value.
+/// The machine's clock is set back between two runs of a process, so the restarted process has a lower
+/// incarnation. Without the newest incarnation in the response, its rows would be rejected until the clock
+/// has passed the former value.
 #[test]
 fn process_with_clock_set_back_raises_its_incarnation_above_the_former_one() {
     let shared = shared();
@@ -116,7 +116,7 @@
     let reply = accept(&shared, &encode(&restarted).unwrap()).unwrap();
     assert_eq!(
         reply.newest_incarnation, 5,
-        "the reply names the newest incarnation"
+        "the response contains the newest incarnation"
     );
     let now = Instant::now();
     let incarnation = active.next_row(None, now, wall()).message.incarnation;
@@ -126,7 +126,7 @@
     assert_eq!(
         active.next_row(None, now, wall()).message.incarnation,
         incarnation,
-        "the reply with the current incarnation does not change it"
+        "the response with the current incarnation does not change it"
     );
     active.handle_row_reply(RowReply {
         newest_incarnation: incarnation + 7,
--- a/src/peer/summary.rs
+++ b/src/peer/summary.rs
@@ -11,7 +11,7 @@
 /// Path of state summaries; the name is part of the wire format.
 pub const SUMMARY_PATH: &str = "/peer/digest";
 
-/// `POST /peer/digest`: a state summary; 409 if it can't be applied and the leader must send a full one.
+/// `POST /peer/digest`: a state summary; 409 if it cannot be applied and the leader must send a full one.
 pub async fn receive_summary(shared: web::Data<Shared>, body: web::Bytes) -> HttpResponse {
     let Some(summary) = decode::<StateSummary>(&body) else {
         return HttpResponse::BadRequest().finish();
--- a/src/run.rs
+++ b/src/run.rs
@@ -25,9 +25,9 @@
 use crate::store::client::StoreClient;
 use crate::{api, peer};
 
-/// Time after which idle connections between the nodes and to the external systems are closed.
+/// Time after which idle connections between the controllers and to the external systems are closed.
 const KEEP_ALIVE: Duration = Duration::from_secs(75);
-/// Time limit for establishing a connection.
+/// Timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Creates an HTTP client with at most `connections_max` open connections.
@@ -103,7 +103,7 @@
     Ok(server.run())
 }
 
-/// Starts the server for the other nodes and for operators.
+/// Starts the server for the peers and for operators.
 fn peer_server(shared: &Arc<Shared>, store: &Addr<StoreActor>) -> io::Result<Server> {
     let data: web::Data<Shared> = web::Data::from(shared.clone());
     let store = web::Data::new(store.clone());
--- a/src/service/cancellations.rs
+++ b/src/service/cancellations.rs
@@ -4,7 +4,8 @@
 
 use crate::model::JobId;
 
-/// Most cancellations queued for publication. The peers read any others through their watches.
+/// Maximum number of cancellations queued for publication. The peers receive any others through their watches
+/// of the key-value store.
 const QUEUED_MAX: usize = 1024;
 
 /// The queue of cancelled jobs to publish to the peers.
--- a/src/service/connections.rs
+++ b/src/service/connections.rs
@@ -8,7 +8,7 @@
 pub struct ConnectionCount(Arc<AtomicUsize>);
 
 impl ConnectionCount {
-    /// The present number, which may change before the caller uses it.
+    /// The current number, which may change before the caller uses it.
     pub fn open(&self) -> usize {
         self.0.load(Ordering::Relaxed)
     }
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Returns whether no earlier request was received on this connection; later calls return false.
+    /// Returns whether the current request is the first on this connection: true on the first call only.
     pub fn first_request(&self) -> bool {
         !self.has_received_request.swap(true, Ordering::Relaxed)
     }
--- a/src/service/forwarding.rs
+++ b/src/service/forwarding.rs
@@ -1,5 +1,5 @@
-//! Heartbeats on which this controller does not decide itself: it forwards them to the leader,
-//! redirects their agents to the leader, or responds with an error.
+//! Heartbeats on which this controller does not decide: it forwards them to the leader, redirects their
+//! agents to the leader, or responds with an error.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Instant;
@@ -60,7 +60,7 @@
         allowed
     }
 
-    /// Counts a heartbeat that this controller neither decided nor forwarded successfully.
+    /// Counts a heartbeat to which this controller responded with a status other than 200.
     pub fn count_misdirected(&self) {
         self.misdirected.fetch_add(1, Ordering::Relaxed);
     }
--- a/src/service/heartbeats.rs
+++ b/src/service/heartbeats.rs
@@ -22,8 +22,8 @@
     NotLeading,
 }
 
-/// Decides under `term`, in which this controller led when the heartbeat arrived. `clock` is read again
-/// right before the response: the process may have been paused since the first reading, and its
+/// Decides on a heartbeat under `term`, in which this controller led when the heartbeat arrived. `clock` is
+/// read again right before the response: the process may have been paused since the first reading, and its
 /// leadership, or the period in which it may still extend leases, may have ended.
 pub fn decide(
     shared: &Shared,
@@ -49,7 +49,7 @@
     };
     let token = cluster.record_response(&id, now);
     // Terminations and clears are safe under any token that the agent still accepts. The response to a
-    // duplicate or older heartbeat has no commands, since the agent does not wait for it.
+    // duplicate or older heartbeat has no commands, since the agent no longer waits for it.
     let commands = match ordering {
         HeartbeatOrdering::Newer => cluster.respond(&id, now, with_starts),
         HeartbeatOrdering::Older | HeartbeatOrdering::Deposed => Vec::new(),
--- a/src/service/links/active.rs
+++ b/src/service/links/active.rs
@@ -63,7 +63,8 @@
         }
     }
 
-    /// Why the placement gate refuses new placements, if it does. This takes no lock.
+    /// The reason why the placement gate refuses new placements, if it is enabled and refuses them, read
+    /// without a lock.
     pub(super) fn placement_refusal(&self) -> Option<GateRefusal> {
         let refusal = self.snapshot.gate().refusal;
         refusal.filter(|_| self.features.placement_gate)
@@ -132,30 +133,30 @@
         }
     }
 
-    /// The present row of this controller for sending, with the next sequence number.
+    /// The current row of this controller, for sending to the peers, with the next sequence number.
     pub fn next_row(&self, leads_term: Option<u64>, now: Instant, wall_time: SystemTime) -> Row {
-        let stamp = RowStamp {
+        let header = RowStamp {
             incarnation: self.incarnation.load(Ordering::Relaxed),
             sequence: self.sequence.fetch_add(1, Ordering::Relaxed) + 1,
             wall_ms: unix_ms(wall_time),
             leads_term,
         };
-        self.table.lock().row(stamp, now)
+        self.table.lock().row(header, now)
     }
 
-    /// The present row of this controller for use in this process, with the last sequence number.
+    /// The current row of this controller, for use in this process, with the last sequence number.
     pub fn own_row(&self, leads_term: Option<u64>, now: Instant) -> Row {
-        let stamp = RowStamp {
+        let header = RowStamp {
             incarnation: self.incarnation.load(Ordering::Relaxed),
             sequence: self.sequence.load(Ordering::Relaxed),
             wall_ms: 0,
             leads_term,
         };
-        self.table.lock().row(stamp, now)
+        self.table.lock().row(header, now)
     }
 
-    /// Checks another controller's row and adds it to the matrix. The reply to the sender is the same
-    /// for an accepted row and for one of a former incarnation.
+    /// Checks another controller's row and adds it to the matrix. The response to the sender is the same for
+    /// an accepted row and for one of a former incarnation.
     pub fn accept_row(
         &self,
         message: RowMessage,
@@ -173,8 +174,8 @@
             }
             Err(rejection) => {
                 self.record_row_rejection(&member, rejection);
-                // The reply contains the newest incarnation, above which a process whose clock is
-                // behind raises its own.
+                // The response contains the newest incarnation, above which a process whose clock is behind
+                // raises its own.
                 if rejection != RowRejection::FormerIncarnation {
                     return Err(rejection);
                 }
@@ -184,16 +185,16 @@
         Ok(RowReply { newest_incarnation })
     }
 
-    /// Whether a probe record should be written to show whether transactions succeed: this controller
-    /// leads and its transactions fail, or the leader does not reach the key-value store, and another
-    /// controller may reach it.
+    /// Whether a probe record should be written to show whether transactions succeed: either this controller
+    /// leads and its transactions fail, or the row of a leader shows that it does not reach the key-value
+    /// store, and this controller may reach it.
     pub fn needs_write_probe(&self, is_leader: bool, now: Instant) -> bool {
         let own_writes_fail = self.table.lock().store_write_down();
         (is_leader && own_writes_fail) || self.matrix.lock().leader_lacks_store(now)
     }
 
-    /// Counts a rejected row, and logs the first rejection of a sender for each reason since its last
-    /// accepted row.
+    /// Counts a rejected row. Logs the rejection if it is the first of this sender for this reason since the
+    /// sender's last accepted row.
     pub fn record_row_rejection(&self, member: &str, rejection: RowRejection) {
         self.rows_rejected.fetch_add(1, Ordering::Relaxed);
         if self.matrix.lock().should_log_rejection(member, rejection) {
@@ -201,9 +202,9 @@
         }
     }
 
-    /// Raises the incarnation of this process above the one in a peer's reply to a row. The peer has
-    /// accepted a higher incarnation of this controller if the clock was ahead at that time; it would
-    /// reject all rows of a lower one.
+    /// Raises the incarnation of this process above the one in a peer's response to a row. The peer has
+    /// accepted a higher incarnation of this controller if the clock was ahead at that time; it would reject
+    /// all rows of a lower one.
     pub fn handle_row_reply(&self, reply: RowReply) {
         let incarnation = self.incarnation.load(Ordering::Relaxed);
         if reply.newest_incarnation > incarnation {
@@ -245,7 +246,7 @@
     }
 
     /// Whether the limit on recent handovers is reached, so that this controller keeps its leadership.
-    pub fn handovers_exhausted(&self, now: Instant) -> bool {
+    pub fn handover_limit_reached(&self, now: Instant) -> bool {
         self.handover_policy.lock().exhausted(now)
     }
 
--- a/src/service/links/mod.rs
+++ b/src/service/links/mod.rs
@@ -134,7 +134,8 @@
         evidence.can_serve_requests(loaded, has_peers, now)
     }
 
-    /// Why the placement gate refuses new placements, if it does. This takes no lock.
+    /// The reason why the placement gate refuses new placements, if it is enabled and refuses them, read
+    /// without a lock.
     pub fn placement_refusal(&self) -> Option<GateRefusal> {
         self.active.as_ref()?.placement_refusal()
     }
--- a/src/service/links/snapshot.rs
+++ b/src/service/links/snapshot.rs
@@ -49,7 +49,7 @@
         self.0.load().gate
     }
 
-    /// Replaces the verdict of the placement gate. Returns whether it differs from the one before.
+    /// Replaces the decision of the placement gate. Returns whether it differs from the one before.
     pub(super) fn set_gate(&self, gate: GateVerdict) -> bool {
         if self.0.load().gate == gate {
             return false;
--- a/src/service/mod.rs
+++ b/src/service/mod.rs
@@ -121,16 +121,15 @@
         self.links.can_serve_requests(loaded, has_peers, now)
     }
 
-    /// Acts on a cancellation that is on record: the job's tasks are stopped at once if this process
-    /// has the cluster state, and the cancellation is queued for the peers. The caller waits for
-    /// neither.
+    /// Acts on a cancellation that is on record: the job's tasks are terminated at once if this process has
+    /// the cluster state, and the cancellation is queued for the peers. The caller waits for neither.
     pub fn cancellation_recorded(&self, id: &JobId) {
         self.cancel_tasks(std::slice::from_ref(id));
         self.cancellations.push(id);
         self.wake_ups.cancellations.notify_one();
     }
 
-    /// Stops the tasks of these jobs, whose cancellations are on record even if the replica does not
+    /// Terminates the tasks of these jobs, whose cancellations are on record even if the replica does not
     /// show them yet.
     pub fn cancel_tasks(&self, ids: &[JobId]) {
         if let Some(cluster) = self.cluster.lock().as_mut() {
--- a/src/service/operator.rs
+++ b/src/service/operator.rs
@@ -38,9 +38,9 @@
 
 /// Largest factor that operators may set. With a larger one, no machine would ever be released.
 const FACTOR_MAX: f64 = 100.0;
-/// Fraction of the largest value in the key-value store that the names of drained machines may fill.
+/// Fraction of the value size limit of the key-value store that the names of drained machines may fill.
 const DRAINED_NAMES_FRACTION: f64 = 0.75;
-/// Bytes that are added to each name by the encoding in which the size of values is measured.
+/// Bytes that the encoding of a value, whose size is limited, adds to each name.
 const NAME_OVERHEAD_BYTES: usize = 4;
 
 /// A field of the operators' settings that failed validation.
@@ -68,11 +68,11 @@
             });
         }
         let names_are_valid = self.drained.iter().all(|name| !name.is_empty());
-        let bytes = self
+        let name_bytes = self
             .drained
             .iter()
             .map(|name| name.len() + NAME_OVERHEAD_BYTES);
-        let fits = bytes.sum::<usize>() as f64 <= value_kb * 1024.0 * DRAINED_NAMES_FRACTION;
+        let fits = name_bytes.sum::<usize>() as f64 <= value_kb * 1024.0 * DRAINED_NAMES_FRACTION;
         if !fits || !names_are_valid {
             return Err(FieldOutOfRange { field: "drained" });
         }
--- a/src/sockets.rs
+++ b/src/sockets.rs
@@ -14,18 +14,17 @@
 /// Maximum connections to the key-value store: for transactions in flight, a read, the watch and the lease,
 /// and as many again that timed out and are still open.
 const STORE_CONNECTIONS: usize = 16;
-/// Of these, the connections of the election, which has a separate client: for renewals and for the
-/// revocation of a lease.
+/// Of these, the connections of the election, which has a separate client: for granting, renewing and
+/// revoking the lease.
 const ELECTION_CONNECTIONS: usize = 4;
 /// Connections to the cloud: one request at a time, and earlier ones that timed out.
 const CLOUD_CONNECTIONS: usize = 4;
-/// Connections to each other node: for a state summary, a query, and an earlier one that timed out.
+/// Connections to each peer: for a state summary, a query, and an earlier one that timed out.
 const CONNECTIONS_TO_EACH_PEER: usize = 3;
-/// Connections from each other node: the same, and those for heartbeat batches and rows.
+/// Connections from each peer: the same, and those for heartbeat batches and rows.
 const CONNECTIONS_FROM_EACH_PEER: usize =
     CONNECTIONS_TO_EACH_PEER + FORWARDING_CONNECTIONS + ROW_CONNECTIONS_PER_PEER;
-/// Connections to and from each other node for rows of the connectivity matrix: one in use, and one that
-/// timed out.
+/// Connections to and from each peer for rows of the connectivity matrix: one in use, and one that timed out.
 const ROW_CONNECTIONS_PER_PEER: usize = 2;
 /// Connections to the leader for forwarded heartbeats: batches in flight, and as many that timed out.
 const FORWARDING_CONNECTIONS: usize = 2 * BATCHES_IN_FLIGHT;
@@ -35,11 +34,11 @@
 const DIRECT_COMMANDS_SHARE: f64 = 0.05;
 /// Share of the sockets left for connections that are closing or not yet accepted.
 const SPARE_SHARE: f64 = 0.05;
-/// Share of the public connections above which a connection is closed after the response to a heartbeat.
-/// The agent reopens one for the next heartbeat; a kept-alive connection only saves that.
+/// Share of the public connections above which a connection is closed after the response to a heartbeat. The
+/// agent opens another one for the next heartbeat; keeping the connection alive only saves this.
 const HEARTBEAT_CLOSE_SHARE: f64 = 0.85;
 /// The same share for the responses to users. It is higher than that for heartbeats, because the load
-/// balancer sends new connections to the nodes with few open ones.
+/// balancer sends new connections to the controllers with few open ones.
 const USER_CLOSE_SHARE: f64 = 0.92;
 /// Minimum share of the sockets for the public address, whatever the other purposes need.
 const PUBLIC_SHARE_MIN: f64 = 0.5;
@@ -50,8 +49,8 @@
 /// be reused.
 const IDLE_TIMEOUT_MIN: Duration = Duration::from_secs(12);
 
-/// The listen backlog is the public connections divided by this: the agents of a node that terminated
-/// reconnect to the next one in a burst.
+/// The listen backlog is the number of public connections divided by this: the agents of a controller that
+/// terminated reconnect to the next one in a burst.
 const BACKLOG_DIVISOR: usize = 8;
 /// Bounds on the backlog. The operating system also limits it, usually to a higher value.
 const BACKLOG_MIN: u32 = 256;
@@ -68,9 +67,9 @@
     pub user_close_threshold: usize,
     /// Public connections that may wait to be accepted, not counted in `public`.
     pub backlog: u32,
-    /// Maximum connections accepted from the other nodes and from operators.
+    /// Maximum connections accepted from the peers and from operators.
     pub peers_inbound: usize,
-    /// Connections to the cloud and, for state summaries and queries, to the other nodes.
+    /// Connections to the cloud and, for state summaries and queries, to the peers.
     pub cloud_and_peers: usize,
     /// Connections to the key-value store, except those of the election.
     pub store: usize,
@@ -78,7 +77,7 @@
     pub election: usize,
     /// Connections to the leader for forwarded heartbeats.
     pub forwarding: usize,
-    /// Connections to the other nodes for rows of the connectivity matrix.
+    /// Connections to the peers for rows of the connectivity matrix.
     pub rows: usize,
     /// Maximum direct commands in flight at once.
     pub direct_commands: usize,
--- a/src/sockets/tests.rs
+++ b/src/sockets/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-fn settings(sockets: usize, nodes: usize) -> Settings {
-    let known: String = (1..nodes)
+fn settings(sockets: usize, controllers: usize) -> Settings {
+    let known: String = (1..controllers)
         .map(|n| format!("[[known]]\nmember = \"k-{n}\"\npeer_addr = \"10.0.0.{n}:8081\"\n"))
         .collect();
     let text = include_str!("../../deploy/example.toml")
@@ -16,8 +16,8 @@
 /// store could no longer be opened.
 #[test]
 fn sum_of_all_shares_stays_below_the_limit_with_spare_sockets() {
-    for (limit, nodes) in [(500, 3), (2000, 3), (2100, 5), (3068, 7), (3500, 3)] {
-        let shares = SocketLimits::from_settings(&settings(limit, nodes));
+    for (limit, controllers) in [(500, 3), (2000, 3), (2100, 5), (3068, 7), (3500, 3)] {
+        let shares = SocketLimits::from_settings(&settings(limit, controllers));
         let sum = shares.public
             + shares.peers_inbound
             + shares.cloud_and_peers
--- a/src/state_summary.rs
+++ b/src/state_summary.rs
@@ -1,4 +1,5 @@
-//! The state summary that a leader publishes to the other controllers, and the cache in which these keep it.
+//! The state summary that a leader publishes to the other controllers, and the cache in which the followers
+//! keep it.
 //!
 //! [`recipient`] is the leader's side and tracks which peer needs the full state. [`cache`] is the
 //! follower's side.
@@ -148,7 +149,7 @@
 /// A controller's response to a summary. Controllers of version 0.2.0 respond without a body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SummaryReply {
-    /// Misdirected heartbeats since this controller started: those that it answered with a status other
+    /// Misdirected heartbeats since this controller started: those to which it responded with a status other
     /// than 200.
     pub misdirected: u64,
 }
--- a/src/state_summary/cache.rs
+++ b/src/state_summary/cache.rs
@@ -5,9 +5,9 @@
 use super::{MachineSummary, StateSummary};
 use crate::model::{JobId, MachineId, Term};
 
-/// Largest number of removed machines kept, so that delayed copies of their heartbeats do not add them
-/// again. Such copies arrive within minutes, in which a fleet of 4,000 machines may be replaced more than
-/// once. Each entry takes about 60 bytes.
+/// Maximum number of removed machines that are kept, so that delayed copies of their heartbeats do not add
+/// them again. Such copies arrive within minutes, in which a fleet of 4,000 machines may be replaced more
+/// than once. Each entry takes about 60 bytes.
 pub const REMOVED_MACHINES_MAX: usize = 12_288;
 
 /// A follower's cache of the leader's state summary.
--- a/src/state_summary/recipient.rs
+++ b/src/state_summary/recipient.rs
@@ -39,7 +39,7 @@
     }
 
     /// Records the peer's response to a summary. A response to a summary older than the last full one is
-    /// ignored: it does not show the peer's present state, and would only cause another full summary.
+    /// ignored: it does not show the peer's current state, and would only cause another full summary.
     pub fn record_reply(&mut self, number: u64, out_of_sync: bool) {
         let is_outdated = self.last_full.is_some_and(|full| number < full.number);
         if !is_outdated {
--- a/src/wire/workers.rs
+++ b/src/wire/workers.rs
@@ -19,7 +19,7 @@
     /// The task is writing a checkpoint.
     #[serde(rename = "flushing")]
     Checkpointing,
-    /// The task has exited; the agent reports it until it is cleared.
+    /// The task has exited; the agent's heartbeats contain it until it is cleared.
     Exited,
 }
 
@@ -98,7 +98,7 @@
     /// The heartbeat's sequence number within the epoch.
     #[serde(rename = "tally")]
     pub sequence: u64,
-    /// The highest fencing token that the agent has received.
+    /// The highest fencing token that the agent has accepted.
     #[serde(rename = "baton")]
     pub token: u64,
     /// Seconds until the cloud preempts the machine; absent without a preemption notice.
@@ -134,7 +134,7 @@
         #[serde(rename = "windDownS")]
         grace_s: f64,
     },
-    /// Remove an exited task from the agent's reports.
+    /// Remove an exited task from the agent's heartbeats.
     Clear {
         /// The task's id.
         #[serde(rename = "strand")]
