--- a/src/cluster/instances.rs
+++ b/src/cluster/instances.rs
@@ -17,7 +17,7 @@
         Attempt::of(self.term, self.attempts_issued)
     }
 
-    /// Plans a start. Nothing is dispatched until [`Cluster::respond`] finds it safe.
+    /// Plans a start, which [`Cluster::respond`] dispatches once that is safe.
     pub fn plan(&mut self, task: &TaskId, machine_id: &MachineId, attempt: Attempt, now: Instant) {
         let (Some(job), Some(machine)) = (
             self.jobs.get_mut(&task.job),
@@ -52,8 +52,8 @@
         machine.update_load();
     }
 
-    /// Requests the termination of a task, and drops a start that was never dispatched.
-    pub fn stop(&mut self, machine_id: &MachineId, instance: &InstanceId, grace_s: f64) {
+    /// Requests the termination of a task, or drops its start if that was never dispatched.
+    pub fn terminate(&mut self, machine_id: &MachineId, instance: &InstanceId, grace_s: f64) {
         let Some(machine) = self.machines.get_mut(machine_id) else {
             return;
         };
@@ -69,7 +69,10 @@
         }
         // A shorter grace period, as of a cancellation, replaces the earlier one also during a
         // checkpoint.
-        if state.termination.is_none_or(|stop| grace_s < stop.grace_s) {
+        if state
+            .termination
+            .is_none_or(|earlier| grace_s < earlier.grace_s)
+        {
             state.termination = Some(Termination {
                 grace_s,
                 last_sent_at: None,
@@ -80,13 +83,13 @@
     }
 
     /// Requests the termination of all tasks of a job.
-    pub fn stop_job(&mut self, id: &JobId, grace_s: f64) {
+    pub fn terminate_tasks(&mut self, id: &JobId, grace_s: f64) {
         for (machine, instance) in self.instances_of(id) {
-            self.stop(&machine, &instance, grace_s);
+            self.terminate(&machine, &instance, grace_s);
         }
     }
 
-    /// Stops the tasks of a job whose cancellation is final, before the replica shows it.
+    /// Terminates the tasks of a job whose cancellation is committed, before the replica shows it.
     pub fn cancel_tasks(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -96,7 +99,7 @@
         }
         job.cancellation_requested = true;
         self.scheduling_needed = true;
-        self.stop_job(id, 0.0);
+        self.terminate_tasks(id, 0.0);
     }
 
     /// All instances of a job with their machines.
@@ -123,17 +126,17 @@
 
     /// Requests the termination of a gang's current attempt, with time for a checkpoint if the job
     /// can save one.
-    pub fn stop_gang(&mut self, id: &JobId) {
+    pub fn terminate_gang(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        job.stopping = true;
-        let grace = if job.spec.can_checkpoint() {
+        job.terminating = true;
+        let grace_s = if job.spec.can_checkpoint() {
             job.spec.checkpoint_grace_s()
         } else {
             0.0
         };
-        self.stop_job(id, grace);
+        self.terminate_tasks(id, grace_s);
     }
 
     /// Removes an instance from its machine, and its placement from the job.
@@ -173,7 +176,7 @@
             // The attempt has ended; the next placement begins a new one.
             job.attempt = None;
             job.seen_running = false;
-            job.stopping = false;
+            job.terminating = false;
         }
         self.scheduling_needed = true;
     }
--- a/src/cluster/reconcile/mod.rs
+++ b/src/cluster/reconcile/mod.rs
@@ -20,9 +20,9 @@
 use crate::wire::Heartbeat;
 
 impl Cluster {
-    /// Reconciles the cluster state with a heartbeat. One that the worker sends on its own shows
-    /// the effect of starts in the response to the one before, but may be a late copy. One in
-    /// response to a direct command is as recent as the command.
+    /// Reconciles the cluster state with a heartbeat. A heartbeat that the agent sends on its own
+    /// shows the effect of the starts in the response to the previous one, but may be a late copy.
+    /// A heartbeat in response to a direct command is at least as recent as the command.
     pub fn apply_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
@@ -33,7 +33,7 @@
             return HeartbeatOrdering::Deposed;
         }
         let id = MachineId(heartbeat.machine.as_str().into());
-        if self.terminated_machines.contains(&id) || !self.is_newer(&id, heartbeat, source, now) {
+        if self.released_machines.contains(&id) || !self.is_newer(&id, heartbeat, source, now) {
             return HeartbeatOrdering::Older;
         }
         let Some(was_busy) = self.apply_machine_status(&id, heartbeat, now) else {
@@ -48,12 +48,12 @@
             self.remove_absent(&id, source, &reported, now);
             self.mark_reconciled(&id);
         }
-        self.note_idle(&id, was_busy, now);
+        self.update_idle_since(&id, was_busy, now);
         HeartbeatOrdering::Newer
     }
 
-    /// Updates since when a machine has had no tasks.
-    fn note_idle(&mut self, id: &MachineId, was_busy: bool, now: Instant) {
+    /// Updates `idle_since` of a machine that a heartbeat has shown to be idle again.
+    fn update_idle_since(&mut self, id: &MachineId, was_busy: bool, now: Instant) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
--- a/src/cluster/records.rs
+++ b/src/cluster/records.rs
@@ -32,14 +32,14 @@
 pub struct MachineInventory {
     shards: BTreeMap<usize, BTreeSet<MachineId>>,
     machines_per_shard: usize,
-    /// Shards that differ from their records. Terminated machines are removed as promptly as others
+    /// Shards that differ from their records. Released machines are removed as promptly as others
     /// are added, since a new leader waits for every machine named.
     dirty: BTreeSet<usize>,
     writing: BTreeSet<usize>,
 }
 
 impl MachineInventory {
-    /// Loads the stored shards. `value_kb` is the store's limit on a value.
+    /// Loads the stored shards. `value_kb` is the store's limit on a value, in KiB.
     pub fn load(records: &BTreeMap<usize, Versioned<InventoryRecord>>, value_kb: f64) -> Self {
         let shards = records
             .iter()
@@ -77,7 +77,7 @@
         self.dirty.insert(shard);
     }
 
-    /// Removes a terminated machine. The next write of its shard removes the name from the record.
+    /// Removes a released machine. The next write of its shard removes the name from the record.
     pub fn remove(&mut self, id: &MachineId) {
         for (shard, names) in &mut self.shards {
             if names.remove(id) {
@@ -148,16 +148,16 @@
     pub priority: WritePriority,
 }
 
-/// The changes that delete all records of a job except its verdict.
-fn delete_records(id: &JobId, job: &Job, verdict: Verdict) -> Vec<Change> {
+/// The changes that write a job's verdict and delete all its other records.
+fn record_deletions(id: &JobId, job: &Job, verdict: Verdict) -> Vec<Change> {
     let record = JobRecord::without_description(verdict, job.spec.tasks);
-    let mut apply = vec![Change::put(keys::job(id), to_value(&record))];
+    let mut changes = vec![Change::put(keys::job(id), to_value(&record))];
     if job.has_own_key {
-        apply.push(Change::delete(keys::description(id)));
+        changes.push(Change::delete(keys::description(id)));
     }
     let chunks = (0..job.done.chunks()).filter(|c| job.done.chunk_written(*c));
-    apply.extend(chunks.map(|chunk| Change::delete(keys::completed_tasks(id, chunk))));
-    apply
+    changes.extend(chunks.map(|chunk| Change::delete(keys::completed_tasks(id, chunk))));
+    changes
 }
 
 /// Dispatches to be recorded, by the write priority of their jobs.
@@ -191,7 +191,7 @@
     let conditions = vec![Condition::new(keys::job(id), job.version)];
     Some(RecordWrite {
         kind,
-        transaction: Transaction::new(conditions, delete_records(id, job, verdict)),
+        transaction: Transaction::new(conditions, record_deletions(id, job, verdict)),
         priority,
     })
 }
@@ -278,7 +278,8 @@
             replica,
         };
         for (id, job) in &mut self.jobs {
-            // The replica does not show the cancellation yet. Its records are written once it does.
+            // The replica does not show the cancellation yet. The job's records are written once it
+            // does.
             let cancelling = job.cancellation_requested && job.verdict == Verdict::Accepted;
             if job.writing || cancelling {
                 continue;
@@ -390,20 +391,20 @@
                 self.dispatch_written(key, entries, committed, version);
             }
             RecordKind::Progress { job, chunk, digits } => {
-                self.note_version(keys::completed_tasks(job, *chunk), version);
+                self.record_version(keys::completed_tasks(job, *chunk), version);
                 self.progress_written(job, *chunk, digits, committed);
             }
             RecordKind::Finished { job } | RecordKind::Retired { job } => {
                 self.verdict_written(job, committed);
             }
             RecordKind::Inventory { shard, machines } => {
-                self.note_version(keys::inventory(*shard), version);
+                self.record_version(keys::inventory(*shard), version);
                 self.inventory_written(*shard, machines, committed);
             }
         }
     }
 
-    fn note_version(&mut self, key: String, version: Option<u64>) {
+    fn record_version(&mut self, key: String, version: Option<u64>) {
         if let Some(version) = version {
             self.written_versions.insert(key, version);
         }
@@ -446,7 +447,7 @@
 
     fn verdict_written(&mut self, id: &JobId, committed: bool) {
         if committed {
-            self.forget_job(id);
+            self.remove_ended_job(id);
         } else if let Some(job) = self.jobs.get_mut(id) {
             job.writing = false;
         }
--- a/src/cluster/recovery.rs
+++ b/src/cluster/recovery.rs
@@ -1,5 +1,5 @@
 //! Recovery of the cluster state by a new leader from the records. Machines of earlier terms stay
-//! unreconciled until they are fenced, terminated, or their leases have expired.
+//! unreconciled until they are fenced or released, or their worker leases have expired.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::time::{Duration, Instant, SystemTime};
@@ -43,16 +43,16 @@
             jobs: BTreeMap::new(),
             machines: BTreeMap::new(),
             unreconciled,
-            reconciliation_reported: false,
+            reconciliation_time_taken: false,
             scheduling_needed: true,
             start_delays: Vec::new(),
             arrivals: Vec::new(),
             pools: MachinePools::default(),
             images: Images::default(),
             unpublished: UnpublishedChanges::default(),
-            inherited_hints: HashMap::new(),
+            inherited_summaries: HashMap::new(),
             slowdowns: VecDeque::new(),
-            terminated_machines: BTreeSet::new(),
+            released_machines: BTreeSet::new(),
             zone_partitions: BTreeMap::new(),
             attempts_issued: 0,
             command_budget: commands::CommandBudget::new(settings.params.resources.cores, now),
@@ -78,13 +78,13 @@
         }
     }
 
-    /// Adds the jobs that are not over.
+    /// Adds the jobs that have not ended.
     fn recover_jobs(&mut self, replica: &Replica, now: Instant, wall: SystemTime) {
         let ids: Vec<JobId> = replica.descriptions.keys().cloned().collect();
         for id in ids {
             self.sync_job(&id, replica, now, wall, true);
         }
-        // Other jobs in the dispatch records are over, and no task of them can be on any machine.
+        // Other jobs in the dispatch records have ended, and no task of them can be on any machine.
         self.recovered_targets.clear();
         let jobs = &self.jobs;
         self.dispatch_log.retain_jobs(|id| jobs.contains_key(id));
@@ -93,23 +93,23 @@
     /// Applies an earlier leader's summary of the machines. Late heartbeats of machines that it
     /// shows as removed must not add them again.
     pub fn adopt_summary(&mut self, summary: &SummaryCache) {
-        self.inherited_hints = summary.machines.clone();
+        self.inherited_summaries = summary.machines.clone();
         for id in &self.unreconciled {
-            if let (Some(machine), Some(hint)) =
-                (self.machines.get_mut(id), self.inherited_hints.get(id))
+            if let (Some(machine), Some(machine_summary)) =
+                (self.machines.get_mut(id), self.inherited_summaries.get(id))
             {
-                machine.address.clone_from(&hint.address);
-                machine.last_message.epoch = hint.epoch;
+                machine.address.clone_from(&machine_summary.address);
+                machine.last_message.epoch = machine_summary.epoch;
             }
         }
         let removed = summary
             .removed_machines
             .iter()
             .filter(|id| !self.unreconciled.contains(*id));
-        self.terminated_machines.extend(removed.cloned());
+        self.released_machines.extend(removed.cloned());
     }
 
-    /// Marks the machine as reconciled: no tasks of earlier terms are unknown on it any more.
+    /// Marks the machine as reconciled: no unknown task of an earlier term can be on it any more.
     pub(super) fn mark_reconciled(&mut self, id: &MachineId) {
         if !self.unreconciled.remove(id) {
             return;
@@ -122,10 +122,10 @@
 
     /// The time from the start of observation until all machines were reconciled, returned once.
     pub fn take_reconciliation_time(&mut self, now: Instant) -> Option<Duration> {
-        if self.reconciliation_reported || !self.unreconciled.is_empty() {
+        if self.reconciliation_time_taken || !self.unreconciled.is_empty() {
             return None;
         }
-        self.reconciliation_reported = true;
+        self.reconciliation_time_taken = true;
         Some(now.saturating_duration_since(self.observing_since))
     }
 }
--- a/src/cluster/slow_machines.rs
+++ b/src/cluster/slow_machines.rs
@@ -9,13 +9,14 @@
 use super::Cluster;
 use crate::model::{JobId, MachineId};
 
-/// The last jobs on a machine whose slowdowns are compared with the median.
+/// Number of last jobs on a machine whose slowdowns are compared with the median.
 const JOBS_TO_COMPARE: usize = 3;
-/// A machine is quarantined if its slowdowns for all these jobs exceed the median by this factor.
+/// A machine is drained as slow if its slowdowns for all these jobs exceed the median by this
+/// factor.
 const SLOW_FACTOR: f64 = 2.5;
-/// Slowdowns kept of tasks on any machine, and how many are required for a comparison.
+/// Number of slowdowns kept of the last tasks on any machine, and number required for a comparison.
 const SLOWDOWNS_KEPT: usize = 60;
-const SLOWDOWNS_TO_JUDGE: usize = 15;
+const SLOWDOWNS_TO_COMPARE: usize = 15;
 
 /// The ratio of an instance's run time to its estimate, if both are known.
 fn slowdown_of(machine: &Machine, instance: &InstanceId, now: Instant) -> Option<f64> {
@@ -49,7 +50,12 @@
     /// Compares the run time of a task with its estimate, and the machine's slowdowns with the
     /// median of all. Estimates are often wrong by half, but not for several jobs on only one
     /// machine.
-    pub(super) fn note_slowdown(&mut self, id: &MachineId, instance: &InstanceId, now: Instant) {
+    pub(super) fn evaluate_slowdown(
+        &mut self,
+        id: &MachineId,
+        instance: &InstanceId,
+        now: Instant,
+    ) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
@@ -64,7 +70,7 @@
         let median = median(&self.slowdowns);
         let slow = |(_, slowdown): &(JobId, f64)| *slowdown > median * SLOW_FACTOR;
         let enough = machine.slowdowns.len() == JOBS_TO_COMPARE
-            && self.slowdowns.len() >= SLOWDOWNS_TO_JUDGE;
+            && self.slowdowns.len() >= SLOWDOWNS_TO_COMPARE;
         if enough && machine.slowdowns.iter().all(slow) && machine.drain.is_none() {
             warn!(machine = %id, median, slowdowns = ?machine.slowdowns, "machine declared slow");
             machine.drain = Some(DrainReason::Slow);
--- a/src/cluster/sync.rs
+++ b/src/cluster/sync.rs
@@ -31,7 +31,8 @@
 }
 
 impl Cluster {
-    /// Applies the current records of a job. `recovering` marks jobs that are not new submissions.
+    /// Applies the current records of a job. `recovering` is true if the job is not a new
+    /// submission.
     pub fn sync_job(
         &mut self,
         id: &JobId,
@@ -65,7 +66,7 @@
             job.verdict = verdict.record.verdict;
             self.scheduling_needed = true;
             if job.verdict == Verdict::Cancelled {
-                self.stop_job(id, 0.0);
+                self.terminate_tasks(id, 0.0);
             }
         }
         // This leader has retired the job: its records are deleted, and no task of it is left. A
@@ -75,11 +76,11 @@
             && !replica.descriptions.contains_key(id)
             && verdict.record.verdict != Verdict::Accepted
         {
-            self.forget_job(id);
+            self.remove_ended_job(id);
         }
     }
 
-    /// The job by its records, unless it is over.
+    /// The job by its records, unless it has ended.
     fn job_from_records(
         &mut self,
         id: &JobId,
@@ -88,8 +89,8 @@
         wall: SystemTime,
     ) -> Option<Job> {
         let verdict = replica.jobs.get(id)?;
-        let live = replica.descriptions.get(id)?;
-        let record = &live.record;
+        let description = replica.descriptions.get(id)?;
+        let record = &description.record;
         let recovered = self.recovered_targets.remove(id);
         let started = record.started || recovered.is_some();
         let mut dispatch_targets = targets_of(record);
@@ -103,7 +104,7 @@
         }
         Some(Job {
             spec: Arc::new(record.spec.clone()),
-            image: self.images.id(&record.spec.image),
+            image: self.images.intern(&record.spec.image),
             submitted_at: now.checked_sub(age).unwrap_or(now),
             version: verdict.version,
             verdict: verdict.record.verdict,
@@ -120,21 +121,21 @@
             placements: BTreeMap::new(),
             attempt: None,
             seen_running: false,
-            stopping: false,
+            terminating: false,
             capacity_reservation: None,
             backoff_until: None,
             failed_on: BTreeSet::new(),
             suspicion: None,
             writing: false,
-            has_own_key: live.has_own_key,
+            has_own_key: description.has_own_key,
             progress_written_at: None,
             first_running_at: None,
             pending_reason: PendingReason::NotConsidered,
         })
     }
 
-    /// Removes a job that is over.
-    pub(super) fn forget_job(&mut self, id: &JobId) {
+    /// Removes a job that has ended.
+    pub(super) fn remove_ended_job(&mut self, id: &JobId) {
         let Some(job) = self.jobs.remove(id) else {
             return;
         };
@@ -148,8 +149,8 @@
         }
     }
 
-    /// Removes a machine that is confirmed terminated, and all tasks that were on it.
-    pub fn remove_terminated_machine(&mut self, id: &MachineId) {
+    /// Removes a machine whose release the cloud has confirmed, and all tasks that were on it.
+    pub fn remove_released_machine(&mut self, id: &MachineId) {
         if let Some(machine) = self.machines.remove(id) {
             for instance in machine.instances.keys() {
                 self.remove_placement(id, instance, TerminationEvidence::ReleaseConfirmed);
@@ -159,9 +160,9 @@
         self.unpublished.machines.insert(id.clone());
         self.inventory.remove(id);
         // Late heartbeats may still arrive and must not add the machine again.
-        self.terminated_machines.insert(id.clone());
-        if self.terminated_machines.len() > REMOVED_MACHINES_MAX {
-            self.terminated_machines.pop_first();
+        self.released_machines.insert(id.clone());
+        if self.released_machines.len() > REMOVED_MACHINES_MAX {
+            self.released_machines.pop_first();
         }
         self.scheduling_needed = true;
     }
@@ -170,7 +171,7 @@
     pub fn add_rented_machines(&mut self, names: &[String], pool: &MachinePool, now: Instant) {
         for name in names {
             let id = MachineId(name.as_str().into());
-            if self.terminated_machines.contains(&id) {
+            if self.released_machines.contains(&id) {
                 continue;
             }
             let machine = self.machines.entry(id.clone());
@@ -179,15 +180,16 @@
             machine.machine_type.clone_from(&pool.machine_type);
             machine.zone.clone_from(&pool.zone);
             machine.spot = pool.spot;
-            machine.pool = Some(self.pools.id(&pool.machine_type, &pool.zone, pool.spot));
+            machine.pool = Some(self.pools.intern(&pool.machine_type, &pool.zone, pool.spot));
         }
     }
 
-    /// Applies the cloud's list of machines. The list lags, so absence from it is no evidence.
+    /// Applies the cloud's list of machines. The list lags, so absence from it is no evidence that
+    /// a machine was released.
     pub fn apply_machine_list(&mut self, list: &[ListedMachine], now: Instant) {
         for entry in list {
             let id = MachineId(entry.id.as_str().into());
-            if self.terminated_machines.contains(&id) {
+            if self.released_machines.contains(&id) {
                 continue;
             }
             let machine = self.machines.entry(id.clone());
@@ -196,7 +198,11 @@
                 machine.machine_type.clone_from(&entry.machine_type);
                 machine.zone.clone_from(&entry.zone);
                 machine.spot = entry.spot;
-                machine.pool = Some(self.pools.id(&entry.machine_type, &entry.zone, entry.spot));
+                machine.pool = Some(self.pools.intern(
+                    &entry.machine_type,
+                    &entry.zone,
+                    entry.spot,
+                ));
                 if machine.address.is_empty() {
                     machine.address.clone_from(&entry.address);
                 }
--- a/tests/forwarding.rs
+++ b/tests/forwarding.rs
@@ -7,18 +7,18 @@
 mod common;
 #[path = "common/scene.rs"]
 mod scene;
-#[path = "common/world.rs"]
-mod world;
+#[path = "common/simulation.rs"]
+mod simulation;
 
 use scene::array_job;
-use world::{trouble, Fault, Trouble, World};
+use simulation::{timed_fault, Fault, Simulation, TimedFault};
 
 /// Duration of a phase in simulated seconds.
 const PHASE_S: f64 = 25.0;
 
 /// A simulation that runs phase by phase, with the results of all phases.
 struct PhasedRun {
-    simulation: World,
+    simulation: Simulation,
     results: Vec<String>,
 }
 
@@ -31,13 +31,13 @@
         let text = text
             .replace("count = 1", "count = 3")
             .replace("report_s = 0.5", "report_s = 8.0");
-        let mut simulation = World::new(4, &text);
-        simulation.peers_refuse = peers_refuse;
+        let mut simulation = Simulation::new(4, &text);
+        simulation.peers_refuse_connections = peers_refuse;
         let mut job = array_job("wk-000001", 8);
         job.team = "blue".to_owned();
         job.task_resources.cpus = 14.0;
         job.task_resources.gpus = 0.0;
-        simulation.want(job, 400.0);
+        simulation.submit_job(job, 400.0);
         let results = Vec::new();
         Self {
             simulation,
@@ -46,33 +46,35 @@
     }
 
     /// Runs a phase that begins with these faults, and adds its result.
-    fn run_phase(&mut self, title: &str, faults: &[Trouble]) {
-        let (relayed_before, ended_before) =
-            (self.simulation.passed_on, self.simulation.sessions_ended());
-        let until = self.simulation.t + PHASE_S;
-        self.simulation.play(until, faults);
+    fn run_phase(&mut self, title: &str, faults: &[TimedFault]) {
+        let (relayed_before, ended_before) = (
+            self.simulation.responses_relayed,
+            self.simulation.sessions_ended(),
+        );
+        let until = self.simulation.now_s + PHASE_S;
+        self.simulation.run_until(until, faults);
         let simulation = &self.simulation;
-        assert_eq!(simulation.broken, Vec::<String>::new());
-        let response_path = if simulation.passed_on > relayed_before {
+        assert_eq!(simulation.violations, Vec::<String>::new());
+        let response_path = if simulation.responses_relayed > relayed_before {
             "followers relay some responses"
         } else {
             "the leader sends all responses itself"
         };
         let ended = simulation.sessions_ended() - ended_before;
-        let leader = simulation.leading_node();
+        let leader = simulation.leading_controller();
         let leader = leader.map_or("no controller".to_owned(), |n| format!("knot-{n}"));
         self.results.push(title.to_owned());
         self.results
             .push(format!("    {leader} leads, {response_path}"));
-        let machines = simulation.workers_by_node();
+        let machines = simulation.workers_by_controller();
         self.results.push(format!(
             "    machines at knot-0, knot-1, knot-2: {machines:?}; worker leases expired: {ended}"
         ));
     }
 
     /// A fault that begins early in the next phase and lasts this many seconds.
-    fn fault_in_next_phase(&self, fault: Fault, duration_s: f64) -> Vec<Trouble> {
-        vec![trouble(self.simulation.t + 0.5, duration_s, fault)]
+    fn fault_in_next_phase(&self, fault: Fault, duration_s: f64) -> Vec<TimedFault> {
+        vec![timed_fault(self.simulation.now_s + 0.5, duration_s, fault)]
     }
 }
 
@@ -84,7 +86,7 @@
     run.run_phase("the leader crashes and restarts after 6 s", &faults);
     let faults = run.fault_in_next_phase(Fault::CrashFollower(6.0), 0.0);
     run.run_phase("a follower crashes and restarts after 6 s", &faults);
-    let faults = run.fault_in_next_phase(Fault::CutFollower, 12.0);
+    let faults = run.fault_in_next_phase(Fault::FollowerCutFromLeader, 12.0);
     run.run_phase("a follower can't reach the leader for 12 s", &faults);
     run.run_phase("no faults", &[]);
     insta::assert_snapshot!(run.results.join("\n"));
@@ -99,7 +101,7 @@
     );
     let faults = run.fault_in_next_phase(Fault::CrashLeader(6.0), 0.0);
     run.run_phase("the leader crashes and restarts after 6 s", &faults);
-    run.simulation.peers_refuse = false;
+    run.simulation.peers_refuse_connections = false;
     run.run_phase("the controllers reach each other again", &[]);
     insta::assert_snapshot!(run.results.join("\n"));
 }
--- a/tests/heartbeats.rs
+++ b/tests/heartbeats.rs
@@ -32,7 +32,7 @@
     leader.note("a late heartbeat does not add a terminated machine again");
     leader
         .cluster
-        .remove_terminated_machine(&MachineId("m-g1n".into()));
+        .remove_released_machine(&MachineId("m-g1n".into()));
     assert_eq!(
         leader.receive_heartbeat_with("m-g1n", (2, 2, 1), &[], true),
         HeartbeatOrdering::Older
@@ -186,7 +186,7 @@
     assert!(test.cluster.machines.values().all(|m| m.faults.is_empty()));
     test.note("a machine is terminated, then a copy of its heartbeat arrives");
     test.cluster
-        .remove_terminated_machine(&MachineId("m-g2n".into()));
+        .remove_released_machine(&MachineId("m-g2n".into()));
     test.receive_heartbeat_with(
         "m-g2n",
         (1, 90, 1),
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -79,7 +79,7 @@
     assert_eq!(scene.cluster.unreconciled, written);
     // The removal of one machine rewrites one shard, not all of them.
     let gone = MachineId("m-c000000n".into());
-    scene.cluster.remove_terminated_machine(&gone);
+    scene.cluster.remove_released_machine(&gone);
     let replica = scene.replica();
     assert_eq!(scene.cluster.due_writes(&replica, scene.now).len(), 1);
 }
@@ -92,7 +92,7 @@
     let ids: Vec<MachineId> = scene.cluster.machines.keys().cloned().collect();
     for (number, id) in ids.iter().enumerate() {
         for n in 0..60 {
-            let image_id = scene.cluster.images.id(&image(number, n));
+            let image_id = scene.cluster.images.intern(&image(number, n));
             let machine = scene.cluster.machines.get_mut(id).unwrap();
             machine.record_image_use(image_id, 3.0, 200.0);
         }
@@ -284,11 +284,11 @@
 fn removed_machine_is_not_added_again_after_a_fleet_of_4000_is_replaced_twice() {
     let mut scene = fleet_with_heartbeats(10);
     let removed = MachineId("m-c000000n".into());
-    scene.cluster.remove_terminated_machine(&removed);
+    scene.cluster.remove_released_machine(&removed);
     for number in 0..2 * MACHINES {
         scene
             .cluster
-            .remove_terminated_machine(&MachineId(format!("m-z{number:06}").into()));
+            .remove_released_machine(&MachineId(format!("m-z{number:06}").into()));
     }
     const { assert!(REMOVED_MACHINES_MAX > 2 * MACHINES) };
     scene.receive_heartbeat("m-c000000n", &[]);
--- a/tests/leader_change.rs
+++ b/tests/leader_change.rs
@@ -56,7 +56,7 @@
     leader.plan_scaling(&decisions);
     leader
         .cluster
-        .remove_terminated_machine(&MachineId("m-g2n".into()));
+        .remove_released_machine(&MachineId("m-g2n".into()));
     leader.receive_heartbeat_with("m-g3n", (1, 1, 1), &[], true);
     leader.run_cycle();
     insta::assert_snapshot!(leader.log);
@@ -168,7 +168,7 @@
     leader.note("the termination of m-g1n proves that its task has ended");
     leader
         .cluster
-        .remove_terminated_machine(&MachineId("m-g1n".into()));
+        .remove_released_machine(&MachineId("m-g1n".into()));
     leader.receive_heartbeat("m-g2n", &[]);
     leader.run_cycle();
     insta::assert_snapshot!(leader.log);
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -89,7 +89,7 @@
         .note("one machine is terminated; the other member gets a stop with time for a checkpoint");
     leader
         .cluster
-        .remove_terminated_machine(&MachineId("m-c2n".into()));
+        .remove_released_machine(&MachineId("m-c2n".into()));
     leader.run_cycle();
     leader.note("until that member has ended, no member of the gang starts");
     leader.receive_heartbeat(
@@ -118,7 +118,7 @@
     leader.receive_heartbeat("m-c1n", &[("wk-000001/0", ATTEMPT_1, AWAITING_GANG, None)]);
     leader
         .cluster
-        .remove_terminated_machine(&MachineId("m-c2n".into()));
+        .remove_released_machine(&MachineId("m-c2n".into()));
     leader.run_cycle();
     leader.receive_heartbeat("m-c3n", &[]);
     insta::assert_snapshot!(leader.log);
@@ -133,7 +133,7 @@
     );
     leader
         .cluster
-        .remove_terminated_machine(&MachineId("m-c2n".into()));
+        .remove_released_machine(&MachineId("m-c2n".into()));
     leader.run_cycle();
     leader.note(
         "only the member that has not completed restarts; it does not wait for the other one",
