--- a/tests/common/scenario.rs
+++ b/tests/common/scenario.rs
@@ -72,7 +72,7 @@
             Vec::<String>::new(),
             "seed {seed}: {faults:?}"
         );
-        let unfinished = simulation.unfinished();
+        let unfinished = simulation.unfinished_jobs();
         let details: Vec<String> = unfinished
             .iter()
             .map(|id| simulation.describe_job(id))
--- a/tests/common/simulation.rs
+++ b/tests/common/simulation.rs
@@ -84,7 +84,7 @@
 const STORE_TIMEOUT_S: f64 = 1.5;
 /// Time after which a worker stops waiting for the response to a heartbeat.
 const WORKER_TIMEOUT_S: f64 = 4.0;
-/// Machines of each type that the cloud runs at most; booting ones are not counted.
+/// Maximum number of running machines of each type in the cloud, which does not count booting ones.
 const MACHINES_PER_TYPE_MAX: usize = 8;
 
 /// State of the controllers and their environment.
@@ -102,7 +102,7 @@
     refused: Option<(usize, f64)>,
     /// Controller whose store reads get no response, and the end of the fault.
     reads_lost: Option<(usize, f64)>,
-    /// Controller that is cut off from the workers, and the end of the fault.
+    /// Controller whose links to all workers are cut, and the end of the fault.
     cut_off: Option<(usize, f64)>,
     /// Share of transactions without a response, whether they are applied at once, and the end of the
     /// fault.
@@ -135,7 +135,7 @@
     /// Terminated machines, with the time until which the machine list shows them as running; for
     /// 300 s after it, the list shows them as failed.
     failed_machines: BTreeMap<String, (MachinePool, f64)>,
-    /// Undelivered messages, with the time of delivery and the number of the message.
+    /// Messages to deliver, with the time of delivery and the number of the message.
     in_flight: Vec<(f64, u64, Message)>,
     messages_posted: u64,
     jobs: BTreeMap<String, UserJob>,
@@ -145,11 +145,12 @@
     /// Starts of tasks whose job's cancellation a user had already observed.
     pub starts_of_cancelled_jobs: usize,
     pub task_starts: usize,
-    pub failovers: usize,
+    /// Number of times that a controller became the leader, including the first one.
+    pub terms_started: usize,
     pub kept_heartbeats_delivered: usize,
-    /// Whether controllers refuse connections from one another.
+    /// Whether controllers refuse each other's connections.
     pub peers_refuse_connections: bool,
-    /// Time from which no fault is active, and the wait of jobs that have room is limited.
+    /// Time at which the last fault ends. Afterwards, jobs that have room may wait only for a limited time.
     pub faults_end_at: f64,
     /// Time since which a job waits although there is room for it, by job id.
     placeable_since: BTreeMap<String, f64>,
@@ -200,7 +201,7 @@
             violations: Vec::new(),
             starts_of_cancelled_jobs: 0,
             task_starts: 0,
-            failovers: 0,
+            terms_started: 0,
             kept_heartbeats_delivered: 0,
             // Messages between controllers only reduce delays: every second seed runs without them, so
             // that nothing can depend on them.
@@ -331,7 +332,7 @@
     }
 
     /// Jobs whose end no user has observed.
-    pub fn unfinished(&self) -> Vec<String> {
+    pub fn unfinished_jobs(&self) -> Vec<String> {
         let unfinished = self
             .jobs
             .iter()
--- a/tests/common/simulation/cloud.rs
+++ b/tests/common/simulation/cloud.rs
@@ -27,7 +27,8 @@
         running.chain(failed).collect()
     }
 
-    /// Rents as many machines as the cloud has left, and returns their names; they boot later.
+    /// Rents up to `count` machines, limited by [`MACHINES_PER_TYPE_MAX`], and returns their names. The
+    /// machines boot later.
     pub(super) fn rent_machines(&mut self, pool: &MachinePool, count: u32) -> Vec<String> {
         let running = self
             .workers
@@ -60,7 +61,7 @@
             lease_started_at: self.now_s,
             controller: self.rng.random_range(0..3),
             next_heartbeat_at: self.now_s + self.rng.random_range(0.0..1.0),
-            awaited_reply: None,
+            awaited_response: None,
             state_changed: false,
             last_heartbeat_at: self.now_s,
             token_raised_at: -1000.0,
--- a/tests/common/simulation/controllers.rs
+++ b/tests/common/simulation/controllers.rs
@@ -9,18 +9,21 @@
     pub(super) incarnation: u64,
     pub(super) is_running: bool,
     pub(super) restart_at: f64,
-    /// The process is paused until then.
+    /// Time until which the process is paused.
     pub(super) paused_until: f64,
     pub(super) replica_loaded: bool,
+    /// Whether a read of the store has no response yet.
     pub(super) reading: bool,
     pub(super) next_read_at: f64,
     pub(super) next_election_at: f64,
+    /// Whether the grant of a lease or an election transaction has no response yet.
     pub(super) electing: bool,
+    /// Whether a lease renewal has no response yet.
     pub(super) renewing: bool,
     pub(super) next_cycle_at: f64,
     /// Term of the last scheduling cycle, and the time by which the next one is due.
     pub(super) cycle_due: Option<(Term, f64)>,
-    /// No records are written until then, after a failed write.
+    /// Time until which no records are written, after a failed write.
     pub(super) writes_paused_until: f64,
     pub(super) next_fleet_step_at: f64,
     pub(super) unmet_demand: Vec<UnmetDemand>,
@@ -119,8 +122,8 @@
                 RequestPurpose::Submit(id),
                 StoreResponse::TransactionOutcome(TransactionOutcome::Committed(_)),
             ) => {
-                // The verdict counts from the time of the request: another user may observe a later
-                // one before this response arrives.
+                // The verdict is checked only against those observed before the request was sent: another
+                // user may observe a later verdict before this response arrives.
                 self.observe_verdict(id, sent_s, Some(Verdict::Accepted));
             }
             (
@@ -320,7 +323,7 @@
     }
 
     pub(super) fn recover(&mut self, index: usize, term: Term, version: u64) {
-        self.failovers += 1;
+        self.terms_started += 1;
         let shared = self.controllers[index].shared.clone();
         let catalog = shared.catalog.lock().clone().unwrap();
         let cluster = Cluster::recover(
@@ -370,7 +373,7 @@
         let Some(leadership) = shared.election.lock().leadership(now) else {
             return;
         };
-        let starting = shared.leadership_for_starts(now).is_some();
+        let may_start_tasks = shared.leadership_for_starts(now).is_some();
         let due = self.controllers[index]
             .cycle_due
             .replace((leadership.term, self.now_s + 1.0));
@@ -385,14 +388,14 @@
                 }
             }
             cluster.expire(now);
-            let decisions = if starting {
+            let decisions = if may_start_tasks {
                 sched::run_cycle(cluster, &self.policy, now)
             } else {
                 Decisions::default()
             };
             sched::apply(cluster, &decisions, now);
             cluster.scheduling_needed = false;
-            if starting {
+            if may_start_tasks {
                 self.controllers[index].unmet_demand = decisions.unmet_demand;
             }
             cluster.direct_commands(now)
@@ -547,8 +550,8 @@
         }
     }
 
-    /// Whether a controller processes a message now. A paused one holds it until it resumes; a message
-    /// for a process that has terminated, or for another incarnation, is lost.
+    /// Whether a controller processes a message now. A paused controller holds the message until it
+    /// resumes. A message for a terminated process, or for another incarnation, is lost.
     pub(super) fn accepts(
         &mut self,
         index: usize,
--- a/tests/common/simulation/delivery.rs
+++ b/tests/common/simulation/delivery.rs
@@ -7,9 +7,10 @@
 
 #[derive(Clone, Debug)]
 pub(super) enum Message {
-    /// Sending controller and its incarnation, the request, its purpose and the time it was sent.
+    /// Sending controller and its incarnation, the request, its purpose, and the time it was sent.
     ToStore(usize, u64, StoreRequest, RequestPurpose, f64),
-    /// The same for the response, with the time the request was sent.
+    /// Controller that sent the request and its incarnation, the response, the purpose of the request, and
+    /// the time at which the request was sent.
     FromStore(usize, u64, StoreResponse, RequestPurpose, f64),
     /// A transaction that is applied later, and whose sender gets no response.
     LateWrite(Transaction),
@@ -17,7 +18,7 @@
     Heartbeat(usize, Box<Heartbeat>, Option<u64>),
     /// Worker, its session epoch, the number of the heartbeat, the status, the controller to which it
     /// redirects, and the fencing token with the commands.
-    HeartbeatReply(
+    HeartbeatResponse(
         String,
         u64,
         u64,
@@ -30,7 +31,7 @@
     DirectCommand(usize, u64, String, u64, u64, Vec<WorkerCommand>, Instant),
     /// Controller and its incarnation, the worker's heartbeat, the fencing token of the command and the
     /// time the command was sent.
-    DirectCommandReply(usize, u64, Box<Heartbeat>, u64, Instant),
+    DirectCommandResponse(usize, u64, Box<Heartbeat>, u64, Instant),
     Cancellation(usize, Vec<JobId>),
     /// Request to the cloud from a controller and its incarnation.
     Release(usize, u64, Vec<MachineId>),
@@ -45,7 +46,7 @@
     /// number there.
     Batch(usize, Vec<u8>, usize, u64, u64),
     /// Follower and its incarnation, the batch's number, and the body or the error status.
-    BatchReply(usize, u64, u64, Result<Vec<u8>, u16>),
+    BatchResponse(usize, u64, u64, Result<Vec<u8>, u16>),
     /// Receiving controller, the encoded row, the sender with its incarnation, and the time it was sent.
     Row(usize, Vec<u8>, usize, u64, f64),
     /// Sender of a row, its incarnation, and the outcome.
@@ -72,11 +73,11 @@
                     self.store.commit(&transaction);
                 }
             }
-            Message::FromStore(index, incarnation, reply, purpose, sent_s) => {
+            Message::FromStore(index, incarnation, result, purpose, sent_s) => {
                 if self.accepts(index, Some(incarnation), || {
-                    Message::FromStore(index, incarnation, reply.clone(), purpose.clone(), sent_s)
+                    Message::FromStore(index, incarnation, result.clone(), purpose.clone(), sent_s)
                 }) {
-                    self.handle_store_response(index, reply, purpose, sent_s);
+                    self.handle_store_response(index, result, purpose, sent_s);
                 }
             }
             Message::Cancellation(index, jobs) => {
@@ -91,26 +92,26 @@
                     self.receive_batch(to, &bytes, (from, incarnation, id));
                 }
             }
-            Message::BatchReply(index, incarnation, id, answer) => {
-                let to_hold = || Message::BatchReply(index, incarnation, id, answer.clone());
+            Message::BatchResponse(index, incarnation, id, response) => {
+                let to_hold = || Message::BatchResponse(index, incarnation, id, response.clone());
                 if self.accepts(index, Some(incarnation), to_hold) {
-                    self.receive_batch_reply(index, id, answer);
+                    self.receive_batch_response(index, id, response);
                 }
             }
             Message::Row(..) | Message::RowOutcome(..) => self.deliver_row(message),
-            Message::HeartbeatReply(name, epoch, number, status, redirect, body) => {
+            Message::HeartbeatResponse(name, epoch, number, status, redirect, body) => {
                 let hung = |worker: &Worker| worker.hung_until > now_s;
                 if self.workers.get(&name).is_some_and(hung) {
                     return;
                 }
-                self.receive_reply(&name, (epoch, number, status), redirect, body);
+                self.receive_heartbeat_response(&name, (epoch, number, status), redirect, body);
             }
             Message::DirectCommand(index, incarnation, name, token, epoch, commands, sent_at) => {
                 let command = (token, epoch, commands);
                 self.receive_direct_command((index, incarnation), name, command, sent_at);
             }
-            Message::DirectCommandReply(index, incarnation, heartbeat, token, sent_at) => {
-                self.receive_command_reply(index, incarnation, heartbeat, token, sent_at)
+            Message::DirectCommandResponse(index, incarnation, heartbeat, token, sent_at) => {
+                self.receive_command_response(index, incarnation, heartbeat, token, sent_at)
             }
             Message::Release(..)
             | Message::Released(..)
@@ -141,7 +142,7 @@
                 self.send(Message::Rented(index, incarnation, pool, names));
             }
             Message::Rented(index, incarnation, pool, names) => {
-                self.receive_rental_reply(index, incarnation, pool, names)
+                self.receive_rental_response(index, incarnation, pool, names)
             }
             _ => {}
         }
@@ -188,8 +189,8 @@
         let (name, epoch) = (heartbeat.machine.clone(), heartbeat.epoch);
         let responses_pass = link_fault.mode.responses == Flow::Pass;
         match (outcome, number.filter(|_| responses_pass)) {
-            (HeartbeatOutcome::Answered(answer), Some(number)) => {
-                self.send_reply(&name, (epoch, number), answer);
+            (HeartbeatOutcome::Answered(response), Some(number)) => {
+                self.send_response(&name, (epoch, number), response);
             }
             (HeartbeatOutcome::Queued(pending), Some(number)) => {
                 self.hold_connection(index, pending, (name, epoch, number));
@@ -202,8 +203,8 @@
         }
     }
 
-    /// Delivers a worker's reply to the controller that sent the direct command.
-    fn receive_command_reply(
+    /// Delivers a worker's response to the controller that sent the direct command.
+    fn receive_command_response(
         &mut self,
         index: usize,
         incarnation: u64,
@@ -212,7 +213,7 @@
         sent_at: Instant,
     ) {
         if !self.accepts(index, Some(incarnation), || {
-            Message::DirectCommandReply(index, incarnation, heartbeat.clone(), token, sent_at)
+            Message::DirectCommandResponse(index, incarnation, heartbeat.clone(), token, sent_at)
         }) {
             return;
         }
@@ -230,13 +231,13 @@
             assert_ne!(
                 ordering,
                 HeartbeatOrdering::Deposed,
-                "the reply to a direct command of the current term shows a later term"
+                "the response to a direct command of the current term shows a later term"
             );
         }
     }
 
     /// Delivers the cloud's response to the controller that requested the rental.
-    fn receive_rental_reply(
+    fn receive_rental_response(
         &mut self,
         index: usize,
         incarnation: u64,
@@ -294,7 +295,7 @@
             self.execute_commands(&name, &commands);
         }
         let heartbeat = self.next_heartbeat(&name);
-        self.send(Message::DirectCommandReply(
+        self.send(Message::DirectCommandResponse(
             index,
             incarnation,
             heartbeat,
--- a/tests/common/simulation/faults.rs
+++ b/tests/common/simulation/faults.rs
@@ -37,7 +37,8 @@
     CrashAll(f64),
     /// The leader's process is paused.
     PauseLeader,
-    /// The current leader is cut off from the workers: heartbeats to it and its direct commands are lost.
+    /// The links between the current leader and all workers are cut: heartbeats to it and its direct
+    /// commands are lost.
     LeaderCutOff,
     /// Users cancel this many jobs.
     CancelJobs(usize),
@@ -88,9 +89,9 @@
             Fault::SlowStore(delay_max_s) => self.store_delay = (delay_max_s, until),
             Fault::LateWrites { share, at_once } => self.late_writes = (share, at_once, until),
             Fault::HeartbeatCopies { share, kept } => self.heartbeat_copies = (share, kept, until),
-            Fault::LoseResponses(share) => self.alter(share, |w| w.responses_lost_until = until),
-            Fault::LoseHeartbeats(share) => self.alter(share, |w| w.heartbeats_lost_until = until),
-            Fault::HangWorkers(share) => self.alter(share, |w| w.hung_until = until),
+            Fault::LoseResponses(share) => self.modify(share, |w| w.responses_lost_until = until),
+            Fault::LoseHeartbeats(share) => self.modify(share, |w| w.heartbeats_lost_until = until),
+            Fault::HangWorkers(share) => self.modify(share, |w| w.hung_until = until),
             Fault::TerminateMachines(count) => self.terminate_machines(count),
             Fault::CrashLeader(delay_s) => {
                 if let Some(index) = self.leader() {
@@ -138,7 +139,7 @@
     }
 
     /// Applies a change to a randomly drawn share of the workers.
-    fn alter(&mut self, share: f64, change: impl Fn(&mut Worker)) {
+    fn modify(&mut self, share: f64, change: impl Fn(&mut Worker)) {
         for name in self.draw_workers(share) {
             change(self.workers.get_mut(&name).unwrap());
         }
--- a/tests/common/simulation/forwarding.rs
+++ b/tests/common/simulation/forwarding.rs
@@ -41,7 +41,7 @@
     number: u64,
 }
 
-/// A batch without a response so far, and the time at which it times out.
+/// A batch that has no response yet, and the time at which it times out.
 struct SentBatch {
     batch: Vec<QueuedHeartbeat>,
     leader: knotlanding::leader::LeaderHint,
@@ -55,7 +55,7 @@
     sent_batches: HashMap<u64, SentBatch>,
     last_batch_at: f64,
     /// Number of the last batch.
-    batches: u64,
+    last_batch_id: u64,
 }
 
 impl Simulation {
@@ -122,8 +122,8 @@
             };
             let bytes = encode(&message).unwrap();
             let forwarding_state = &mut self.controllers[index].forwarding_state;
-            forwarding_state.batches += 1;
-            let id = forwarding_state.batches;
+            forwarding_state.last_batch_id += 1;
+            let id = forwarding_state.last_batch_id;
             let until = self.now_s + BATCH_TIMEOUT.as_secs_f64();
             let sent_batch = SentBatch {
                 batch,
@@ -166,7 +166,7 @@
         self.send(message(bytes));
     }
 
-    /// Delivers a batch to the controller that its sender took for the leader.
+    /// Delivers a batch to the controller that the sender observed as the leader.
     pub(super) fn receive_batch(
         &mut self,
         to: usize,
@@ -187,7 +187,7 @@
             return;
         }
         let (faults, until) = self.batch_faults;
-        let message = Message::BatchReply(from, incarnation, id, answer);
+        let message = Message::BatchResponse(from, incarnation, id, answer);
         if self.now_s < until && self.rng.random_bool(faults.responses_delayed) {
             let after = self.rng.random_range(1.0..8.0);
             self.deliver_after(after, message);
@@ -197,11 +197,11 @@
     }
 
     /// Delivers the response to a batch to the follower that sent it.
-    pub(super) fn receive_batch_reply(
+    pub(super) fn receive_batch_response(
         &mut self,
         index: usize,
         id: u64,
-        answer: Result<Vec<u8>, u16>,
+        response: Result<Vec<u8>, u16>,
     ) {
         let now = self.instant();
         let Some(sent_batch) = self.controllers[index]
@@ -212,7 +212,7 @@
             return;
         };
         let shared = self.controllers[index].shared.clone();
-        match answer {
+        match response {
             Ok(bytes) => {
                 let answer: BatchAnswer = decode(&bytes).unwrap();
                 shared
@@ -258,7 +258,7 @@
         let waiting = std::mem::take(&mut self.controllers[index].forwarding_state.waiting);
         for mut connection in waiting {
             let waited = now.saturating_duration_since(connection.pending.received_at);
-            let answer = match (&mut connection.pending.answer).now_or_never() {
+            let response = match (&mut connection.pending.answer).now_or_never() {
                 Some(Ok(answer)) => relay_response(&connection.pending, answer, now),
                 Some(Err(_)) => upstream_unavailable(&shared, now),
                 None if waited >= RELAY_TIMEOUT + Duration::from_millis(1) => {
@@ -272,16 +272,16 @@
                     continue;
                 }
             };
-            if answer.status() == 200 {
+            if response.status() == 200 {
                 self.responses_relayed += 1;
                 shared
                     .links
                     .record_worker_response(&connection.pending.machine);
             }
-            self.send_reply(
+            self.send_response(
                 &connection.name,
                 (connection.epoch, connection.number),
-                answer,
+                response,
             );
         }
     }
--- a/tests/common/simulation/invariants.rs
+++ b/tests/common/simulation/invariants.rs
@@ -7,7 +7,8 @@
 const WAIT_WITH_ROOM_MAX_S: f64 = 90.0;
 
 impl Simulation {
-    /// Checks after a step that cancelled jobs have stopped in time and that teams are within their limits.
+    /// Checks after a step that the tasks of cancelled jobs have ended in time and that teams are within
+    /// their limits.
     pub(super) fn check_invariants(&mut self) {
         let cancel_s = self.worker_settings().cancel_s;
         let mut violations = Vec::new();
@@ -65,7 +66,7 @@
         }
         let is_gang = job.spec.kind == JobKind::Gang;
         if is_gang && waiting < job.spec.tasks {
-            // The remaining members have to stop first.
+            // The remaining members have to end first.
             return false;
         }
         let tasks_to_place = if is_gang { waiting } else { 1 };
@@ -90,8 +91,8 @@
             }
         }
         let has_room = zones.values().any(|count| *count >= tasks_to_place);
-        // An array that is bound to the zone of its other tasks is not checked. Without placed or completed
-        // tasks it may use any zone.
+        // An array that is bound to the zone of its other tasks is not checked. An array without placed or
+        // completed tasks may use any zone.
         let bound_to_zone = job.spec.single_zone && !is_gang && waiting < job.spec.tasks;
         has_room && !bound_to_zone && self.policy.within_limit(&job.spec.team, &used)
     }
@@ -107,7 +108,7 @@
             let now_s = self.now_s;
             let waiting_since = *self.placeable_since.entry(id.clone()).or_insert(now_s);
             if now_s - waiting_since > WAIT_WITH_ROOM_MAX_S {
-                self.record_violation("waits_despite_room", id);
+                self.record_violation("neglected", id);
             }
         }
     }
--- a/tests/common/simulation/links.rs
+++ b/tests/common/simulation/links.rs
@@ -29,8 +29,8 @@
 /// A controller's link state outside of its shared state; a restart clears it.
 #[derive(Default)]
 pub struct ControllerLinks {
-    evaluated_at: f64,
-    probes: u64,
+    last_evaluated_at: f64,
+    probe_count: u64,
     /// Time at which the controller first observed that there is no leader.
     pub(super) vacant_since: Option<f64>,
 }
@@ -59,7 +59,7 @@
         }
     }
 
-    /// The latest active fault of a link, or the mode without a fault.
+    /// The active fault of a link that started last, or the default mode if no fault is active.
     pub(super) fn current_link_fault(&self, link: LinkId) -> TimedLinkFault {
         let newest_first = self.link_faults.iter().rev();
         let active = newest_first
@@ -72,8 +72,8 @@
         })
     }
 
-    /// Whether a link fault prevents the delivery of a request now. A held request is delivered when the
-    /// fault ends.
+    /// Whether a link fault prevents the delivery of a request now. If the fault holds requests, `message`
+    /// is delivered when the fault ends.
     pub(super) fn withholds_request(
         &mut self,
         link_fault: &TimedLinkFault,
@@ -128,11 +128,11 @@
         let Some(active) = shared.links.active() else {
             return;
         };
-        let last_evaluated_at = self.controllers[index].links.evaluated_at;
+        let last_evaluated_at = self.controllers[index].links.last_evaluated_at;
         if self.now_s < last_evaluated_at + ROW_INTERVAL_S {
             return;
         }
-        self.controllers[index].links.evaluated_at = self.now_s;
+        self.controllers[index].links.last_evaluated_at = self.now_s;
         let now = self.instant();
         if last_evaluated_at > 0.0 && self.now_s - last_evaluated_at > PAUSE_MIN_S {
             active.resume_after_pause(now);
@@ -157,8 +157,8 @@
     }
 
     fn probe_writes(&mut self, index: usize) {
-        self.controllers[index].links.probes += 1;
-        let count = self.controllers[index].links.probes;
+        self.controllers[index].links.probe_count += 1;
+        let count = self.controllers[index].links.probe_count;
         let key = keys::probe(&self.controllers[index].name);
         let transaction = Transaction {
             conditions: Vec::new(),
@@ -235,16 +235,17 @@
         let member = self.controllers[outcome.to].name.clone();
         let sent_at = self.started_at + Duration::from_secs_f64(outcome.sent_s);
         match outcome.reply {
-            // Every row has a timeout; it has no effect if a row sent at that time or later succeeded.
+            // Every row has a timeout. It has no effect if this row, or one sent later, got a response.
             None => {
                 let table = active.table.lock();
                 let links = table.named_links();
                 let outbound = format!("requests to {member}");
                 let mut links = links.filter(|(name, _)| name.to_string() == outbound);
-                let answered = links.any(|(_, link)| link.last_success_sent_at() >= Some(sent_at));
+                let has_later_success =
+                    links.any(|(_, link)| link.last_success_sent_at() >= Some(sent_at));
                 drop(links);
                 drop(table);
-                if !answered {
+                if !has_later_success {
                     active.record_peer_request(&member, sent_at, false, now);
                 }
             }
@@ -277,8 +278,8 @@
         true
     }
 
-    /// Whether a controller leaves an election to a better connected one, for the first 0.7 s without a
-    /// leader.
+    /// Whether a controller yields an election to a better connected one. It does so only in the first
+    /// 0.7 s without a leader.
     pub(super) fn yields_election(&mut self, index: usize) -> bool {
         let (now_s, now) = (self.now_s, self.instant());
         let vacant_since = *self.controllers[index]
--- a/tests/common/simulation/store.rs
+++ b/tests/common/simulation/store.rs
@@ -177,10 +177,10 @@
         let refused = self
             .refused
             .is_some_and(|(affected, until)| affected == index && self.now_s < until);
-        let read_unanswered = self
+        let read_lost = self
             .reads_lost
             .is_some_and(|(affected, until)| affected == index && self.now_s < until);
-        if read_unanswered && matches!(request, StoreRequest::Load | StoreRequest::Read(_)) {
+        if read_lost && matches!(request, StoreRequest::Load | StoreRequest::Read(_)) {
             let remaining_s = (sent_s + STORE_TIMEOUT_S - self.now_s).max(0.0);
             let unknown = StoreResponse::Failed(StoreError::OutcomeUnknown);
             self.deliver_after(
--- a/tests/common/simulation/users.rs
+++ b/tests/common/simulation/users.rs
@@ -132,12 +132,12 @@
         let violation = match verdict {
             None if before(job.seen_accepted_at) => Some("forgotten"),
             Some(Verdict::Accepted | Verdict::Done) if before(job.seen_cancelled_at) => {
-                Some("verdict_reverted")
+                Some("went_back")
             }
             Some(Verdict::Accepted | Verdict::Cancelled) if before(job.seen_done_at) => {
-                Some("verdict_reverted")
+                Some("went_back")
             }
-            Some(Verdict::Cancelled) if !job.cancel_requested => Some("verdict_reverted"),
+            Some(Verdict::Cancelled) if !job.cancel_requested => Some("went_back"),
             Some(Verdict::Done) if !self.all_tasks_completed(id) => Some("not_done"),
             _ => None,
         };
--- a/tests/common/simulation/workers.rs
+++ b/tests/common/simulation/workers.rs
@@ -6,7 +6,7 @@
 pub(super) struct Task {
     pub(super) phase: TaskPhase,
     pub(super) cause: Option<ExitCause>,
-    /// End of the current phase if it has a fixed duration.
+    /// End of the current phase, if the phase has a fixed duration.
     pub(super) until: f64,
     pub(super) phase_since: f64,
     /// Time since which a member of the gang is missing.
@@ -27,8 +27,8 @@
     /// Controller to which the worker sends its heartbeats.
     pub(super) controller: usize,
     pub(super) next_heartbeat_at: f64,
-    /// Number, session epoch and send time of a heartbeat that has no response yet.
-    pub(super) awaited_reply: Option<(u64, u64, f64)>,
+    /// Number, session epoch and send time of the heartbeat that has no response yet.
+    pub(super) awaited_response: Option<(u64, u64, f64)>,
     /// Whether the next heartbeat is sent early.
     pub(super) state_changed: bool,
     pub(super) last_heartbeat_at: f64,
@@ -39,7 +39,7 @@
     pub(super) heartbeats_lost_until: f64,
     /// Messages that arrived while the worker was hung.
     pub(super) held_messages: Vec<Message>,
-    /// By task and attempt.
+    /// Tasks by name and attempt.
     pub(super) tasks: BTreeMap<(String, u64), Task>,
 }
 
@@ -94,7 +94,7 @@
             worker.epoch += 1;
             worker.lease_started_at = now_s;
             worker.tasks.clear();
-            worker.awaited_reply = None;
+            worker.awaited_response = None;
             worker.state_changed = true;
         }
         for message in std::mem::take(&mut worker.held_messages) {
@@ -104,9 +104,9 @@
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
-        if let Some((_, _, sent_s)) = worker.awaited_reply {
+        if let Some((_, _, sent_s)) = worker.awaited_response {
             if now_s - sent_s > WORKER_TIMEOUT_S {
-                worker.awaited_reply = None;
+                worker.awaited_response = None;
                 worker.controller = (worker.controller + 1) % 3;
                 worker.next_heartbeat_at = now_s + 1.0;
             }
@@ -119,7 +119,7 @@
         }
         worker.state_changed = false;
         worker.last_heartbeat_at = now_s;
-        worker.awaited_reply = Some((worker.sequence + 1, worker.epoch, now_s));
+        worker.awaited_response = Some((worker.sequence + 1, worker.epoch, now_s));
         let (controller, heartbeats_lost) =
             (worker.controller, worker.heartbeats_lost_until > now_s);
         let interval_s = worker_settings.report_s * self.rng.random_range(0.75..1.25);
@@ -257,7 +257,8 @@
         any_done || (self.gang_complete(key) && members.iter().all(|(task, _)| ran(task)))
     }
 
-    /// Counts the start of a task on a machine, and checks that the machine is a permitted one.
+    /// Counts the start of a task on a machine, and checks that the task runs on no other machine and that
+    /// the machine's type and zone are permitted.
     pub(super) fn record_task_start(&mut self, name: &str, task: &str) {
         self.task_starts += 1;
         let (job, _) = task_parts(task);
@@ -370,7 +371,7 @@
         }
     }
 
-    pub(super) fn receive_reply(
+    pub(super) fn receive_heartbeat_response(
         &mut self,
         name: &str,
         (epoch, number, status): (u64, u64, u16),
@@ -381,13 +382,13 @@
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
-        let Some((awaited, _, sent_s)) = worker.awaited_reply else {
+        let Some((awaited, _, sent_s)) = worker.awaited_response else {
             return;
         };
         if awaited != number || worker.epoch != epoch || now_s - sent_s > WORKER_TIMEOUT_S {
             return;
         }
-        worker.awaited_reply = None;
+        worker.awaited_response = None;
         match (status, body) {
             (200, Some((token, commands))) => {
                 if token < worker.token {
@@ -421,14 +422,14 @@
     }
 
     /// Sends a controller's response to the worker that waits for it.
-    pub(super) fn send_reply(
+    pub(super) fn send_response(
         &mut self,
         name: &str,
         (epoch, number): (u64, u64),
-        answer: HttpResponse,
+        response: HttpResponse,
     ) {
-        let status = answer.status().as_u16();
-        let bytes = actix_web::body::to_bytes(answer.into_body());
+        let status = response.status().as_u16();
+        let bytes = actix_web::body::to_bytes(response.into_body());
         let bytes = bytes.now_or_never().unwrap().unwrap();
         let redirect = (status == 421).then(|| {
             let redirect: Redirect = wire::decode(&bytes).unwrap();
@@ -436,14 +437,14 @@
         });
         let redirect = redirect.flatten();
         let body = (status == 200).then(|| {
-            let answer: HeartbeatResponse = wire::decode(&bytes).unwrap();
-            (answer.token, answer.commands)
+            let response: HeartbeatResponse = wire::decode(&bytes).unwrap();
+            (response.token, response.commands)
         });
         let now_s = self.now_s;
         let loses_responses = |worker: &Worker| worker.responses_lost_until > now_s;
         if !self.workers.get(name).is_some_and(loses_responses) {
             let name = name.to_owned();
-            self.send(Message::HeartbeatReply(
+            self.send(Message::HeartbeatResponse(
                 name, epoch, number, status, redirect, body,
             ));
         }
--- a/tests/forwarding.rs
+++ b/tests/forwarding.rs
@@ -1,7 +1,7 @@
-//! Heartbeats that followers forward to the leader while controllers crash or can't reach each other. The tests
-//! compare what happens in each phase of a simulation with a snapshot in `tests/snapshots/`.
+//! Heartbeats that followers forward to the leader while controllers crash or cannot reach each other. The
+//! tests compare the result of each phase of a simulation with a snapshot in `tests/snapshots/`.
 
-// A failed `unwrap` or `expect` ends the test with its cause.
+// A failed `unwrap` or `expect` fails the test.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 mod common;
@@ -23,9 +23,9 @@
 }
 
 impl PhasedRun {
-    /// Three controllers, six machines that send heartbeats every 8 s, and a job of eight tasks, of which a
-    /// `cpu16` machine holds one and a `gpu2` machine none. With `peers_refuse`, the controllers reject each
-    /// other's connections.
+    /// Three controllers, six machines that send heartbeats every 8 s, and a job of eight tasks. A `cpu16`
+    /// machine has room for one of the tasks, a `gpu2` machine for none. With `peers_refuse`, the controllers
+    /// refuse each other's connections.
     fn new(peers_refuse: bool) -> Self {
         let text = common::settings_with_unreachable_addresses();
         let text = text
@@ -78,6 +78,8 @@
     }
 }
 
+/// A machine that moves to another controller opens a new connection. Its lease must not expire meanwhile,
+/// and machines of unaffected controllers must not move.
 #[test]
 fn machines_move_only_when_their_controller_crashes_or_cannot_reach_the_leader() {
     let mut run = PhasedRun::new(false);
@@ -87,11 +89,13 @@
     let faults = run.fault_in_next_phase(Fault::CrashFollower(6.0), 0.0);
     run.run_phase("a follower crashes and restarts after 6 s", &faults);
     let faults = run.fault_in_next_phase(Fault::FollowerCutFromLeader, 12.0);
-    run.run_phase("a follower can't reach the leader for 12 s", &faults);
+    run.run_phase("a follower cannot reach the leader for 12 s", &faults);
     run.run_phase("no faults", &[]);
     insta::assert_snapshot!(run.results.join("\n"));
 }
 
+/// Followers that cannot forward heartbeats have to redirect the machines to the leader before the worker
+/// leases expire.
 #[test]
 fn machines_connect_to_the_leader_when_controllers_refuse_each_other() {
     let mut run = PhasedRun::new(true);
--- a/tests/heartbeat_responses.rs
+++ b/tests/heartbeat_responses.rs
@@ -82,14 +82,15 @@
         leader.complete_read();
         // The second heartbeat shows the fencing token of the first response, and lets the leader add the
         // machine to the inventory.
-        leader.heartbeat();
-        leader.heartbeat();
+        leader.send_heartbeat();
+        leader.send_heartbeat();
         leader.write_records();
         leader
     }
 
-    fn set_time(&mut self, s: f64) -> &mut Self {
-        self.now = self.started_at + Duration::from_secs_f64(s);
+    /// Sets the clock to this many seconds after the start.
+    fn set_time(&mut self, seconds: f64) -> &mut Self {
+        self.now = self.started_at + Duration::from_secs_f64(seconds);
         self
     }
 
@@ -156,7 +157,7 @@
 
     /// Sends the machine's next heartbeat and executes the commands in the response. Returns the status
     /// and the verbs of the commands.
-    fn heartbeat(&mut self) -> (u16, Vec<String>) {
+    fn send_heartbeat(&mut self) -> (u16, Vec<String>) {
         self.sequence += 1;
         let tasks: Vec<Value> = self
             .tasks
@@ -210,11 +211,11 @@
     fn last_success(&mut self, until: u32, mut before_each: impl FnMut(&Self)) -> u32 {
         let first = (self.now - self.started_at).as_secs() as u32;
         let mut last_success = first;
-        for s in first..until {
-            self.set_time(f64::from(s));
+        for second in first..until {
+            self.set_time(f64::from(second));
             before_each(self);
-            if self.heartbeat().0 == 200 {
-                last_success = s;
+            if self.send_heartbeat().0 == 200 {
+                last_success = second;
             }
         }
         last_success
@@ -230,12 +231,12 @@
     leader.plan_start();
     leader.set_time(1.0).fail_request();
     assert_eq!(
-        leader.set_time(1.5).heartbeat(),
+        leader.set_time(1.5).send_heartbeat(),
         (200, vec![]),
         "no start is sent after a failed request"
     );
     leader.set_time(64.0).renew_lease();
-    let (status, commands) = leader.set_time(64.1).heartbeat();
+    let (status, commands) = leader.set_time(64.1).send_heartbeat();
     assert_eq!(
         (status, commands.len()),
         (503, 0),
@@ -243,22 +244,23 @@
     );
     leader.set_time(64.3).receive_cancellation();
     assert_eq!(
-        leader.set_time(64.4).heartbeat(),
+        leader.set_time(64.4).send_heartbeat(),
         (200, vec![]),
         "no start is sent after the cancellation has arrived"
     );
 }
 
-/// The same without a cancellation.
+/// After a failed request, the replica may lack a cancellation. The leader withholds starts until a later
+/// read succeeds, but no longer.
 #[test]
 fn start_withheld_after_a_failed_request_is_sent_once_a_read_proves_the_replica_complete() {
     let mut leader = SingleMachineLeader::new();
     leader.plan_start();
     leader.set_time(1.0).fail_request();
-    assert_eq!(leader.set_time(1.2).heartbeat(), (200, vec![]));
+    assert_eq!(leader.set_time(1.2).send_heartbeat(), (200, vec![]));
     leader.set_time(1.3).complete_read();
     assert_eq!(
-        leader.set_time(1.4).heartbeat(),
+        leader.set_time(1.4).send_heartbeat(),
         (200, vec!["run".to_owned()])
     );
 }
@@ -269,9 +271,9 @@
     let mut leader = SingleMachineLeader::new();
     leader.plan_start();
     leader.set_time(9.0).renew_lease();
-    assert_eq!(leader.heartbeat(), (200, vec![]));
+    assert_eq!(leader.send_heartbeat(), (200, vec![]));
     leader.set_time(9.2).complete_read();
-    assert_eq!(leader.heartbeat(), (200, vec!["run".to_owned()]));
+    assert_eq!(leader.send_heartbeat(), (200, vec!["run".to_owned()]));
 }
 
 /// A cancellation may be confirmed just after the replica was last complete, without the leader receiving
@@ -283,7 +285,7 @@
         let mut leader = SingleMachineLeader::new();
         leader.plan_start();
         leader.set_time(0.5).complete_read();
-        assert_eq!(leader.heartbeat().1, ["run"]);
+        assert_eq!(leader.send_heartbeat().1, ["run"]);
         let workers = leader.shared.settings.params.workers.clone();
         let last_success = leader.last_success(120, |leader| {
             if renews_lease {
@@ -321,23 +323,25 @@
     assert!(f64::from(last_with) + workers.lease_s < workers.cancel_s);
 }
 
-/// A controller that may not send starts any more still stops the tasks of cancelled jobs.
+/// A leader whose lease has expired may not send starts, but still has to terminate the tasks of jobs that
+/// are cancelled in its replica.
 #[test]
-fn leader_past_its_lease_kills_the_task_of_a_job_known_to_be_cancelled() {
+fn leader_past_its_lease_terminates_the_task_of_a_cancelled_job() {
     let mut leader = SingleMachineLeader::new();
     leader.plan_start();
-    assert_eq!(leader.set_time(0.5).heartbeat().1, ["run"]);
-    assert_eq!(leader.set_time(1.0).heartbeat(), (200, vec![]));
+    assert_eq!(leader.set_time(0.5).send_heartbeat().1, ["run"]);
+    assert_eq!(leader.set_time(1.0).send_heartbeat(), (200, vec![]));
     leader.set_time(2.0).receive_cancellation();
     // The lease has expired by this time.
     assert_eq!(
-        leader.set_time(6.0).heartbeat(),
+        leader.set_time(6.0).send_heartbeat(),
         (200, vec!["kill".to_owned()])
     );
 }
 
-/// Workers stop waiting for a response after 4 s, and retry on a new connection. A leader with little
-/// processor time spent half a minute on responses to connections that workers had already closed.
+/// Workers stop waiting for a response after 4 s, and retry on a new connection. When followers redirected
+/// all workers to a leader with little processor time, it spent half a minute on responses to connections
+/// that workers had already closed.
 #[test]
 fn follower_redirects_no_more_workers_than_the_leader_can_serve() {
     let text = common::settings_with_unreachable_addresses();
@@ -356,13 +360,13 @@
         let mut body = Vec::new();
         ciborium::into_writer(&heartbeat.unwrap(), &mut body).unwrap();
         let mut redirects = [0, 0];
-        for s in 0..2 {
-            let now = start + Duration::from_secs(s);
+        for second in 0..2 {
+            let now = start + Duration::from_secs(second);
             for _ in 0..400 {
                 let response =
                     direct_response(receive_heartbeat(&shared, Ok(body.clone().into()), &|| now));
                 match response.status().as_u16() {
-                    421 => redirects[s as usize] += 1,
+                    421 => redirects[second as usize] += 1,
                     status => assert_eq!(status, 503, "excess heartbeats get status 503"),
                 }
             }
--- a/tests/interleavings.rs
+++ b/tests/interleavings.rs
@@ -35,10 +35,11 @@
     .run(seed, faults)
 }
 
+/// Without a fault, no leader may lose its lease.
 #[test]
 fn run_without_faults_has_one_leader_and_no_violation() {
     let runs = run_seeds(1..4, |_| Vec::new());
-    assert!(runs.iter().all(|run| run.failovers == 1));
+    assert!(runs.iter().all(|run| run.terms_started == 1));
 }
 
 fn late_writes(share: f64, at_once: bool) -> Fault {
@@ -65,6 +66,8 @@
     }
 }
 
+/// Workers hang for 38 s, which is longer than their lease of 20 s, while jobs are cancelled and the store
+/// fails. A worker that resumes must not run tasks that were cancelled or placed elsewhere meanwhile.
 #[test]
 fn invariants_hold_when_workers_hang_and_the_former_leader_crashes_during_a_store_outage() {
     run_seeds(seed_range(), |offset_s| {
@@ -78,6 +81,8 @@
     });
 }
 
+/// The replica of a refused leader lacks cancellations, and slow responses then delay the reads that would
+/// complete it. The cancellations must take effect in time nevertheless.
 #[test]
 fn invariants_hold_when_the_store_refuses_the_leader_twice_and_then_responds_slowly() {
     run_seeds(seed_range(), |offset_s| {
@@ -92,7 +97,7 @@
     });
 }
 
-/// A leader whose lease renewals succeed while its reads fail must not lead indefinitely with an outdated
+/// A leader whose lease renewals succeed while its reads fail must not keep leadership with an outdated
 /// replica.
 #[test]
 fn leader_without_successful_reads_loses_leadership_although_renewals_succeed() {
@@ -103,9 +108,11 @@
             timed_fault(30.0 + offset_s, 0.0, Fault::CancelJobs(3)),
         ]
     });
-    assert!(runs.iter().all(|run| run.failovers > 1));
+    assert!(runs.iter().all(|run| run.terms_started > 1));
 }
 
+/// Jobs are cancelled while there is no leader, or while the leader is paused or cannot reach the workers.
+/// Their tasks must end in time nevertheless.
 #[test]
 fn invariants_hold_when_jobs_are_cancelled_during_leader_changes() {
     run_seeds(seed_range(), |offset_s| {
@@ -121,6 +128,8 @@
     });
 }
 
+/// A late copy shows tasks that may have ended or been placed elsewhere since. A leader that took it for
+/// the current state of the machine could start a task twice.
 #[test]
 fn invariants_hold_when_copies_of_heartbeats_arrive_late_or_at_the_next_leader() {
     let runs = run_seeds(seed_range(), |offset_s| {
@@ -135,6 +144,8 @@
     assert!(runs.iter().all(|run| run.kept_heartbeats_delivered > 0));
 }
 
+/// The outcome of a transaction without a response is unknown to its sender. Repeating or abandoning it
+/// must neither start a task twice nor lose a verdict.
 #[test]
 fn invariants_hold_when_transactions_are_applied_late_or_their_responses_are_lost() {
     for at_once in [false, true] {
@@ -150,11 +161,13 @@
     }
 }
 
+/// In both cases the leases of the workers are not renewed, but their tasks run until the leases expire. No
+/// task may start elsewhere before that.
 #[test]
 fn invariants_hold_when_workers_lose_responses_or_heartbeats_during_leader_changes() {
-    for loses_responses in [true, false] {
+    for responses_lost in [true, false] {
         run_seeds(seed_range(), |offset_s| {
-            let fault = if loses_responses {
+            let fault = if responses_lost {
                 Fault::LoseResponses(0.5)
             } else {
                 Fault::LoseHeartbeats(0.5)
@@ -170,7 +183,8 @@
     }
 }
 
-/// One of the teams is near its limit meanwhile.
+/// A hung worker does not execute commands, so that the cancelled tasks may run until its lease expires. They
+/// count toward the limits of their teams, one of which is near its limit.
 #[test]
 fn invariants_hold_when_jobs_on_hung_workers_are_cancelled_during_a_leader_change() {
     run_seeds(seed_range(), |offset_s| {
@@ -184,6 +198,7 @@
     });
 }
 
+/// A leader crashes every 11 s, so that the next one may crash before all machines are reconciled.
 #[test]
 fn invariants_hold_over_ten_leader_crashes_in_two_minutes_and_a_store_outage() {
     let runs = run_seeds(seed_range(), |offset_s| {
@@ -201,7 +216,7 @@
         faults.push(timed_fault(100.0, 0.0, Fault::CancelJobs(3)));
         faults
     });
-    assert!(runs.iter().all(|run| run.failovers > 6));
+    assert!(runs.iter().all(|run| run.terms_started > 6));
 }
 
 /// All controllers are down for 28 s, which is longer than a worker's lease of 20 s. In a later crash they
@@ -218,6 +233,8 @@
     });
 }
 
+/// A cancellation and a completion compete for the final verdict of a job. Users must not observe both, even
+/// if 30 % of the transactions are applied without a response.
 #[test]
 fn invariants_hold_when_jobs_are_cancelled_as_their_last_task_completes() {
     for unanswered_share in [0.0, 0.3] {
@@ -232,6 +249,8 @@
     }
 }
 
+/// The cloud lists a terminated machine as running for another 30 s, and 40 % of the transactions are applied
+/// 2 to 12 s late. The tasks of the machine must be restarted, but none may run twice.
 #[test]
 fn invariants_hold_when_machines_terminate_while_writes_are_late_and_leaders_crash() {
     run_seeds(seed_range(), |offset_s| {
@@ -271,7 +290,11 @@
         }
         simulation.run_until(62.0 + SETTLE_TIME_S, &faults);
         assert_eq!(simulation.violations, Vec::<String>::new(), "seed {seed}");
-        assert_eq!(simulation.unfinished(), Vec::<String>::new(), "seed {seed}");
+        assert_eq!(
+            simulation.unfinished_jobs(),
+            Vec::<String>::new(),
+            "seed {seed}"
+        );
         let (done, cancelled) = simulation.ended_job_counts();
         assert!(
             done > 100 && cancelled > 5,
@@ -306,8 +329,8 @@
             timed_fault(70.0 + offset_s, 0.0, Fault::CrashFollower(2.0)),
         ]
     });
-    // In a single run most workers may report to the leader directly. Followers relay some responses in
-    // every run, and many over all runs.
+    // In a single run, most workers may send their heartbeats directly to the leader. Followers relay some
+    // responses in every run, and many over all runs.
     let forwarding: Vec<&Simulation> = runs
         .iter()
         .filter(|run| !run.peers_refuse_connections)
@@ -327,7 +350,8 @@
         .all(|run| run.batches_sent == 0));
 }
 
-/// The follower has to redirect its workers to the leader before their leases expire.
+/// The follower cannot forward heartbeats for 30 s, and has to redirect its workers to the leader before
+/// their leases of 20 s expire.
 #[test]
 fn workers_of_a_follower_that_cannot_reach_the_leader_keep_their_sessions() {
     let runs = run_seeds(seed_range(), |offset_s| {
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -1,7 +1,8 @@
-//! Sizes and amounts of work with 4,000 machines: records, state summaries, failover and scheduling cycles.
+//! Sizes of records and state summaries, and numbers of steps of a failover and of scheduling, with 4,000
+//! machines.
 //! No test here asserts a duration.
 
-// A failed `unwrap` or `expect` fails the test with its message.
+// A failed `unwrap` or `expect` fails the test.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 mod common;
@@ -31,21 +32,22 @@
     (0..count).map(name).collect()
 }
 
-/// A cluster with machines that have sent a heartbeat each.
+/// A leader that has received a heartbeat from each of `count` machines.
 fn fleet_with_heartbeats(count: usize) -> TestLeader {
-    let mut scene = TestLeader::new();
+    let mut leader = TestLeader::new();
     for name in machine_names(count) {
-        scene.receive_heartbeat(&name, &[]);
+        leader.receive_heartbeat(&name, &[]);
     }
-    scene
+    leader
 }
 
+/// The store refuses a record above its limits, and a new leader would not recover the machines in it.
 #[test]
 fn inventory_of_4000_machines_is_written_within_the_store_limits_and_recovered() {
-    let mut scene = fleet_with_heartbeats(MACHINES);
-    let limits = scene.settings.params.store.clone();
-    let replica = scene.replica();
-    let writes = scene.cluster.due_writes(&replica, scene.now);
+    let mut leader = fleet_with_heartbeats(MACHINES);
+    let limits = leader.settings.params.store.clone();
+    let replica = leader.replica();
+    let writes = leader.cluster.due_writes(&replica, leader.now);
     let mut written = BTreeSet::new();
     for write in &writes {
         assert!(write.transaction.changes.len() <= limits.txn_ops);
@@ -59,11 +61,11 @@
         // The store measures the size of a value in its JSON encoding.
         let json = serde_json::to_string(value).unwrap();
         assert!(json.len() as f64 <= limits.value_kb * 1024.0, "{key}");
-        scene.put_record(key.clone(), value.clone());
+        leader.put_record(key.clone(), value.clone());
     }
     for (revision, write) in writes.iter().enumerate() {
         let outcome = TransactionOutcome::Committed(1_000 + revision as u64);
-        scene.cluster.apply_write_outcome(&write.kind, &outcome);
+        leader.cluster.apply_write_outcome(&write.kind, &outcome);
     }
     assert_eq!(written.len(), MACHINES);
     // The rate limit allows writing all shards within two seconds.
@@ -72,45 +74,47 @@
         "{}",
         writes.len()
     );
-    let replica = scene.replica();
-    assert!(scene.cluster.due_writes(&replica, scene.now).is_empty());
+    let replica = leader.replica();
+    assert!(leader.cluster.due_writes(&replica, leader.now).is_empty());
 
-    scene.recover(2);
-    assert_eq!(scene.cluster.unreconciled, written);
+    leader.recover(2);
+    assert_eq!(leader.cluster.unreconciled, written);
     // The removal of one machine rewrites one shard, not all of them.
-    let gone = MachineId("m-c000000n".into());
-    scene.cluster.remove_released_machine(&gone);
-    let replica = scene.replica();
-    assert_eq!(scene.cluster.due_writes(&replica, scene.now).len(), 1);
+    let removed = MachineId("m-c000000n".into());
+    leader.cluster.remove_released_machine(&removed);
+    let replica = leader.replica();
+    assert_eq!(leader.cluster.due_writes(&replica, leader.now).len(), 1);
 }
 
+/// A state summary above the limit would be rejected. Shortening it must keep every machine, with the image
+/// that the machine used last.
 #[test]
 fn full_state_summary_of_4000_machines_fits_the_limit_with_the_newest_image_of_each() {
-    let mut scene = fleet_with_heartbeats(MACHINES);
+    let mut leader = fleet_with_heartbeats(MACHINES);
     // 60 images with long names, which is as many as a large cache holds.
     let image = |machine: usize, n: usize| format!("registry/team-{}/image-{n:03}", machine % 9);
-    let ids: Vec<MachineId> = scene.cluster.machines.keys().cloned().collect();
+    let ids: Vec<MachineId> = leader.cluster.machines.keys().cloned().collect();
     for (number, id) in ids.iter().enumerate() {
         for n in 0..60 {
-            let image_id = scene.cluster.images.intern(&image(number, n));
-            let machine = scene.cluster.machines.get_mut(id).unwrap();
+            let image_id = leader.cluster.images.intern(&image(number, n));
+            let machine = leader.cluster.machines.get_mut(id).unwrap();
             machine.record_image_use(image_id, 3.0, 200.0);
         }
-        let machine = scene.cluster.machines.get_mut(id).unwrap();
+        let machine = leader.cluster.machines.get_mut(id).unwrap();
         machine.address = format!("10.{}.{}.7:9000", number / 250, number % 250);
     }
     for number in 0..20_000 {
         let spec = array_job(&format!("wk-{:06}", 100_000 + number), 1);
         for (key, value) in scene::accepted_job_records(&spec, false) {
-            scene.records.push((key, value));
+            leader.records.push((key, value));
         }
     }
-    let replica = scene.replica();
+    let replica = leader.replica();
     for id in replica.descriptions.keys() {
-        let wall = scene::fixed_wall_time();
-        scene.cluster.sync_job(id, &replica, scene.now, wall, false);
+        let at = scene::fixed_wall_time();
+        leader.cluster.sync_job(id, &replica, leader.now, at, false);
     }
-    let mut contents = scene.cluster.full_summary();
+    let mut contents = leader.cluster.full_summary();
     assert_eq!(
         (contents.machines.len(), contents.task_counts.len()),
         (MACHINES, 20_000)
@@ -148,6 +152,8 @@
         .all(|machine| machine.address.starts_with("10.")));
 }
 
+/// Ended jobs, task counts and removed machines alone exceed the limit. Each kind is shortened to its share,
+/// and some entries of each must remain.
 #[test]
 fn state_summary_of_any_size_is_shortened_to_the_limit() {
     let mut contents = knotlanding::state_summary::SummaryContents::default();
@@ -174,18 +180,20 @@
     }
 }
 
+/// A new leader repeats no start before all machines are reconciled. Repeated or slow queries would delay the
+/// restart of lost tasks.
 #[test]
 fn new_leader_queries_each_of_4000_machines_once_in_at_most_100_cycles() {
-    let mut scene = TestLeader::new();
+    let mut leader = TestLeader::new();
     let names = machine_names(MACHINES);
     for (shard, part) in names.chunks(250).enumerate() {
         let machines: Vec<String> = part.to_vec();
         let record = knotlanding::store::keys::InventoryRecord { machines };
         let key = knotlanding::store::keys::inventory(shard);
-        scene.put_record(key, knotlanding::store::to_value(&record));
+        leader.put_record(key, knotlanding::store::to_value(&record));
     }
-    scene.recover(2);
-    for machine in scene.cluster.machines.values_mut() {
+    leader.recover(2);
+    for machine in leader.cluster.machines.values_mut() {
         machine.address = "127.0.0.1:9".to_owned();
     }
     let mut queried = BTreeSet::new();
@@ -197,7 +205,7 @@
             "{} machines queried after 100 cycles",
             queried.len()
         );
-        for command in scene.cluster.direct_commands(scene.now) {
+        for command in leader.cluster.direct_commands(leader.now) {
             assert!(command.body.commands.is_empty());
             assert!(
                 queried.insert(command.machine),
@@ -205,31 +213,32 @@
             );
         }
         // The shortest time between two scheduling cycles.
-        scene.advance_clock(0.15);
+        leader.advance_clock(0.15);
     }
     // Every machine then sends a heartbeat; the first one reconciles the machine.
     for name in &names {
-        scene.receive_heartbeat_with(name, (1, 1, 2), &[], true);
+        leader.receive_heartbeat_with(name, (1, 1, 2), &[], true);
     }
-    assert!(scene.cluster.unreconciled.is_empty());
-    assert!(scene
+    assert!(leader.cluster.unreconciled.is_empty());
+    assert!(leader
         .cluster
         .machines
         .values()
         .all(|machine| machine.fenced));
 }
 
+/// A record above the limits of the store is refused, and the starts that it covers would be delayed.
 #[test]
 fn scheduling_cycles_start_whole_gangs_on_4000_machines_with_records_within_the_limits() {
-    let mut scene = fleet_with_heartbeats(MACHINES);
-    scene.write_records(true);
-    let limits = scene.settings.params.store.clone();
+    let mut leader = fleet_with_heartbeats(MACHINES);
+    leader.write_records(true);
+    let limits = leader.settings.params.store.clone();
     // The gangs need less than the whole capacity: gangs bound to one zone cannot use what is left in both.
     let gangs = 120;
     for number in 0..gangs {
         let mut spec = gang_job(&format!("wk-{:06}", 100 + number), 16);
         spec.single_zone = number % 2 == 0;
-        scene.submit(spec);
+        leader.submit(spec);
     }
     let (mut started, mut cycles) = (BTreeSet::new(), 0);
     while started.len() < gangs {
@@ -239,9 +248,9 @@
             "{} of {gangs} gangs started after 4 cycles",
             started.len()
         );
-        let now = scene.now;
-        let decisions = knotlanding::sched::run_cycle(&scene.cluster, &scene.policy, now);
-        knotlanding::sched::apply(&mut scene.cluster, &decisions, now);
+        let now = leader.now;
+        let decisions = knotlanding::sched::run_cycle(&leader.cluster, &leader.policy, now);
+        knotlanding::sched::apply(&mut leader.cluster, &decisions, now);
         for start in &decisions.starts {
             assert_eq!(start.members.len(), 16, "a member is missing");
             assert!(
@@ -250,8 +259,8 @@
                 start.job
             );
         }
-        let replica = scene.replica();
-        for write in scene.cluster.due_writes(&replica, now) {
+        let replica = leader.replica();
+        for write in leader.cluster.due_writes(&replica, now) {
             for change in &write.transaction.changes {
                 let Change::Put { value, .. } = change else {
                     continue;
@@ -260,37 +269,37 @@
                 assert!(json.len() as f64 <= limits.value_kb * 1024.0);
                 assert!(wire::encode(value).len() <= json.len());
             }
-            scene
+            leader
                 .cluster
                 .apply_write_outcome(&write.kind, &TransactionOutcome::Committed(5_000));
         }
-        scene.advance_clock(0.2);
+        leader.advance_clock(0.2);
     }
-    let busy_machines = scene
+    let busy_machines = leader
         .cluster
         .machines
         .values()
         .filter(|m| m.is_busy())
         .count();
     assert_eq!(busy_machines, gangs * 16, "a machine has two members");
-    for machine in scene.cluster.machines.values() {
+    for machine in leader.cluster.machines.values() {
         assert_eq!(*machine.load(), machine.computed_load(), "{}", machine.id);
     }
 }
 
-/// Delayed copies of heartbeats arrive within minutes, in which the whole fleet may be replaced. They must not
-/// add a removed machine again.
+/// Delayed copies of heartbeats arrive within minutes, in which the whole fleet may be replaced. They must
+/// not add a removed machine again.
 #[test]
 fn removed_machine_is_not_added_again_after_a_fleet_of_4000_is_replaced_twice() {
-    let mut scene = fleet_with_heartbeats(10);
+    let mut leader = fleet_with_heartbeats(10);
     let removed = MachineId("m-c000000n".into());
-    scene.cluster.remove_released_machine(&removed);
+    leader.cluster.remove_released_machine(&removed);
     for number in 0..2 * MACHINES {
-        scene
+        leader
             .cluster
             .remove_released_machine(&MachineId(format!("m-z{number:06}").into()));
     }
     const { assert!(REMOVED_MACHINES_MAX > 2 * MACHINES) };
-    scene.receive_heartbeat("m-c000000n", &[]);
-    assert!(!scene.cluster.machines.contains_key(&removed));
+    leader.receive_heartbeat("m-c000000n", &[]);
+    assert!(!leader.cluster.machines.contains_key(&removed));
 }
--- a/tests/link_faults.rs
+++ b/tests/link_faults.rs
@@ -29,7 +29,13 @@
 }
 
 /// Faults of a flapping link, which is down for the first half of each period.
-fn flapping(link: LinkId, mode: LinkMode, period_s: f64, from: f64, until: f64) -> Vec<TimedFault> {
+fn flapping_link_faults(
+    link: LinkId,
+    mode: LinkMode,
+    period_s: f64,
+    from: f64,
+    until: f64,
+) -> Vec<TimedFault> {
     let count = ((until - from) / period_s) as usize;
     let starts = (0..count).map(|n| from + n as f64 * period_s);
     starts
@@ -43,24 +49,27 @@
     LinkMode::BLACKHOLE,
 ];
 
+/// Without a fault, no leader may lose its lease or hand over leadership.
 #[test]
 fn run_without_faults_has_one_leader_and_no_handover() {
     let runs = run_seeds(|_| Vec::new());
     assert!(runs
         .iter()
-        .all(|run| run.failovers == 1 && run.handovers == 0));
+        .all(|run| run.terms_started == 1 && run.handovers == 0));
 }
 
+/// The store link of each controller fails in turn for 15 s. The outcome of a request without a response is
+/// unknown to the controller, although the store may have applied it.
 #[test]
 fn invariants_hold_when_links_to_the_store_lose_requests_or_responses() {
     for mode in LOSS_MODES {
         run_seeds(|offset_s| {
             (0..3)
-                .map(|n| {
+                .map(|controller| {
                     timed_fault(
-                        25.0 + offset_s + 20.0 * n as f64,
+                        25.0 + offset_s + 20.0 * controller as f64,
                         15.0,
-                        Fault::Link(LinkId::Store(n), mode),
+                        Fault::Link(LinkId::Store(controller), mode),
                     )
                 })
                 .chain([timed_fault(30.0 + offset_s, 0.0, Fault::CancelJobs(3))])
@@ -69,6 +78,7 @@
     }
 }
 
+/// A handover that yields no better connected leader interrupts scheduling without need.
 #[test]
 fn links_between_controllers_that_lose_requests_or_responses_cause_no_handover() {
     for mode in LOSS_MODES {
@@ -85,16 +95,18 @@
     }
 }
 
+/// Each controller loses the link from the workers of one zone for 12 s, which is shorter than their lease of
+/// 20 s.
 #[test]
 fn invariants_hold_when_links_from_the_workers_of_a_zone_lose_requests_or_responses() {
     for mode in LOSS_MODES {
         run_seeds(|offset_s| {
             (0..3)
-                .map(|n| {
+                .map(|controller| {
                     timed_fault(
                         25.0 + offset_s,
                         12.0,
-                        Fault::Link(LinkId::Workers(n % 2, n), mode),
+                        Fault::Link(LinkId::Workers(controller % 2, controller), mode),
                     )
                 })
                 .chain([timed_fault(30.0 + offset_s, 0.0, Fault::CancelJobs(3))])
@@ -103,7 +115,8 @@
     }
 }
 
-/// Two controllers reach the workers of one zone each, and the third controller reaches none.
+/// Two controllers reach the workers of one zone each, and the third controller reaches none. Leadership must
+/// not alternate between the first two.
 #[test]
 fn controllers_that_reach_half_of_the_workers_hand_over_at_most_once() {
     let runs = run_seeds(|offset_s| {
@@ -120,18 +133,28 @@
     assert!(runs.iter().all(|run| run.handovers <= 1));
 }
 
-/// A period of 2.1 s is a multiple of the 0.7 s between lease renewals; the other periods are not.
+/// A leader must not hand over in each period of a flapping link. A period of 2.1 s is a multiple of the
+/// 0.7 s between lease renewals; the other periods are not.
 #[test]
 fn links_that_flap_for_two_minutes_cause_at_most_six_handovers() {
     for period_s in [2.1, 3.7, 5.0] {
         let runs = run_seeds(|offset_s| {
             let mut faults = Vec::new();
-            for n in 0..2 {
-                let (link, from) = (LinkId::Store(n), 20.0 + offset_s + n as f64);
-                faults.extend(flapping(link, LinkMode::BLACKHOLE, period_s, from, 140.0));
+            for controller in 0..2 {
+                let (link, from) = (
+                    LinkId::Store(controller),
+                    20.0 + offset_s + controller as f64,
+                );
+                faults.extend(flapping_link_faults(
+                    link,
+                    LinkMode::BLACKHOLE,
+                    period_s,
+                    from,
+                    140.0,
+                ));
             }
             let peer_link = LinkId::Peer(1, 2);
-            faults.extend(flapping(
+            faults.extend(flapping_link_faults(
                 peer_link,
                 LinkMode::RESPONSES_LOST,
                 period_s,
@@ -154,8 +177,8 @@
 fn store_links_that_flap_alternately_cause_at_most_six_handovers() {
     let runs = run_seeds(|offset_s| {
         let mode = LinkMode::REFUSED;
-        let mut faults = flapping(LinkId::Store(0), mode, 8.0, 20.0 + offset_s, 180.0);
-        faults.extend(flapping(
+        let mut faults = flapping_link_faults(LinkId::Store(0), mode, 8.0, 20.0 + offset_s, 180.0);
+        faults.extend(flapping_link_faults(
             LinkId::Store(1),
             mode,
             8.0,
@@ -167,15 +190,17 @@
     assert!(runs.iter().all(|run| run.handovers <= 6));
 }
 
+/// The store link of each controller fails in turn for 25 s, in which its replica lacks the cancellations. A
+/// leader in this state must not keep the tasks of cancelled jobs running.
 #[test]
 fn invariants_hold_when_jobs_are_cancelled_while_a_controller_reaches_workers_but_not_the_store() {
     run_seeds(|offset_s| {
         let mut faults: Vec<TimedFault> = (0..3)
-            .map(|n| {
+            .map(|controller| {
                 timed_fault(
-                    25.0 + offset_s + 30.0 * n as f64,
+                    25.0 + offset_s + 30.0 * controller as f64,
                     25.0,
-                    Fault::Link(LinkId::Store(n), LinkMode::BLACKHOLE),
+                    Fault::Link(LinkId::Store(controller), LinkMode::BLACKHOLE),
                 )
             })
             .collect();
@@ -190,6 +215,8 @@
     });
 }
 
+/// The replica of the refused leader lacks cancellations when the outage begins, and the leader may keep its
+/// lease beyond the outage.
 #[test]
 fn invariants_hold_when_the_store_refuses_the_leader_then_all_controllers_then_writes() {
     run_seeds(|offset_s| {
@@ -219,6 +246,8 @@
     }
 }
 
+/// A resumed leader has outdated rows, and the peers of a restarted controller have rows of its previous
+/// incarnation. Neither may be taken for the current state of the links.
 #[test]
 fn invariants_hold_when_a_leader_resumes_with_outdated_rows_and_controllers_restart_at_once() {
     run_seeds(|offset_s| {
@@ -234,6 +263,7 @@
     });
 }
 
+/// A late message must not be taken for evidence that a link works or that a task runs.
 #[test]
 fn invariants_hold_when_late_heartbeats_rows_and_batches_coincide_with_link_faults() {
     let batches = BatchFaults {
@@ -243,10 +273,10 @@
         responses_delayed: 0.2,
     };
     run_seeds(|offset_s| {
-        let duplicates = |share, kept| Fault::HeartbeatCopies { share, kept };
+        let heartbeat_copies = |share, kept| Fault::HeartbeatCopies { share, kept };
         vec![
             timed_fault(10.0, 80.0, Fault::Batches(batches)),
-            timed_fault(10.0, 60.0, duplicates(0.4, false)),
+            timed_fault(10.0, 60.0, heartbeat_copies(0.4, false)),
             timed_fault(
                 25.0 + offset_s,
                 15.0,
