--- a/tests/common/scenario.rs
+++ b/tests/common/scenario.rs
@@ -9,8 +9,8 @@
 use knotlanding::model::{JobSpec, Priority};
 
 use crate::common;
-use crate::scene::{array_job, gang_job};
 use crate::simulation::{Simulation, TimedFault};
+use crate::test_leader::{array_job, gang_job};
 
 /// Time after the last fault within which every job must end.
 pub const SETTLE_TIME_S: f64 = 260.0;
--- a/tests/common/simulation.rs
+++ b/tests/common/simulation.rs
@@ -65,7 +65,7 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-use crate::scene::machine_types;
+use crate::test_leader::machine_types;
 use controllers::Controller;
 use delivery::Message;
 pub use faults::{timed_fault, Fault, TimedFault};
@@ -231,7 +231,7 @@
     }
 
     fn wall_clock(&self) -> SystemTime {
-        crate::scene::fixed_wall_time() + Duration::from_secs_f64(self.now_s)
+        crate::test_leader::fixed_wall_time() + Duration::from_secs_f64(self.now_s)
     }
 
     /// Wall clock of a controller. The clocks of the controllers differ by `clock_off_ms`.
--- a/tests/forwarding.rs
+++ b/tests/forwarding.rs
@@ -5,13 +5,13 @@
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 mod common;
-#[path = "common/scene.rs"]
-mod scene;
 #[path = "common/simulation.rs"]
 mod simulation;
+#[path = "common/test_leader.rs"]
+mod test_leader;
 
-use scene::array_job;
 use simulation::{timed_fault, Fault, Simulation, TimedFault};
+use test_leader::array_job;
 
 /// Duration of a phase in simulated seconds.
 const PHASE_S: f64 = 25.0;
--- a/tests/heartbeat_responses.rs
+++ b/tests/heartbeat_responses.rs
@@ -5,8 +5,8 @@
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 mod common;
-#[path = "common/scene.rs"]
-mod scene;
+#[path = "common/test_leader.rs"]
+mod test_leader;
 
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime};
@@ -22,7 +22,7 @@
 use knotlanding::store::replica::ReplicaChange;
 use knotlanding::store::{to_value, KeyValue, TransactionOutcome};
 use knotlanding::timing::LEADER_LEASE_MIN;
-use scene::{accepted_job_records, array_job, machine_types};
+use test_leader::{accepted_job_records, array_job, machine_types};
 
 /// The response to a heartbeat that a controller does not forward.
 fn direct_response(outcome: HeartbeatOutcome) -> actix_web::HttpResponse {
--- a/tests/heartbeats.rs
+++ b/tests/heartbeats.rs
@@ -6,13 +6,13 @@
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 mod common;
-#[path = "common/scene.rs"]
-mod scene;
+#[path = "common/test_leader.rs"]
+mod test_leader;
 
 use knotlanding::cluster::HeartbeatOrdering;
 use knotlanding::model::*;
 use knotlanding::wire::ExitCause;
-use scene::*;
+use test_leader::*;
 
 #[test]
 fn late_and_duplicate_heartbeats_have_no_effect() {
--- a/tests/interleavings.rs
+++ b/tests/interleavings.rs
@@ -8,14 +8,14 @@
 mod common;
 #[path = "common/scenario.rs"]
 mod scenario;
-#[path = "common/scene.rs"]
-mod scene;
 #[path = "common/simulation.rs"]
 mod simulation;
+#[path = "common/test_leader.rs"]
+mod test_leader;
 
 use scenario::{seed_range, settings, Scenario, SETTLE_TIME_S};
-use scene::array_job;
 use simulation::{timed_fault, BatchFaults, Fault, Simulation, TimedFault};
+use test_leader::array_job;
 
 /// Runs the faults once per seed, with link monitoring disabled.
 fn run_seeds(
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -5,8 +5,8 @@
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 mod common;
-#[path = "common/scene.rs"]
-mod scene;
+#[path = "common/test_leader.rs"]
+mod test_leader;
 
 use std::collections::BTreeSet;
 
@@ -17,7 +17,7 @@
 };
 use knotlanding::store::{Change, TransactionOutcome};
 use knotlanding::wire;
-use scene::{array_job, gang_job, TestLeader};
+use test_leader::{array_job, gang_job, TestLeader};
 
 const MACHINES: usize = 4_000;
 
@@ -101,13 +101,13 @@
     }
     for number in 0..20_000 {
         let spec = array_job(&format!("wk-{:06}", 100_000 + number), 1);
-        for (key, value) in scene::accepted_job_records(&spec, false) {
+        for (key, value) in test_leader::accepted_job_records(&spec, false) {
             scene.records.push((key, value));
         }
     }
     let replica = scene.replica();
     for id in replica.descriptions.keys() {
-        let wall = scene::fixed_wall_time();
+        let wall = test_leader::fixed_wall_time();
         scene.cluster.sync_job(id, &replica, scene.now, wall, false);
     }
     let mut contents = scene.cluster.full_summary();
--- a/tests/leader_change.rs
+++ b/tests/leader_change.rs
@@ -5,13 +5,13 @@
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 mod common;
-#[path = "common/scene.rs"]
-mod scene;
+#[path = "common/test_leader.rs"]
+mod test_leader;
 
 use knotlanding::model::*;
 use knotlanding::state_summary::SummaryCache;
 use knotlanding::wire::ExitCause;
-use scene::*;
+use test_leader::*;
 
 #[test]
 fn new_leader_repeats_no_start_before_all_machines_are_reconciled() {
--- a/tests/link_faults.rs
+++ b/tests/link_faults.rs
@@ -8,10 +8,10 @@
 mod common;
 #[path = "common/scenario.rs"]
 mod scenario;
-#[path = "common/scene.rs"]
-mod scene;
 #[path = "common/simulation.rs"]
 mod simulation;
+#[path = "common/test_leader.rs"]
+mod test_leader;
 
 use std::time::Duration;
 
--- a/tests/pending_jobs.rs
+++ b/tests/pending_jobs.rs
@@ -5,14 +5,14 @@
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 mod common;
-#[path = "common/scene.rs"]
-mod scene;
+#[path = "common/test_leader.rs"]
+mod test_leader;
 
 use knotlanding::model::MachinePool;
 use knotlanding::model::*;
 use knotlanding::sched::Decisions;
 use knotlanding::wire::ExitCause;
-use scene::*;
+use test_leader::*;
 
 /// Small jobs arrive faster than they complete. The largest gang must start nevertheless.
 #[test]
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -6,8 +6,8 @@
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 mod common;
-#[path = "common/scene.rs"]
-mod scene;
+#[path = "common/test_leader.rs"]
+mod test_leader;
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 use knotlanding::store::keys::{self, CompletedTasksRecord};
 use knotlanding::store::{to_value, StoreError, TransactionOutcome};
 use knotlanding::wire::{ExitCause, TaskPhase};
-use scene::*;
+use test_leader::*;
 
 #[test]
 fn gang_starts_only_when_one_zone_has_room_for_all_members() {
--- a/tests/unresponsive_machines.rs
+++ b/tests/unresponsive_machines.rs
@@ -5,10 +5,10 @@
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 mod common;
-#[path = "common/scene.rs"]
-mod scene;
+#[path = "common/test_leader.rs"]
+mod test_leader;
 
-use scene::*;
+use test_leader::*;
 
 #[test]
 fn task_of_an_unresponsive_machine_is_not_restarted_until_the_lease_expires() {
