--- a/tests/common/test_leader.rs
+++ b/tests/common/test_leader.rs
@@ -1,4 +1,4 @@
-//! A leader in memory, under a clock that the test advances. Its log records every event as text.
+//! An in-memory leader with a clock that the test advances. Its text log records every event.
 
 #![allow(dead_code)]
 
@@ -177,7 +177,7 @@
         replica
     }
 
-    /// Stores a record, without informing the cluster state.
+    /// Stores a record, without applying it to the cluster state.
     pub fn put_record(&mut self, key: String, value: knotlanding::store::Value) {
         let before = self.records.len();
         self.records.retain(|(stored_key, _)| *stored_key != key);
@@ -185,7 +185,7 @@
         self.records.push((key, value));
     }
 
-    /// Begins the given term with the cluster state that the stored records describe.
+    /// Begins the given term with a cluster state recovered from the stored records.
     pub fn recover(&mut self, term: u64) {
         self.cluster = Cluster::recover(
             Term(term),
@@ -238,7 +238,7 @@
         self.now += Duration::from_secs_f64(seconds);
     }
 
-    /// Runs one scheduling cycle, in which all writes are committed.
+    /// Runs one scheduling cycle, in which the store commits all writes.
     pub fn run_cycle(&mut self) -> Decisions {
         self.run_cycle_with(true)
     }
@@ -265,11 +265,11 @@
         }
         for restart in &decisions.gang_restarts {
             let (job, reason) = (&restart.job, restart.reason);
-            self.note(&format!("cycle: stop gang {job}: {reason}"));
+            self.note(&format!("cycle: terminate gang {job}: {reason}"));
         }
         for termination in &decisions.terminations {
             self.note(&format!(
-                "cycle: stop {} on {}",
+                "cycle: terminate {} on {}",
                 termination.task, termination.machine
             ));
         }
@@ -291,7 +291,7 @@
         decisions
     }
 
-    /// Performs all due writes. The store commits or rejects all of them.
+    /// Performs all due writes. The store commits all of them or rejects all of them.
     pub fn write_records(&mut self, succeeds: bool) {
         let replica = self.replica();
         for write in self.cluster.due_writes(&replica, self.now) {
@@ -329,8 +329,8 @@
     }
 
     /// Applies a heartbeat with this epoch, sequence number and term, and returns its ordering. The
-    /// machine has sent it `unsolicited` or else in response to a direct command. A response with
-    /// commands follows only an unsolicited heartbeat that is newer than all before.
+    /// machine has sent it either `unsolicited` or in response to a direct command. The leader responds
+    /// with commands only to an unsolicited heartbeat that is newer than all earlier ones.
     pub fn receive_heartbeat_with(
         &mut self,
         machine: &str,
@@ -397,8 +397,8 @@
         ordering
     }
 
-    /// Applies the next heartbeat of a machine in epoch 1. It shows the machine's current token, and
-    /// so acknowledges all responses and direct commands.
+    /// Applies the next heartbeat of a machine in epoch 1. It shows the machine's current token and
+    /// thereby acknowledges all responses and direct commands.
     pub fn receive_heartbeat(
         &mut self,
         machine: &str,
@@ -514,7 +514,7 @@
     (keys::dispatch(Term(0), number), to_value(&record))
 }
 
-/// The records of an accepted job as version 0.3.0 wrote them: the description has a key of its own, and
+/// The records of an accepted job as version 0.3.0 wrote them: the description has a key of its own and
 /// names the machines to which starts may have been sent.
 pub fn accepted_job_records_v0_3_0(
     spec: &JobSpec,
@@ -585,8 +585,8 @@
 pub const AWAITING_GANG: TaskPhase = TaskPhase::AwaitingGang;
 pub const EXITED: TaskPhase = TaskPhase::Exited;
 
-/// Applies the next heartbeat of a machine that receives nothing from this leader: the heartbeat shows only
-/// the first token of term 1.
+/// Applies the next heartbeat of a machine that receives neither responses nor direct commands of this
+/// leader: the heartbeat shows only the first token of term 1.
 pub fn receive_heartbeat_with_first_token(
     leader: &mut TestLeader,
     machine: &str,
--- a/tests/formats/admin.rs
+++ b/tests/formats/admin.rs
@@ -61,8 +61,8 @@
     environment.start_with_arguments(&["--features", features])
 }
 
-/// Repeats the request until the response contains all fields, some of which appear only once a machine has
-/// sent a heartbeat or a job is pending.
+/// Repeats the request until the response is complete. Some of its fields appear only after a machine has
+/// sent a heartbeat or while a job is pending.
 async fn wait_until_complete(
     controller: &ControllerProcess,
     path: &str,
@@ -82,7 +82,7 @@
     }
 }
 
-fn first_name(status: &Value, map: &str) -> String {
+fn first_key(status: &Value, map: &str) -> String {
     let names = status[map].as_object().unwrap().keys();
     names.min().unwrap().clone()
 }
@@ -101,7 +101,7 @@
         is_pending && machines.values().any(has_heartbeat)
     })
     .await;
-    let machine = first_name(&status, "machines");
+    let machine = first_key(&status, "machines");
     let mut fields = BTreeSet::new();
     let endpoints = [
         ("status", "status".to_owned()),
--- a/tests/formats/requests.rs
+++ b/tests/formats/requests.rs
@@ -58,9 +58,13 @@
     body: web::Bytes,
 ) -> HttpResponse {
     let hex: String = body.iter().map(|byte| format!("{byte:02x}")).collect();
-    let kind = request.headers().get("content-type");
-    let kind = kind.map_or("-", |kind| kind.to_str().unwrap());
-    let line = format!("{} {} {kind} {hex}\n", request.method(), request.uri());
+    let content_type = request.headers().get("content-type");
+    let content_type = content_type.map_or("-", |value| value.to_str().unwrap());
+    let line = format!(
+        "{} {} {content_type} {hex}\n",
+        request.method(),
+        request.uri()
+    );
     recording_server.requests.lock().unwrap().push_str(&line);
     let (status, body) = recording_server.response.lock().unwrap().clone();
     let status = actix_web::http::StatusCode::from_u16(status).unwrap();
--- a/tests/formats/wire.rs
+++ b/tests/formats/wire.rs
@@ -1,4 +1,4 @@
-//! Request and response bodies of users and workers, which are encoded with CBOR.
+//! Request and response bodies of users and agents, which are encoded with CBOR.
 
 use ciborium::cbor;
 use knotlanding::wire::{
--- a/tests/forwarding_service.rs
+++ b/tests/forwarding_service.rs
@@ -1,5 +1,6 @@
-//! Forwarding of heartbeats over real connections, with the controller process as follower and as leader.
-//! The peer is a stand-in that answers correctly, as an older version, with an invalid body, or not at all.
+//! Forwarding of heartbeats over real connections, with the controller process as follower and as leader. The
+//! peer is a stand-in that responds correctly, as an older version or with an invalid body, or is
+//! unreachable.
 
 // A failed `unwrap` or `expect` fails the test with its message.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
@@ -28,7 +29,7 @@
 
 const LEADER_TERM: u64 = 3;
 
-/// How the stand-in leader answers batches of heartbeats.
+/// How the stand-in leader responds to batches of heartbeats.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum LeaderBehavior {
     /// 200 with one answer for each heartbeat.
@@ -62,7 +63,7 @@
         let server = HttpServer::new(move || {
             App::new()
                 .app_data(data.clone())
-                .route(HEARTBEATS_PATH, web::post().to(answer_batch))
+                .route(HEARTBEATS_PATH, web::post().to(respond_to_batch))
         });
         let server = server.workers(1).disable_signals();
         actix::spawn(server.listen(listener).unwrap().run());
@@ -70,7 +71,7 @@
     }
 }
 
-async fn answer_batch(leader: web::Data<LeaderStandIn>, body: web::Bytes) -> HttpResponse {
+async fn respond_to_batch(leader: web::Data<LeaderStandIn>, body: web::Bytes) -> HttpResponse {
     let behavior = *leader.behavior.lock().unwrap();
     if behavior == LeaderBehavior::NotFound {
         return HttpResponse::NotFound().finish();
@@ -146,7 +147,7 @@
 }
 
 #[actix_web::test]
-async fn follower_relays_the_leader_s_response_and_responds_with_421_or_503_without_a_usable_one() {
+async fn follower_relays_the_leader_response_and_responds_with_421_or_503_without_a_usable_one() {
     let (leader, address) = LeaderStandIn::start();
     let environment = environment_with_peer("forward", &address);
     let controller = start_follower(&environment);
@@ -168,7 +169,8 @@
         );
     }
 
-    // A worker whose token is higher than the leader's must be rejected, so that it tries another controller.
+    // An agent whose token is higher than that of the leader must be rejected, so that it tries another
+    // controller.
     let higher_token = FencingToken::first(Term(LEADER_TERM)).0 + 1;
     heartbeat_until_status(&controller, higher_token, 503).await;
 
@@ -195,8 +197,8 @@
     assert!(metrics["resident_bytes"].as_u64() > Some(0), "{metrics}");
 }
 
-/// During a rolling update, a leader of version 0.5.0 does not support forwarded heartbeats, so that workers
-/// have to send theirs to it.
+/// During a rolling update, a leader of version 0.5.0 does not support forwarded heartbeats, so that agents
+/// have to send their heartbeats to it directly.
 #[actix_web::test]
 async fn workers_are_redirected_to_a_leader_that_does_not_support_forwarded_heartbeats() {
     let (leader, address) = LeaderStandIn::start();
@@ -209,9 +211,9 @@
     }
 }
 
-/// A worker may reach the leader although the follower cannot connect to it.
+/// An agent may reach the leader although the follower cannot connect to it.
 #[actix_web::test]
-async fn workers_are_redirected_to_a_leader_that_refuses_the_follower_s_connections() {
+async fn workers_are_redirected_to_a_leader_that_refuses_connections_of_the_follower() {
     let environment = environment_with_peer("refused", "127.0.0.1:9");
     let controller = start_follower(&environment);
     let body = heartbeat_until_status(&controller, 0, 421).await;
@@ -220,7 +222,7 @@
 
 /// A leader accepts batches only from peers in its settings and for its own term.
 #[actix_web::test]
-async fn leader_answers_valid_batches_and_rejects_invalid_ones_without_crashing() {
+async fn leader_responds_to_valid_batches_and_rejects_invalid_ones_without_crashing() {
     let environment = environment_with_peer("batches", "127.0.0.1:9");
     let controller = environment.start();
     let body = heartbeat_until_status(&controller, 0, 200).await;
@@ -236,9 +238,9 @@
         sent_at_ms: unix_ms(std::time::SystemTime::now()),
         heartbeats: vec![ForwardedHeartbeat::from(forwarded)],
     };
-    let mut answer = send(encode_bincode(&batch).unwrap()).await.unwrap();
-    assert_eq!(answer.status(), 200);
-    let answer: BatchAnswer = decode(&answer.body().await.unwrap()).unwrap();
+    let mut response = send(encode_bincode(&batch).unwrap()).await.unwrap();
+    assert_eq!(response.status(), 200);
+    let answer: BatchAnswer = decode(&response.body().await.unwrap()).unwrap();
     assert_eq!(answer.answers.len(), 1);
     assert!(answer.answers[0].clone().accepted().is_some());
 
@@ -263,11 +265,11 @@
         (Vec::new(), 400),
         (vec![0; 2 * 1024 * 1024], 400),
     ] {
-        let answer = send(body).await;
+        let result = send(body).await;
         // The server may close the connection instead of responding to a body that is far too large.
         assert!(
-            answer.is_err() || answer.unwrap().status() == status,
-            "{status}"
+            result.is_err() || result.unwrap().status() == status,
+            "the response to an invalid batch has another status than {status}"
         );
     }
     heartbeat_until_status(&controller, 0, 200).await;
--- a/tests/heartbeats.rs
+++ b/tests/heartbeats.rs
@@ -2,7 +2,7 @@
 //! responses to their heartbeats. Most tests compare the log of the leader with a snapshot in
 //! `tests/snapshots/`.
 
-// A failed `unwrap` or `expect` ends the test with its cause.
+// A failed `unwrap` or `expect` fails the test with its message.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 mod common;
@@ -14,6 +14,7 @@
 use knotlanding::wire::ExitCause;
 use test_leader::*;
 
+/// The network may delay and duplicate heartbeats. An old one must not end or add tasks, or add a machine.
 #[test]
 fn late_and_duplicate_heartbeats_have_no_effect() {
     let mut leader = TestLeader::new();
@@ -29,7 +30,7 @@
     leader.note("a new epoch proves that all tasks of the former one have ended");
     leader.receive_heartbeat_with("m-g1n", (2, 1, 1), &[], true);
     leader.run_cycle();
-    leader.note("a late heartbeat does not add a terminated machine again");
+    leader.note("a late heartbeat does not add a released machine again");
     leader
         .cluster
         .remove_released_machine(&MachineId("m-g1n".into()));
@@ -41,6 +42,8 @@
     insta::assert_snapshot!(leader.log);
 }
 
+/// A raised token makes the agent send its next heartbeat at once. Guards against a direct command for each
+/// start, to which agents do not react within half a lease.
 #[test]
 fn token_is_raised_for_a_waiting_start_at_most_once_per_half_lease() {
     let mut leader = TestLeader::new();
@@ -66,6 +69,8 @@
     insta::assert_snapshot!(leader.log);
 }
 
+/// Heartbeats may arrive from a machine that no response reaches. Starts for it would be lost, so that its
+/// task is placed on another machine.
 #[test]
 fn machine_that_acknowledges_no_responses_gets_no_starts_and_is_released() {
     let mut leader = TestLeader::new();
@@ -73,7 +78,7 @@
     leader.submit(array_job("wk-000001", 1));
     leader.run_cycle();
     leader.receive_heartbeat("m-g1n", &[]);
-    leader.note("from now on nothing reaches m-g1n, but its heartbeats arrive");
+    leader.note("from now on no response or command reaches m-g1n, but its heartbeats arrive");
     let running = ("wk-000001/0", ATTEMPT_2, RUNNING, None);
     for step in 0..6 {
         leader.advance_clock(0.4);
@@ -95,6 +100,8 @@
     insta::assert_snapshot!(leader.log);
 }
 
+/// A partition may interrupt only the direction toward the machines. It may end soon, so that the machines of
+/// a whole zone are not released at once.
 #[test]
 fn machine_that_acknowledges_again_gets_starts_and_an_unreachable_zone_is_not_released_at_once() {
     let mut leader = TestLeader::new();
@@ -107,7 +114,7 @@
     for machine in ["m-g1n", "m-g5n", "m-g6n", "m-g2s", "m-g3s", "m-g4s"] {
         leader.receive_heartbeat(machine, &[]);
     }
-    leader.note("from now on nothing reaches the machines in south");
+    leader.note("from now on no response or command reaches the machines in south");
     for machine in south {
         receive_heartbeat_with_first_token(&mut leader, machine, &[]);
     }
@@ -144,8 +151,10 @@
     insta::assert_snapshot!(leader.log);
 }
 
+/// The network may deliver copies of heartbeats from before a start, a termination, a restart or the release
+/// of a machine.
 #[test]
-fn late_copies_of_heartbeats_restore_no_state_and_prove_nothing() {
+fn late_copies_of_heartbeats_change_no_tasks_faults_or_machines() {
     let mut test = TestLeader::new();
     test.add_machines(&["m-g1n", "m-g2n"]);
     test.submit(array_job("wk-000001", 1));
@@ -166,7 +175,7 @@
         "m-g1n",
         &[("wk-000001/0", ATTEMPT_1, EXITED, Some(ExitCause::Stopped))],
     );
-    test.note("a copy from before the stop does not add the task again: its capacity is free");
+    test.note("a copy from before its end does not add the task again: its capacity is free");
     let sequence = test.last_sequence - 1;
     test.receive_heartbeat_with(
         "m-g1n",
@@ -184,7 +193,7 @@
         assert_eq!(ordering, HeartbeatOrdering::Older);
     }
     assert!(test.cluster.machines.values().all(|m| m.faults.is_empty()));
-    test.note("a machine is terminated, then a copy of its heartbeat arrives");
+    test.note("m-g2n is released, then a late copy of its heartbeat arrives");
     test.cluster
         .remove_released_machine(&MachineId("m-g2n".into()));
     test.receive_heartbeat_with(
@@ -204,6 +213,8 @@
     insta::assert_snapshot!(test.log);
 }
 
+/// A machine that restarts under its name begins again at epoch 1 and sequence number 1, so that its
+/// heartbeats look like late copies of early ones. The response to a direct command distinguishes the two.
 #[test]
 fn machine_restarted_under_its_name_is_distinguished_from_a_late_copy_by_a_probe() {
     let mut leader = TestLeader::new();
@@ -229,8 +240,8 @@
     insta::assert_snapshot!(leader.log);
 }
 
-/// The placement of a task that turned out to be completed was neither dispatched nor dropped, so that its job
-/// never ended. Found by code review.
+/// When a late heartbeat showed that a planned task had already completed, its placement was neither
+/// dispatched nor dropped, so that its job never ended.
 #[test]
 fn replanned_task_that_a_late_heartbeat_shows_as_completed_loses_its_placement() {
     let mut records = accepted_job_records(&array_job("wk-000001", 1), true);
@@ -257,11 +268,11 @@
     insta::assert_snapshot!(leader.log);
 }
 
-/// 767 starts planned in one cycle raised as many tokens, each by a direct command with a connection of its
-/// own, which kept a controller with few cores busy for seconds. Stops are not deferred.
+/// 767 starts planned in one cycle raised as many tokens, each by a direct command on a separate connection,
+/// so that a controller with few cores was busy for seconds. Terminations are not deferred.
 #[test]
-fn deferrable_commands_are_limited_by_the_cpu_share_and_stops_are_sent_at_once() {
-    let raised_and_stopped_counts = |cores: f64| {
+fn deferrable_commands_are_limited_by_the_cpu_share_and_terminations_are_sent_at_once() {
+    let raise_and_termination_counts = |cores: f64| {
         let mut leader = TestLeader::new();
         leader.settings.params.resources.cores = cores;
         leader.recover(2);
@@ -274,30 +285,34 @@
         leader.log.clear();
         leader.run_cycle();
         let direct_commands = |leader: &TestLeader| leader.log.matches("direct command to").count();
-        let raised = direct_commands(&leader);
+        let raises = direct_commands(&leader);
         for name in &names {
             leader.receive_heartbeat(name, &[]);
         }
         leader.log.clear();
         leader.cancel("wk-000001");
         leader.run_cycle();
-        (raised, direct_commands(&leader))
+        (raises, direct_commands(&leader))
     };
-    let (raised, stopped) = raised_and_stopped_counts(1.0);
+    let (raises, terminations) = raise_and_termination_counts(1.0);
     assert_eq!(
-        raised, stopped,
-        "each machine with a start gets one raised token and one stop"
+        raises, terminations,
+        "each machine with a start gets one raised token and one termination"
     );
-    assert!(raised > 48, "tokens raised: {raised}");
-    let (raised_small, stopped_small) = raised_and_stopped_counts(0.029);
+    assert!(raises > 48, "tokens raised: {raises}");
+    let (raises_small, terminations_small) = raise_and_termination_counts(0.029);
     assert!(
-        raised_small > 0 && raised_small <= 48,
-        "tokens raised: {raised_small}"
+        raises_small > 0 && raises_small <= 48,
+        "tokens raised: {raises_small}"
+    );
+    assert_eq!(
+        terminations_small, terminations,
+        "no termination is deferred"
     );
-    assert_eq!(stopped_small, stopped, "no stop is deferred");
 }
 
-/// While completions can't be recorded, results of short tasks accumulate on their machines.
+/// While completions can't be recorded, results of short tasks accumulate on their machines, and the
+/// heartbeats that list them grow.
 #[test]
 fn machine_with_many_unrecorded_results_gets_no_tasks_until_they_are_recorded() {
     let mut leader = TestLeader::new();
@@ -319,7 +334,7 @@
     let decisions = leader.run_cycle_with(false);
     assert!(
         decisions.starts.is_empty(),
-        "it has free capacity, but its heartbeats would become too long"
+        "the machine has free capacity, but its heartbeats would become too long"
     );
     leader.advance_clock(3.0);
     leader.run_cycle();
--- a/tests/layers.rs
+++ b/tests/layers.rs
@@ -5,7 +5,8 @@
 
 use std::path::{Path, PathBuf};
 
-/// The modules of the library from the lowest layer to the highest. Modules of one layer do not use each other.
+/// The modules of the library from the lowest layer to the highest. Modules of one layer do not use each
+/// other.
 const LAYERS: [&[&str]; 15] = [
     &["time"],
     &["model", "pending_reason", "rate_limit", "metrics"],
--- a/tests/leader_change.rs
+++ b/tests/leader_change.rs
@@ -1,7 +1,7 @@
 //! Changes of leader: which actions a new leader may take before all machines are reconciled. Most tests
 //! compare the log of the leader with a snapshot in `tests/snapshots/`.
 
-// A failed `unwrap` or `expect` ends the test with its cause.
+// A failed `unwrap` or `expect` fails the test with its message.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 mod common;
@@ -13,6 +13,8 @@
 use knotlanding::wire::ExitCause;
 use test_leader::*;
 
+/// Tasks that an earlier leader started may still run on machines without a heartbeat in the current term. A
+/// repeated start would run such a task twice.
 #[test]
 fn new_leader_repeats_no_start_before_all_machines_are_reconciled() {
     let mut records = accepted_job_records(&array_job("wk-000001", 2), true);
@@ -43,7 +45,7 @@
         true,
     );
     leader.note(
-        "m-g2n sends no heartbeats: before its lease expires, only its termination reconciles it",
+        "m-g2n sends no heartbeats: before its lease expires, only its release reconciles it",
     );
     leader.advance_clock(30.0);
     leader.receive_heartbeat_with(
@@ -87,7 +89,7 @@
         for name in &names[3..] {
             assert!(
                 !leader.log.contains(name),
-                "released too early: {}",
+                "{name} is released too early: {}",
                 leader.log
             );
         }
@@ -102,12 +104,14 @@
     for name in &names[3..] {
         assert!(
             leader.log.contains(name),
-            "machines of the partitioned zone are released in the end: {}",
+            "{name} of the partitioned zone is not released after 100 s: {}",
             leader.log
         );
     }
 }
 
+/// Until a machine shows the current term, it may still execute commands of an earlier leader, and its
+/// heartbeats may be late copies.
 #[test]
 fn new_machine_is_planned_for_at_once_but_gets_starts_only_once_fenced() {
     let mut leader = TestLeader::new();
@@ -115,7 +119,9 @@
     leader.receive_machine_list(&["m-g1n", "m-g2n"]);
     leader.receive_heartbeat_with("m-g1n", (1, 1, 0), &[], true);
     leader.run_cycle();
-    leader.note("first heartbeat of the machine; its start waits until it shows the current term");
+    leader.note(
+        "m-g1n sent its first heartbeat: its start is deferred until it shows the current term",
+    );
     leader.receive_heartbeat_with("m-g1n", (1, 2, 1), &[], true);
     leader.note("a late copy of an early heartbeat does not show the task on the machine");
     leader.submit(array_job("wk-000002", 1));
@@ -127,6 +133,8 @@
     insta::assert_snapshot!(leader.log);
 }
 
+/// Guards against jobs that stay pending because of an unreachable machine to which none of their starts was
+/// sent.
 #[test]
 fn unreachable_machine_blocks_only_jobs_it_may_hold_until_it_is_released() {
     let mut records = accepted_job_records(&array_job("wk-000001", 1), true);
@@ -141,7 +149,8 @@
     for machine in ["m-c1n", "m-c2n", "m-c3n"] {
         leader.receive_heartbeat(machine, &[]);
     }
-    leader.note("m-g1n never shows the current term; only the array may have tasks on it");
+    leader
+        .note("no heartbeat of m-g1n shows the current term; only wk-000001 may have tasks on it");
     leader.receive_heartbeat_with(
         "m-g1n",
         (4, 7, 0),
@@ -165,7 +174,7 @@
     }
     let decisions = leader.run_cycle();
     leader.plan_scaling(&decisions);
-    leader.note("the termination of m-g1n proves that its task has ended");
+    leader.note("the release of m-g1n proves that its task has ended");
     leader
         .cluster
         .remove_released_machine(&MachineId("m-g1n".into()));
@@ -174,8 +183,10 @@
     insta::assert_snapshot!(leader.log);
 }
 
+/// A late copy from before a start does not list its task. If the copy reconciled the machine, the new leader
+/// would start the task a second time.
 #[test]
-fn copies_of_heartbeats_from_an_earlier_term_prove_nothing() {
+fn copies_of_heartbeats_from_an_earlier_term_reconcile_no_machine() {
     let mut records = accepted_job_records(&array_job("wk-000001", 1), true);
     records.push(inventory_record(&["m-g1n"]));
     let mut leader = TestLeader::with_records(records);
@@ -185,7 +196,7 @@
         .push_back(MachineId("m-g9n".into()));
     leader.cluster.adopt_summary(&summary);
     leader.note(
-        "late copies: from m-g1n before it had its task, from terminated m-g9n, from unknown m-g8n",
+        "late copies: from m-g1n before its task started, from released m-g9n, from unknown m-g8n",
     );
     leader.receive_heartbeat_with("m-g1n", (1, 3, 0), &[], true);
     leader.receive_heartbeat_with(
@@ -211,12 +222,12 @@
         true,
     );
     let decisions = leader.run_cycle();
-    leader.note("the machine known only from a copy is released");
+    leader.note("m-g8n, which only a late copy names, is released");
     leader.plan_scaling(&decisions);
     insta::assert_snapshot!(leader.log);
 }
 
-/// A leader that the workers can't reach keeps its own lease while theirs expire, so it must detect that it
+/// A leader that the agents can't reach keeps its own lease while theirs expire, so it must detect that it
 /// receives few heartbeats. Missing heartbeats from a part of the machines, or at the beginning of a term, do
 /// not suffice.
 #[test]
@@ -244,13 +255,13 @@
     );
 }
 
-/// Machines that had been terminated before a new leader could learn their zone counted as a partitioned zone
-/// of their own: every array that may run on any machine was pending for more than a lease.
+/// Machines that had been released before a new leader received their zone counted as a partitioned zone of
+/// their own: every array that may run on any machine was pending for more than a lease.
 #[test]
 fn machines_known_only_from_the_inventory_do_not_count_as_a_partitioned_zone() {
     let names = ["m-g1n", "m-g2n", "m-g3n", "m-g4n"];
-    let terminated = ["m-x1n", "m-x2n", "m-x3n"];
-    let all: Vec<&str> = names.iter().chain(&terminated).copied().collect();
+    let unlisted = ["m-x1n", "m-x2n", "m-x3n"];
+    let all: Vec<&str> = names.iter().chain(&unlisted).copied().collect();
     let mut records = accepted_job_records(&array_job("wk-000001", 2), true);
     records.push(inventory_record(&all));
     let mut leader = TestLeader::with_records(records);
@@ -262,21 +273,21 @@
         }
         leader.run_cycle();
     }
-    assert_eq!(leader.cluster.unreconciled.len(), terminated.len());
+    assert_eq!(leader.cluster.unreconciled.len(), unlisted.len());
     let decisions = leader.run_cycle();
     leader.log.clear();
     leader.plan_scaling(&decisions);
-    for name in &terminated {
+    for name in &unlisted {
         assert!(
             leader.log.contains(name),
-            "the terminated machine is released: {}",
+            "{name}, which is missing from the machine list, is not released: {}",
             leader.log
         );
     }
 }
 
-/// Version 0.3.0 stores the description under a key of its own, with the machines to which starts of the job may
-/// have been sent.
+/// Version 0.3.0 stores the description under a key of its own, with the machines to which starts of the job
+/// may have been sent.
 #[test]
 fn records_of_version_0_3_0_are_read_and_deleted_with_their_job() {
     let names = ["m-g1n", "m-g2n"];
@@ -299,12 +310,14 @@
         .flat_map(|write| &write.transaction.changes)
         .map(|change| change.key().to_owned())
         .collect();
-    leader.note(&format!("the end of the job writes {written_keys:?}"));
+    leader.note(&format!(
+        "keys written at the end of the job: {written_keys:?}"
+    ));
     insta::assert_snapshot!(leader.log);
 }
 
-/// Abandoned deletions of dispatch records kept further dispatch records from being written, so that tasks that
-/// had lost their machine never restarted.
+/// Abandoned deletions of dispatch records prevented writes of further ones, so that tasks that had lost
+/// their machine never restarted.
 #[test]
 fn obsolete_dispatch_records_do_not_block_writes_of_new_ones() {
     let obsolete =
--- a/tests/links_service.rs
+++ b/tests/links_service.rs
@@ -1,4 +1,4 @@
-//! Three controller processes under link faults, in selected cases and in seeded schedules of faults.
+//! Three controller processes under link faults, in individual cases and in seeded schedules of faults.
 //!
 //! Waits end when a condition holds; the only fixed delays are the detection time of refused writes and the
 //! cancellation deadline. Longer runs: `KNOTLANDING_SCHEDULES=40 KNOTLANDING_SCHEDULE_S=90
@@ -55,14 +55,14 @@
     check_history(&entries, &deployment.invariant_limits(), Instant::now())
 }
 
-/// Evaluates the condition repeatedly until it holds; `what` is the message if it does not hold in time.
+/// Evaluates the condition repeatedly until it holds, and panics with `failure` if it does not hold in time.
 async fn wait_until<F: std::future::Future<Output = bool>>(
-    what: &str,
-    mut holds: impl FnMut() -> F,
+    failure: &str,
+    mut condition_holds: impl FnMut() -> F,
 ) {
     let started_at = Instant::now();
-    while !holds().await {
-        assert!(started_at.elapsed() < TEST_TIMEOUT, "{what}");
+    while !condition_holds().await {
+        assert!(started_at.elapsed() < TEST_TIMEOUT, "{failure}");
         tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
@@ -94,7 +94,7 @@
     .await;
 }
 
-/// Waits until a controller reports itself as leader; returns its number.
+/// Waits until the status of a controller shows it as leader; returns its number.
 async fn find_leader(deployment: &Deployment) -> usize {
     let started_at = Instant::now();
     loop {
@@ -191,7 +191,7 @@
         .await
         .unwrap()
         .contains("not turned on"));
-    // Any one controller may be terminated, and the others still complete jobs.
+    // Whichever controller is killed, the other two still complete jobs.
     for number in 0..3 {
         deployment.kill_controller(number);
         let id = format!("wk-00001{number}");
@@ -219,9 +219,10 @@
     let deployment = deployment_with_link_features("unwritable");
     refuse_transactions_while_tasks_start(&deployment).await;
     let leader = find_leader(&deployment).await;
-    wait_until("the placement gate does not report unwritable", || async {
-        links(&deployment, leader).await["placement_gate"]["refuses"] == "unwritable"
-    })
+    wait_until(
+        "the placement gate does not show that the store refuses writes",
+        || async { links(&deployment, leader).await["placement_gate"]["refuses"] == "unwritable" },
+    )
     .await;
     wait_until("the job does not show its pending reason", || async {
         let job = deployment.admin_response(leader, "jobs/wk-000001").await;
@@ -239,7 +240,8 @@
     assert!(found.is_empty(), "{found:#?}");
 }
 
-/// Checks the recorded history only. Without the placement gate in the program, this test fails.
+/// Without the placement gate, tasks would start while the store refuses transactions. The test checks only
+/// the recorded history.
 #[actix_web::test]
 async fn no_task_starts_while_transactions_are_refused() {
     let deployment = deployment_with_link_features("no-start");
@@ -250,7 +252,7 @@
     assert_eq!(
         find_leader(&deployment).await,
         leader_before,
-        "leadership must stay, since no controller is better connected"
+        "leadership must not change, since no controller is better connected"
     );
     deployment.store.set_writes_refused(false);
     wait_for_completion(&deployment, "wk-000001").await;
@@ -258,8 +260,8 @@
     assert!(found.is_empty(), "{found:#?}");
 }
 
-/// The old leader extends the leases of its workers for a limited time. A job that is cancelled meanwhile at
-/// another controller must have no running task at the cancellation deadline.
+/// The old leader extends worker leases for a limited time. A job that is cancelled meanwhile at another
+/// controller must have no running task after the cancellation deadline.
 #[actix_web::test]
 async fn cancellation_takes_effect_while_the_old_leader_is_cut_off_from_store_and_peers() {
     let deployment = deployment_with_link_features("lost-state");
@@ -319,8 +321,8 @@
     wait_for_status(deployment, id, "done").await;
 }
 
-/// The follower's requests reach the leader, but the responses are held. The follower must show the link as
-/// down and the leader must show it as up.
+/// The requests of the follower reach the leader, but the responses are held back. The follower must show the
+/// link as down, and the leader must show it as up.
 #[actix_web::test]
 async fn half_open_link_is_shown_by_direction_and_delays_no_job() {
     let deployment = deployment_with_link_features("one-way");
@@ -372,9 +374,9 @@
     assert!(found.is_empty(), "{found:#?}");
 }
 
-/// A leader that receives no heartbeats, directly or forwarded, must not report any worker as healthy.
+/// A leader that receives no heartbeats, directly or forwarded, must not show any worker as healthy.
 #[actix_web::test]
-async fn leader_without_worker_heartbeats_reports_worker_health_as_unknown() {
+async fn leader_without_heartbeats_shows_worker_health_as_unknown() {
     let deployment = deployment_with_link_features("no-workers");
     submit_until_accepted(&deployment, "wk-000001", "array", 200).await;
     wait_until("too few tasks start", || async {
@@ -382,7 +384,7 @@
     })
     .await;
     let leader = find_leader(&deployment).await;
-    wait_until("the leader reports too few healthy workers", || async {
+    wait_until("the leader shows too few healthy workers", || async {
         status(&deployment, leader).await["worker_health"]["healthy"].as_u64() > Some(3)
     })
     .await;
@@ -393,7 +395,7 @@
                 .set_mode(LinkMode::BLACKHOLE);
         }
     }
-    wait_until("the leader still reports healthy workers", || async {
+    wait_until("the leader still shows healthy workers", || async {
         let health = &status(&deployment, leader).await["worker_health"];
         health["healthy"].is_null() && health["unknown"].as_u64() > Some(3)
     })
--- a/tests/pending_jobs.rs
+++ b/tests/pending_jobs.rs
@@ -1,7 +1,7 @@
-//! Pending jobs and the machines rented for them: which jobs must start in bounded time, and at what cost. Most
-//! tests compare the log of the leader with a snapshot in `tests/snapshots/`.
+//! Pending jobs and the machines rented for them: which jobs must start in bounded time, and at what cost.
+//! Most tests compare the log of the leader with a snapshot in `tests/snapshots/`.
 
-// A failed `unwrap` or `expect` ends the test with its cause.
+// A failed `unwrap` or `expect` fails the test with its message.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 mod common;
@@ -77,8 +77,8 @@
     );
 }
 
-/// In the load of a recorded day, tasks that were preempted for a gang restarted on the first capacity that
-/// became free, and were preempted again, thousands of times.
+/// Under the recorded load of one day, tasks that were preempted for a gang restarted on the first capacity
+/// that became free, and were preempted again, thousands of times.
 #[test]
 fn capacity_freed_for_a_gang_is_reserved_until_all_of_it_is_free() {
     let mut leader = TestLeader::new();
@@ -118,6 +118,7 @@
     insta::assert_snapshot!(leader.log);
 }
 
+/// Guards against jobs that can't start but delay all later jobs in the queue.
 #[test]
 fn team_at_its_limit_and_job_that_fails_everywhere_do_not_delay_other_jobs() {
     let mut leader = TestLeader::new();
@@ -146,8 +147,8 @@
     insta::assert_snapshot!(leader.log);
 }
 
-/// While a large gang was pending until the last of its machines booted, the first ones were released as idle and
-/// others were rented. Found by randomized testing.
+/// While a large gang was pending until the last of its machines booted, the first ones were released as idle
+/// and others were rented.
 #[test]
 fn machines_needed_by_a_pending_gang_are_not_released_as_idle() {
     let mut leader = TestLeader::new();
@@ -162,8 +163,8 @@
     insta::assert_snapshot!(leader.log);
 }
 
-/// Best-effort tasks on the CPUs of GPU machines kept hundreds of these machines rented, and more were rented for
-/// such tasks: the cost of a day rose from 2.6 to 3.8.
+/// Best-effort tasks on the CPUs of GPU machines kept hundreds of these machines rented, and more were rented
+/// for such tasks: the cost of a day rose from 2.6 to 3.8.
 #[test]
 fn best_effort_tasks_avoid_machines_that_cost_many_times_what_they_need() {
     let mut leader = TestLeader::new();
@@ -189,7 +190,7 @@
     leader.receive_heartbeat("m-g1n", &[]);
     leader.receive_heartbeat("m-g2s", &[]);
     leader.run_cycle();
-    leader.note("standard tasks of the same size start on GPU machines at once");
+    leader.note("standard tasks of the same size start on a GPU machine at once");
     job.id = JobId::parse("wk-000002").unwrap();
     job.priority = Priority::Standard;
     job.tasks = 2;
@@ -198,8 +199,8 @@
     insta::assert_snapshot!(leader.log);
 }
 
-/// An overdue boot is replaced. Replacements are limited, so that a cloud in which all boots are slow does not
-/// cause unbounded rentals.
+/// Another machine is rented for an overdue boot. These rentals are limited, so that a cloud in which all
+/// boots are slow does not cause unbounded rentals.
 #[test]
 fn overdue_boots_are_replaced_a_few_at_a_time() {
     let mut leader = TestLeader::new();
@@ -249,13 +250,13 @@
     leader.plan_scaling(&decisions);
     assert!(
         leader.log.contains("its boot is hopeless"),
-        "no machine is released for its boot time: {}",
+        "no machine is released for its overdue boot: {}",
         leader.log
     );
 }
 
-/// If machines boot in a twentieth of the nominal time, a machine sends a heartbeat before the response to its
-/// rental arrives, and before any machine list contains it.
+/// If machines boot in a twentieth of the nominal time, a machine sends a heartbeat before the response to
+/// its rental arrives, and before any machine list contains it.
 #[test]
 fn machine_that_is_up_before_its_rental_response_is_used_and_not_rented_twice() {
     let mut leader = TestLeader::new();
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -1,8 +1,8 @@
-//! Placement, starts, terminations, failures and quotas of jobs, as a leader decides them. Most tests compare
-//! the log of the leader with a snapshot in `tests/snapshots/`, where a change of behaviour shows as a changed
-//! line.
+//! Decisions of a leader on placement, starts, terminations, failures and quotas of jobs. Most tests compare
+//! the log of the leader with a snapshot in `tests/snapshots/`, so that a change of behaviour appears as a
+//! changed line.
 
-// A failed `unwrap` or `expect` ends the test with its cause.
+// A failed `unwrap` or `expect` fails the test with its message.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 mod common;
@@ -20,6 +20,7 @@
 use knotlanding::wire::{ExitCause, TaskPhase};
 use test_leader::*;
 
+/// Guards against starting members of a single-zone gang in two zones, or only a part of the gang.
 #[test]
 fn gang_starts_only_when_one_zone_has_room_for_all_members() {
     let mut leader = TestLeader::new();
@@ -36,6 +37,8 @@
     insta::assert_snapshot!(leader.log);
 }
 
+/// After a change of leader, only the dispatch record shows that a task may run. A task started before the
+/// record is written could be started a second time.
 #[test]
 fn start_is_not_sent_before_its_dispatch_record_is_written() {
     let mut leader = TestLeader::new();
@@ -49,6 +52,8 @@
     insta::assert_snapshot!(leader.log);
 }
 
+/// A response to a direct command may overtake the response with a start. If the missing task in it counted
+/// as a lost start, the task would start a second time.
 #[test]
 fn lost_start_is_detected_only_by_the_next_unsolicited_heartbeat() {
     let mut leader = TestLeader::new();
@@ -57,20 +62,21 @@
     leader.run_cycle();
     leader.receive_heartbeat("m-g1n", &[]);
     leader.last_sequence += 1;
-    leader.note("the response to a direct command overtakes the response that carries the start");
+    leader.note("the response to a direct command overtakes the response that contains the start");
     let sequence = leader.last_sequence;
     leader.receive_heartbeat_with("m-g1n", (1, sequence, 1), &[], false);
     leader.run_cycle();
-    leader.note("the worker dropped the response: its next unsolicited heartbeat proves this");
+    leader.note("the agent did not receive the start: its next unsolicited heartbeat proves this");
     leader.receive_heartbeat("m-g1n", &[]);
     leader.run_cycle();
-    leader.note("the machine gets no starts until it shows a token that was raised since");
+    leader.note("the machine gets no starts until it shows a token raised after the lost start");
     leader.receive_heartbeat("m-g1n", &[]);
     leader.run_cycle();
     leader.receive_heartbeat("m-g1n", &[]);
     insta::assert_snapshot!(leader.log);
 }
 
+/// A leader that has been replaced must not act on heartbeats of the later term.
 #[test]
 fn heartbeat_of_a_later_term_shows_that_the_leader_is_deposed() {
     let mut leader = TestLeader::new();
@@ -81,17 +87,17 @@
     assert!(leader.cluster.machines.is_empty());
 }
 
+/// Guards against a second attempt of a gang while a member of the first attempt still runs.
 #[test]
-fn gang_that_loses_a_running_member_stops_and_restarts() {
+fn gang_that_loses_a_running_member_is_terminated_and_restarts() {
     let mut leader = leader_with_running_gang();
     leader.run_cycle();
-    leader
-        .note("one machine is terminated; the other member gets a stop with time for a checkpoint");
+    leader.note("m-c2n is released; the member on m-c1n is terminated, with time for a checkpoint");
     leader
         .cluster
         .remove_released_machine(&MachineId("m-c2n".into()));
     leader.run_cycle();
-    leader.note("until that member has ended, no member of the gang starts");
+    leader.note("no member of the gang starts before the member on m-c1n has ended");
     leader.receive_heartbeat(
         "m-c1n",
         &[("wk-000001/0", ATTEMPT_1, TaskPhase::Checkpointing, None)],
@@ -107,6 +113,7 @@
     insta::assert_snapshot!(leader.log);
 }
 
+/// The members that wait for the gang would otherwise be terminated and started again.
 #[test]
 fn gang_member_lost_before_the_gang_runs_is_replaced_in_the_same_attempt() {
     let mut leader = TestLeader::new();
@@ -124,8 +131,9 @@
     insta::assert_snapshot!(leader.log);
 }
 
+/// Guards against a restart of completed members, and against a gang that waits for them forever.
 #[test]
-fn completed_members_count_toward_the_minimum_of_a_restarted_gang() {
+fn lost_gang_member_restarts_alone_when_the_other_member_has_completed() {
     let mut leader = leader_with_running_gang();
     leader.receive_heartbeat(
         "m-c1n",
@@ -136,11 +144,13 @@
         .remove_released_machine(&MachineId("m-c2n".into()));
     leader.run_cycle();
     leader.note(
-        "only the member that has not completed restarts; it does not wait for the other one",
+        "only the member that has not completed restarts; it does not wait for the completed one",
     );
     insta::assert_snapshot!(leader.log);
 }
 
+/// A result that is cleared from its machine before it is recorded would be lost at a change of leader, and
+/// the task would run again.
 #[test]
 fn completed_task_is_cleared_only_once_its_completion_is_recorded() {
     let mut leader = TestLeader::new();
@@ -162,6 +172,8 @@
     insta::assert_snapshot!(leader.log);
 }
 
+/// Tasks whose start or end no heartbeat has shown yet use capacity too. Without them, a team exceeds its
+/// limit.
 #[test]
 fn team_limit_counts_unconfirmed_starts_and_unfinished_terminations() {
     let mut leader = TestLeader::new();
@@ -175,10 +187,12 @@
     }
     leader.cancel("wk-000001");
     leader.run_cycle();
-    leader.note("the tasks of the cancelled job have not ended and still count");
+    leader.note("the tasks of the cancelled job have not ended and still count toward the limit");
     insta::assert_snapshot!(leader.log);
 }
 
+/// A start may still be in flight when its job is cancelled. A new leader must find the records as long as
+/// the task may run.
 #[test]
 fn records_of_a_cancelled_job_are_deleted_only_once_its_tasks_have_ended() {
     let mut leader = TestLeader::new();
@@ -204,6 +218,8 @@
     insta::assert_snapshot!(leader.log);
 }
 
+/// The store may apply a write long after its request has timed out. Applied after a newer write of the same
+/// record, it would restore old contents.
 #[test]
 fn write_with_unknown_outcome_cannot_overwrite_a_newer_write_when_applied_late() {
     let mut leader = TestLeader::new();
@@ -232,8 +248,9 @@
     );
 }
 
+/// A task of no stored job uses capacity that the leader has not accounted for.
 #[test]
-fn unknown_task_is_killed_and_its_machine_gets_no_starts_meanwhile() {
+fn unknown_task_is_terminated_and_its_machine_gets_no_starts_meanwhile() {
     let mut leader = TestLeader::new();
     leader.add_machines(&["m-g1n"]);
     leader.submit(array_job("wk-000001", 1));
@@ -247,8 +264,10 @@
     insta::assert_snapshot!(leader.log);
 }
 
+/// Guards against a faulty machine that attracts tasks, and against a faulty job whose failures count against
+/// machines.
 #[test]
-fn failures_of_three_jobs_quarantine_the_machine_and_failures_on_three_machines_suspect_the_job() {
+fn machine_with_failures_of_three_jobs_is_drained_and_job_failing_on_three_machines_is_suspected() {
     let mut leader = TestLeader::new();
     let failed = |task, attempt| (task, attempt, EXITED, Some(ExitCause::Error));
     leader.add_machines(&["m-g1n"]);
@@ -265,7 +284,7 @@
     leader.receive_heartbeat("m-g1n", &[one, two, failed("wk-000003/0", 3)]);
     let decisions = leader.run_cycle();
     leader.plan_scaling(&decisions);
-    leader.note("one of the jobs fails on three machines: its failures count against none of them");
+    leader.note("wk-000001 fails on three machines: its failures count against none of them");
     for (machine, attempt) in [("m-g2n", 4), ("m-g3n", 5)] {
         leader.receive_heartbeat(machine, &[failed("wk-000001/0", attempt)]);
     }
@@ -281,10 +300,10 @@
     insta::assert_snapshot!(leader.log);
 }
 
-/// Some submitted jobs can never succeed. Two of them that failed on the same machines made the machines
-/// count as faulty, and every failure gave its machine a backoff.
+/// Some submitted jobs can never succeed. Two of them failed on the same machines, so that these machines
+/// counted as faulty, and each failure put its machine into a backoff.
 #[test]
-fn jobs_that_fail_everywhere_quarantine_no_machine_and_get_rare_trials_of_one_task() {
+fn jobs_that_fail_everywhere_drain_no_machine_and_get_rare_trials_of_one_task() {
     let mut leader = TestLeader::new();
     let names = ["m-g1n", "m-g2n", "m-g3n", "m-g4n"];
     leader.add_machines(&names);
@@ -309,7 +328,9 @@
         leader.receive_heartbeat(name, &[]);
     }
     leader.run_cycle();
-    leader.note("their next trial: one task each, without rentals or preemptions for the rest");
+    leader.note(
+        "the next trial starts one task of each job; nothing is rented or preempted for the others",
+    );
     leader.advance_clock(14.0);
     for name in &names {
         leader.receive_heartbeat(name, &[]);
@@ -335,7 +356,7 @@
         Duration::from_secs(30),
         "the failed trial doubles the backoff"
     );
-    leader.note("one of its tasks completes after all: its other tasks start at once");
+    leader.note("a task of wk-000001 completes: the other tasks of the job start at once");
     leader.receive_heartbeat(
         "m-g4n",
         &[("wk-000001/1", 77, EXITED, Some(ExitCause::Done))],
@@ -345,9 +366,9 @@
     insta::assert_snapshot!(leader.log);
 }
 
-/// A job that completes elsewhere was not at fault where it failed.
+/// A job that completes tasks elsewhere is not at fault, so that its failure is attributed to the machine.
 #[test]
-fn machine_is_quarantined_once_two_jobs_that_fail_on_it_run_elsewhere() {
+fn machine_is_drained_once_two_jobs_that_failed_on_it_complete_tasks_elsewhere() {
     let mut leader = TestLeader::new();
     leader.add_machines(&["m-g1n", "m-g2n"]);
     for id in ["wk-000001", "wk-000002"] {
@@ -383,7 +404,7 @@
     leader.receive_heartbeat("m-g2n", &[exited("wk-000001/1", 3, ExitCause::Done)]);
     assert_eq!(drain(&leader), None);
     leader.note(
-        "if the gang were at fault, this member would fail too; it ended because the other one did",
+        "a faulty gang would fail on m-g2n too, but this member ended only because the other one did",
     );
     leader.receive_heartbeat(
         "m-g2n",
@@ -392,16 +413,18 @@
     assert_eq!(drain(&leader), Some(DrainReason::Faulty));
 }
 
+/// An estimate may be wrong for all machines. Only a machine that is slower than others for several jobs is
+/// at fault.
 #[test]
-fn machine_slow_for_three_jobs_is_quarantined_and_wrong_estimates_quarantine_none() {
+fn machine_slow_for_three_jobs_is_drained_and_wrong_estimates_drain_none() {
     let mut leader = TestLeader::new();
     leader.add_machines(&["m-g1n", "m-g2n"]);
     for job in 1..=18u64 {
         let id = format!("wk-{job:06}");
         leader.submit(array_job(&id, 1));
         let task = format!("{id}/0");
-        // All estimates are twice the run time on the second machine, and tasks on the first machine take
-        // five times as long as on the second.
+        // All estimates are twice the run time on `m-g2n`, and tasks on `m-g1n` run five times as long as
+        // there.
         let (machine, run_s) = if job % 6 == 0 {
             ("m-g1n", 250.0)
         } else {
@@ -418,6 +441,8 @@
     assert_eq!(drain(&leader, "m-g2n"), None);
 }
 
+/// Guards against preemption of more tasks than necessary, also while the requested termination is in
+/// progress.
 #[test]
 fn urgent_gang_preempts_only_as_many_standard_tasks_as_it_needs() {
     let mut leader = TestLeader::new();
@@ -436,7 +461,7 @@
     leader.submit(urgent);
     leader.run_cycle();
     leader.advance_clock(0.5);
-    leader.note("the requested stop is not sent again yet");
+    leader.note("the requested termination is not sent again yet");
     leader.run_cycle();
     let stopped = ("wk-000001/0", ATTEMPT_1, EXITED, Some(ExitCause::Stopped));
     leader.receive_heartbeat("m-g1n", &[stopped, second]);
@@ -444,6 +469,7 @@
     insta::assert_snapshot!(leader.log);
 }
 
+/// Guards against pending jobs for which no machine is rented, and against unused machines that stay rented.
 #[test]
 fn fleet_rents_for_pending_jobs_and_releases_idle_and_unresponsive_machines() {
     let mut leader = TestLeader::new();
@@ -455,7 +481,7 @@
     leader.advance_clock(90.0);
     leader.receive_heartbeat("m-c1n", &[]);
     let decisions = leader.run_cycle();
-    leader.note("one machine is idle, one has been unresponsive for a long time");
+    leader.note("m-c1n is idle, and m-g1n has been unresponsive for longer than four leases");
     leader.plan_scaling(&decisions);
     leader.advance_clock(15.0);
     let decisions = leader.run_cycle();
@@ -464,6 +490,7 @@
     insta::assert_snapshot!(leader.log);
 }
 
+/// Guards against lost results at a change of leader.
 #[test]
 fn tasks_completed_in_an_earlier_term_do_not_run_again() {
     let mut records = accepted_job_records(&array_job("wk-000001", 3), true);
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -1,4 +1,4 @@
-//! One controller process on loopback against stand-ins for the key-value store, the cloud and the workers.
+//! One controller process on loopback, with stand-ins for the key-value store, the cloud and the agents.
 
 // A failed `unwrap` or `expect` fails the test with its message.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
@@ -133,7 +133,7 @@
 async fn cancelled_job_stays_cancelled_and_completed_job_stays_done() {
     let environment = ControllerEnvironment::new("cancel");
     let controller = environment.start();
-    // More tasks than the stand-in workers can run at once, so that some are always pending.
+    // More tasks than the stand-in agents can run at once, so that some are always pending.
     controller
         .submit_until_accepted(&job("wk-000020", "array", 5000, 16.0))
         .await;
@@ -158,7 +158,7 @@
 }
 
 /// The store does not limit the size of a watch response. A response larger than the controller accepts
-/// used to fail on every attempt, after which the controller read no changes at all.
+/// failed on every attempt, so that the controller read no further changes.
 #[actix_web::test]
 async fn watch_response_above_the_size_limit_is_replaced_by_reading_pages() {
     let reduce_memory = |text: String| text.replace("mem_mb = 136.0", "mem_mb = 20.0");
@@ -180,7 +180,7 @@
 }
 
 /// A controller may be restarted within a fraction of a second, while the lease of its earlier process is
-/// still valid or while it is being elected.
+/// still valid or its election is in progress.
 #[actix_web::test]
 async fn controller_restarted_within_its_lease_leads_again_and_starts_no_task_twice() {
     let environment = ControllerEnvironment::new("at-once");
@@ -203,9 +203,9 @@
     assert_eq!(environment.cloud.duplicate_executions(), 0);
 }
 
-/// A controller counts the misdirected heartbeats, to which it does not respond with 200, and returns the
-/// count to the leader in its reply to a state summary. While the controllers cannot connect to each
-/// other, it writes the count to the store, from which the leader reads it.
+/// A controller counts the misdirected heartbeats, to which it responds with a status other than 200, and
+/// returns the count to the leader in its response to a state summary. While the controllers cannot connect
+/// to each other, it writes the count to the store, from which the leader reads it.
 #[actix_web::test]
 async fn controller_without_state_summaries_records_misdirected_heartbeats_in_the_store() {
     let environment = ControllerEnvironment::new("knocks");
@@ -237,8 +237,8 @@
     assert!(number(&written, "knocks") >= 5, "{written:?}");
 }
 
-/// Guards against overload of the store: users once polled eight times as often as before, and each query
-/// was a condition of a transaction.
+/// Guards against overload of the store: users once polled eight times as often as before, and each query was
+/// a condition of a transaction.
 #[actix_web::test]
 async fn concurrent_job_queries_share_store_requests() {
     let environment = ControllerEnvironment::new("storm");
@@ -267,7 +267,8 @@
     );
 }
 
-/// After a long interruption, the revision of a watch may be older than the history that the store keeps.
+/// After a long interruption, the revision of a watch may precede the history that the store keeps. The store
+/// then rejects the watch.
 #[actix_web::test]
 async fn watch_from_a_compacted_revision_is_replaced_by_reading_all_keys() {
     let environment = ControllerEnvironment::new("too-old");
@@ -284,13 +285,13 @@
     let (status, _) = controller.poll("wk-000910").await;
     assert_eq!(
         status, 200,
-        "a job accepted before the compaction must stay known"
+        "the query for a job accepted before the compaction must still succeed"
     );
 }
 
 /// A controller with little memory keeps few final verdicts and looks up the others in the store.
 #[actix_web::test]
-async fn jobs_with_evicted_verdicts_are_still_answered_from_the_store() {
+async fn queries_for_jobs_with_evicted_verdicts_are_served_from_the_store() {
     let environment = ControllerEnvironment::new("few");
     let text = std::fs::read_to_string(&environment.settings_file).unwrap();
     let low_memory = text.replace("mem_mb = 136.0", "mem_mb = 0.002");
@@ -311,7 +312,7 @@
         let status_of_repetition = controller.submit(&job(id, "array", 1, 4.0)).await;
         assert_eq!(
             status_of_repetition, 200,
-            "a repeated submission must be answered with the state of the job"
+            "the response to a repeated submission must contain the state of the job"
         );
         let (status, _, _) = controller
             .post(&format!("/api/jobs/{id}/abort"), Vec::new())
@@ -322,10 +323,10 @@
     assert_eq!(controller.poll("wk-000799").await.0, 404);
 }
 
-/// Every accepted job stays known: queries for all of them are answered after an outage, after a restart
-/// and after both, and a burst of submissions does not starve the queries.
+/// Queries for all accepted jobs succeed after an outage, after a restart and after both, and a burst of
+/// submissions does not starve the queries.
 #[actix_web::test]
-async fn job_queries_are_answered_after_an_outage_or_restart_and_during_many_submissions() {
+async fn job_queries_succeed_after_an_outage_or_restart_and_during_many_submissions() {
     let environment = ControllerEnvironment::new("known");
     let mut controller = environment.start();
     let ids: Vec<String> = (0..30).map(|n| format!("wk-{:06}", 600 + n)).collect();
@@ -360,7 +361,7 @@
                 while controller.poll(id).await.0 != 200 {
                     assert!(
                         started_at.elapsed() < TEST_TIMEOUT,
-                        "job {id} is no longer known"
+                        "queries for the accepted job {id} do not succeed"
                     );
                     tokio::time::sleep(Duration::from_millis(100)).await;
                 }
@@ -377,7 +378,7 @@
     assert_eq!(environment.cloud.duplicate_executions(), 0);
 }
 
-/// Sends a heartbeat of a worker whose highest token is `token`; returns the status and the token of the
+/// Sends a heartbeat of an agent whose highest token is `token`; returns the status and the token of the
 /// response.
 async fn send_heartbeat(controller: &ControllerProcess, sequence: u64, token: u64) -> (u16, u64) {
     let heartbeat = cbor!({
@@ -389,8 +390,9 @@
     (status, number(&body, "baton"))
 }
 
-/// A leader that can reach its workers but not the store extends their leases for a limited time. It starts
-/// no task, gives no wrong answer, and sends no 200 with a token that is older than the worker's.
+/// A leader that can reach its agents but not the store extends worker leases for a limited time. Meanwhile
+/// it accepts no job, starts no task, returns no wrong job status, and sends no 200 with a token older than
+/// that of the agent.
 #[actix_web::test]
 async fn leader_that_loses_the_store_extends_worker_leases_for_a_limited_time_only() {
     let environment = ControllerEnvironment::new("alone");
@@ -422,7 +424,7 @@
             (200, returned_token) => {
                 assert!(
                     returned_token >= token,
-                    "the response has an older token than the worker"
+                    "the response has an older token than the heartbeat"
                 );
                 lease_extended = true;
             }
@@ -502,7 +504,7 @@
 async fn admin_interface_shows_why_a_job_is_pending_and_why_a_machine_is_not_used() {
     let environment = ControllerEnvironment::new("why");
     let controller = environment.start();
-    // More tasks than the stand-in workers can run at once.
+    // More tasks than the stand-in agents can run at once.
     controller
         .submit_until_accepted(&job("wk-000060", "array", 5000, 16.0))
         .await;
@@ -538,7 +540,8 @@
     assert_eq!(controller.admin("GET", "machines/m-none", "").await.0, 404);
 }
 
-/// Jobs accepted before their team was removed from the settings stay known and run; new ones are rejected.
+/// Jobs accepted before their team was removed from the settings still run to completion, and new ones are
+/// rejected.
 #[actix_web::test]
 async fn accepted_jobs_of_a_team_removed_from_the_settings_complete_and_new_ones_are_rejected() {
     let environment = ControllerEnvironment::new("teams");
@@ -557,7 +560,7 @@
     while controller.poll("wk-000080").await.0 != 200 {
         assert!(
             started_at.elapsed() < TEST_TIMEOUT,
-            "job wk-000080 is no longer known"
+            "queries for the accepted job wk-000080 do not succeed"
         );
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
@@ -680,8 +683,8 @@
     assert!(run(&["--version"]).status.success());
 }
 
-/// The process may be paused at any point while the clock runs on. Whether and how it answers a heartbeat
-/// depends on the time at which it answers, not on the time at which it received the heartbeat.
+/// The process may be paused at any point while the clock advances. The response to a heartbeat depends on
+/// the time at which it is sent, not on the time at which the heartbeat was received.
 #[test]
 fn heartbeat_response_uses_the_clock_after_a_process_pause() {
     use knotlanding::api::workers::{receive_heartbeat, HeartbeatOutcome};
--- a/tests/unresponsive_machines.rs
+++ b/tests/unresponsive_machines.rs
@@ -1,7 +1,7 @@
-//! Machines and zones that become unresponsive, and a leader that was paused. Most tests compare the log of the
-//! leader with a snapshot in `tests/snapshots/`.
+//! Machines and zones that become unresponsive, and a leader that was paused. Most tests compare the log of
+//! the leader with a snapshot in `tests/snapshots/`.
 
-// A failed `unwrap` or `expect` ends the test with its cause.
+// A failed `unwrap` or `expect` fails the test with its message.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 mod common;
@@ -10,6 +10,8 @@
 
 use test_leader::*;
 
+/// A machine without heartbeats may still run its tasks until its lease expires. An earlier restart would run
+/// the task twice.
 #[test]
 fn task_of_an_unresponsive_machine_is_not_restarted_until_the_lease_expires() {
     let mut leader = TestLeader::new();
@@ -29,6 +31,8 @@
     insta::assert_snapshot!(leader.log);
 }
 
+/// A partition interrupts the heartbeats of a whole zone. Its machines still run, and their heartbeats resume
+/// at different times.
 #[test]
 fn machines_of_a_zone_that_becomes_unresponsive_as_a_whole_are_not_released_at_once() {
     let mut leader = TestLeader::new();
@@ -70,8 +74,8 @@
     insta::assert_snapshot!(leader.log);
 }
 
-/// Heartbeats that the leader missed while it was paused, or rejected while the store was unavailable, are no
-/// evidence against the machines: none is released for it. Leases that expired meanwhile, counted from the
+/// Heartbeats that the leader missed while it was paused, or rejected while the store was unavailable, do not
+/// count as missing: no machine is released because of them. Leases that expired meanwhile, counted from the
 /// last response of the leader, stay expired.
 #[test]
 fn heartbeats_missed_during_a_pause_of_the_leader_are_no_reason_to_release_machines() {
@@ -107,8 +111,9 @@
     insta::assert_snapshot!(leader.log);
 }
 
-/// When the leases in a partitioned zone had expired, its machines counted as idle. In one deployment, 150 of
-/// them were released within ten seconds, and 400 unreachable ones were rented in the same zone.
+/// After the leases in a partitioned zone had expired, its machines counted as idle. In one deployment, 150
+/// of them were released within ten seconds, and 400 machines, which were unreachable too, were rented in the
+/// zone.
 #[test]
 fn machines_of_a_partitioned_zone_are_not_released_as_idle_and_none_are_rented_there() {
     let mut leader = TestLeader::new();
@@ -139,12 +144,16 @@
             leader.log
         );
         for name in &names[4..] {
-            assert!(!leader.log.contains(name), "released: {}", leader.log);
+            assert!(
+                !leader.log.contains(name),
+                "{name} is released: {}",
+                leader.log
+            );
         }
     }
     assert!(
         leader.log.contains("m-g1n"),
-        "idle machines in the responsive zone are released: {}",
+        "the idle machine m-g1n in the responsive zone is not released: {}",
         leader.log
     );
 }
