--- a/crates/links/src/contact.rs
+++ b/crates/links/src/contact.rs
@@ -1,5 +1,5 @@
-//! Contact of this controller and of its peers with the key-value store, to detect whether this controller
-//! is isolated.
+//! Contact of this controller and of its peers with the key-value store, to detect whether this controller is
+//! isolated.
 
 use std::time::{Duration, Instant};
 
@@ -19,7 +19,7 @@
 
 /// A peer's reaction to a probe for its contact with the key-value store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum PeerContactAnswer {
+pub enum PeerContactResult {
     /// The peer has contact.
     Connected,
     /// The peer is reachable, but has no contact either.
@@ -44,11 +44,11 @@
     }
 
     /// Records an answer. It replaces the last equal answer of any peer.
-    pub fn record_answer(&mut self, answer: PeerContactAnswer, now: Instant) {
+    pub fn record_result(&mut self, answer: PeerContactResult, now: Instant) {
         match answer {
-            PeerContactAnswer::Connected => self.last_connected_at = Some(now),
-            PeerContactAnswer::Disconnected => self.last_disconnected_at = Some(now),
-            PeerContactAnswer::Refused => self.last_refused_at = Some(now),
+            PeerContactResult::Connected => self.last_connected_at = Some(now),
+            PeerContactResult::Disconnected => self.last_disconnected_at = Some(now),
+            PeerContactResult::Refused => self.last_refused_at = Some(now),
         }
     }
 
--- a/src/actors/peers/store_contact.rs
+++ b/src/actors/peers/store_contact.rs
@@ -5,7 +5,7 @@
 
 use awc::error::{ConnectError, SendRequestError};
 use awc::Client;
-use knotlanding_links::contact::PeerContactAnswer;
+use knotlanding_links::contact::PeerContactResult;
 
 use super::RESPONSE_TIMEOUT;
 use crate::peer::contact;
@@ -30,11 +30,11 @@
         let shared = shared.clone();
         actix::spawn(async move {
             let answer = match request.await {
-                Ok(response) if response.status().is_success() => PeerContactAnswer::Connected,
-                Ok(_) => PeerContactAnswer::Disconnected,
+                Ok(response) if response.status().is_success() => PeerContactResult::Connected,
+                Ok(_) => PeerContactResult::Disconnected,
                 // A filter refused the connection, or the peer's process is just starting. Neither is
                 // evidence that this controller is the disconnected one.
-                Err(SendRequestError::Connect(ConnectError::Io(_))) => PeerContactAnswer::Refused,
+                Err(SendRequestError::Connect(ConnectError::Io(_))) => PeerContactResult::Refused,
                 Err(_) => return,
             };
             shared.links.record_peer_contact(answer, Instant::now());
--- a/src/service/links/mod.rs
+++ b/src/service/links/mod.rs
@@ -11,7 +11,7 @@
 
 use std::time::{Duration, Instant};
 
-use knotlanding_links::contact::{PeerContactAnswer, PeerContacts, StoreContact};
+use knotlanding_links::contact::{PeerContactResult, PeerContacts, StoreContact};
 use knotlanding_links::gate::GateRefusal;
 use knotlanding_links::table::StoreOperation;
 use knotlanding_links::timing::LinkTiming;
@@ -92,11 +92,11 @@
     }
 
     /// Records a peer's response to such a query.
-    pub fn record_peer_contact(&self, answer: PeerContactAnswer, now: Instant) {
+    pub fn record_peer_contact(&self, answer: PeerContactResult, now: Instant) {
         self.evidence
             .lock()
             .peer_contacts
-            .record_answer(answer, now);
+            .record_result(answer, now);
     }
 
     /// Discards the queries and the peers' responses, as when this process reaches the key-value store
