--- a/crates/links/src/damping/tests.rs
+++ b/crates/links/src/damping/tests.rs
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn time_that_does_not_advance_decays_no_penalty() {
+fn penalty_does_not_decay_if_time_does_not_advance() {
     let (mut damping, last) = losses_every(2.0, 3);
     let before = damping.penalty();
     assert!(damping.is_suppressed(last - Duration::from_secs(5)));
--- a/crates/links/src/detector.rs
+++ b/crates/links/src/detector.rs
@@ -71,13 +71,13 @@
         };
         let elapsed_s = now.saturating_duration_since(last_arrival_at).as_secs_f64();
         let (mean, deviation) = self.distribution();
-        let y = (elapsed_s - mean) / deviation;
-        let exponent = -y * (1.5976 + 0.070566 * y * y);
-        let e = exponent.exp();
+        let z_score = (elapsed_s - mean) / deviation;
+        let exponent = -z_score * (1.5976 + 0.070566 * z_score * z_score);
+        let tail_odds = exponent.exp();
         let tail_probability = if elapsed_s > mean {
-            e / (1.0 + e)
+            tail_odds / (1.0 + tail_odds)
         } else {
-            1.0 - 1.0 / (1.0 + e)
+            1.0 - 1.0 / (1.0 + tail_odds)
         };
         (-tail_probability.log10()).clamp(0.0, PHI_MAX)
     }
--- a/crates/links/src/detector/tests.rs
+++ b/crates/links/src/detector/tests.rs
@@ -62,7 +62,7 @@
     );
 }
 
-/// A worker sends additional heartbeats when something changes. They must not make its regular heartbeats due
+/// An agent sends additional heartbeats when something changes. They must not make its regular heartbeats due
 /// sooner.
 #[test]
 fn additional_messages_in_quick_succession_do_not_make_the_next_one_due_sooner() {
@@ -70,7 +70,8 @@
     assert!(seconds_until_phi(&frequent, last, 1.0) >= 3.0);
 }
 
-/// If the interval of a one-minute outage entered the distribution, the next outage would be detected too late.
+/// If the interval of a one-minute outage entered the distribution, the next outage would be detected too
+/// late.
 #[test]
 fn interval_of_an_outage_does_not_delay_the_detection_of_the_next_one() {
     let before_outage = (1..20).map(|n| f64::from(n) * 3.0);
--- a/crates/links/src/gate.rs
+++ b/crates/links/src/gate.rs
@@ -14,10 +14,10 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Error)]
 #[serde(rename_all = "snake_case")]
 pub enum GateRefusal {
-    /// Reads are not answered.
+    /// Reads receive no response.
     #[error("reads from the key-value store fail at this controller")]
     Unreadable,
-    /// Transactions are not answered, or are refused.
+    /// Transactions receive no response, or are refused.
     #[error("writes to the key-value store fail at this controller")]
     Unwritable,
     /// The link for reads or the link for transactions is suppressed because of flapping.
@@ -95,9 +95,9 @@
     }
 }
 
-/// Why the states of the links require a refusal. A link in the state `Unknown` is no reason: a process that
-/// has just started has read its records or is a follower, and its first placement waits until its records
-/// are written in any case.
+/// Why the states of the links require a refusal; `None` if they do not. A link in the state `Unknown`
+/// requires none: a process that has just started either has read the records or is a follower, and a
+/// placement waits in any case until its records are written.
 fn refusal(read: &Link, write: &Link) -> Option<GateRefusal> {
     if read.state() == LinkState::Down {
         return Some(GateRefusal::Unreadable);
--- a/crates/links/src/gate/tests.rs
+++ b/crates/links/src/gate/tests.rs
@@ -69,17 +69,18 @@
         assert_eq!(
             links.record_second(2, true, true),
             None,
-            "a single outage is not flapping"
+            "a link with a single loss is not flapping"
         );
     }
 }
 
+/// Transactions succeed for 2 s and fail for 2 s. Without damping the gate would open and close every 2 s.
 #[test]
 fn gate_refuses_while_a_flapping_link_is_suppressed() {
     let mut links = GatedLinks::new();
-    for round in 0..5 {
-        links.record_second(round * 4, true, true);
-        links.record_second(round * 4 + 2, true, false);
+    for cycle in 0..5 {
+        links.record_second(cycle * 4, true, true);
+        links.record_second(cycle * 4 + 2, true, false);
     }
     assert_eq!(
         links.record_second(20, true, true),
--- a/crates/links/src/handover.rs
+++ b/crates/links/src/handover.rs
@@ -1,6 +1,6 @@
 //! Handover of leadership based on the connectivity matrix.
 //!
-//! A leader requires reads and writes at the key-value store, and the workers' heartbeats, which arrive
+//! A leader requires reads and writes at the key-value store, and the agents' heartbeats, which arrive
 //! directly or are forwarded by followers. It hands over only if another controller has been much better
 //! connected for a minimum time and recent handovers have been rare. Leadership would otherwise oscillate
 //! between two controllers that each have half of the connections.
@@ -14,7 +14,7 @@
 use crate::row::Row;
 use crate::timing::LinkTiming;
 
-/// Factor by which the workers of another controller must exceed those of this one.
+/// Factor by which the agents of another controller must exceed those of this one.
 const SERVED_WORKERS_FACTOR: f64 = 2.0;
 
 /// Connectivity that a controller has, or would have, as the leader.
@@ -24,20 +24,20 @@
     pub store: bool,
     /// Whether its row also proves a recent write; see [`Row::store_proven`].
     pub store_proven: bool,
-    /// Number of workers whose heartbeats it would receive as the leader, directly or forwarded by followers.
+    /// Number of agents whose heartbeats it would receive as the leader, directly or forwarded by followers.
     pub workers: u64,
 }
 
 impl Connectivity {
     /// Whether this connectivity is so much better than `other` that a failover is worth its cost: only this
-    /// one has a usable key-value store, or both have and this one serves far more workers.
+    /// one has a usable key-value store, or both have and this one serves far more agents.
     pub fn is_much_better_than(&self, other: &Connectivity) -> bool {
         if !self.store {
             return false;
         }
         if !other.store {
-            // A new leader without workers would hand over again, and without evidence of a write its
-            // election could fail.
+            // A new leader without agents would hand over again, and without evidence of a write its election
+            // could fail.
             return self.store_proven && (self.workers > 0 || other.workers == 0);
         }
         self.workers as f64 > other.workers as f64 * SERVED_WORKERS_FACTOR
@@ -83,8 +83,7 @@
 }
 
 impl HandoverPolicy {
-    /// Creates a policy that allows at most `handovers_max` handovers within
-    /// [`LinkTiming::handover_window`].
+    /// Creates a policy that allows at most `handovers_max` handovers within [`LinkTiming::handover_window`].
     pub fn new(timing: &LinkTiming, handovers_max: usize) -> Self {
         Self {
             better_connected_for_min: timing.better_connected_for_min(),
@@ -131,8 +130,8 @@
         self.handovers.push_back(now);
     }
 
-    /// Discards the time for which another controller has been better connected, because earlier observations
-    /// are not valid any more, for example after a pause of this process.
+    /// Discards the time for which another controller has been better connected. Called when earlier
+    /// observations are no longer valid, for example after a pause of this process.
     pub fn reset(&mut self) {
         self.better_connected_since = None;
     }
--- a/crates/links/src/handover/tests.rs
+++ b/crates/links/src/handover/tests.rs
@@ -13,7 +13,7 @@
     table: LinkTable,
     matrix: ConnectivityMatrix,
     policy: HandoverPolicy,
-    /// Numbers of the workers that send heartbeats to this controller.
+    /// Numbers of the agents that send heartbeats to this controller.
     workers: std::ops::Range<u32>,
     paused: bool,
 }
@@ -40,7 +40,7 @@
     start: Instant,
     elapsed_s: u64,
     leader: usize,
-    /// The second of each handover, and the name of the new leader.
+    /// Second and new leader of each handover.
     handovers: Vec<(u64, String)>,
 }
 
@@ -165,7 +165,7 @@
     }
 }
 
-/// A cluster in which each controller receives the heartbeats of 100 workers, after 20 s with all links.
+/// A cluster in which each controller receives the heartbeats of 100 agents, after 20 s with all links.
 fn connected_cluster() -> Cluster {
     let mut cluster = Cluster::new([0..100, 100..200, 200..300]);
     cluster.run_seconds(20, |_| ALL_LINKS);
@@ -179,6 +179,7 @@
     assert_eq!(cluster.handovers, vec![]);
 }
 
+/// A leader without the store can record no placements, but a short outage must not cause a failover.
 #[test]
 fn leader_without_the_store_hands_over_once_after_the_minimum_time() {
     let mut cluster = connected_cluster();
@@ -199,6 +200,7 @@
     assert_eq!(new_leader, "knot-1");
 }
 
+/// No controller can be elected without the store, so a handover would leave the cluster without a leader.
 #[test]
 fn leader_stays_in_a_store_outage_that_affects_all_controllers() {
     let mut cluster = connected_cluster();
@@ -230,7 +232,7 @@
     assert_eq!(cluster.handovers.len(), 1, "{:?}", cluster.handovers);
 }
 
-/// Followers forward heartbeats, so a leader that receives none directly still serves all workers.
+/// Followers forward heartbeats, so a leader that receives none directly still serves all agents.
 #[test]
 fn leader_without_direct_heartbeats_stays_while_followers_forward_them() {
     let mut cluster = connected_cluster();
@@ -242,8 +244,8 @@
     assert_eq!(cluster.handovers, vec![]);
 }
 
-/// Each controller receives the heartbeats of some of the workers, and none receives those of more than twice
-/// as many workers as another.
+/// Each controller receives the heartbeats of some of the agents, and none receives those of more than twice
+/// as many agents as another.
 #[test]
 fn leader_stays_if_each_controller_receives_heartbeats_of_some_workers() {
     let mut cluster = Cluster::new([0..200, 100..300, 0..300]);
@@ -266,6 +268,8 @@
     );
 }
 
+/// The leader no longer serves the agents of knot-1, since knot-1 cannot forward their heartbeats. It still
+/// serves 200 of 300 agents, so that no other controller is much better connected.
 #[test]
 fn one_way_failure_between_two_controllers_causes_no_handover() {
     let mut cluster = connected_cluster();
@@ -324,10 +328,11 @@
     assert_eq!(new_leaders, vec!["knot-1"]);
 }
 
+/// Each controller limits only its own handovers, so the two together make at most twice as many.
 #[test]
 fn handovers_between_two_controllers_with_alternating_outages_are_limited() {
-    // The store is reachable from knot-0 and from knot-1 in turn, for 10 s each.
     let mut cluster = connected_cluster();
+    // The store is reachable from knot-0 and from knot-1 in turn, for 10 s each.
     let alternating = |second: u64| WorkingLinks {
         store: [
             (second / 10).is_multiple_of(2),
@@ -364,7 +369,8 @@
     assert_eq!(cluster.leader, 2, "{:?}", cluster.handovers);
 }
 
-/// After a pause a controller still holds the rows that arrived before. They have expired by its own clock.
+/// After a pause, a controller still holds the rows that arrived before. By then they have expired by its own
+/// clock, and must not cause a handover.
 #[test]
 fn resumed_leader_ignores_expired_rows_and_stays() {
     let mut cluster = connected_cluster();
@@ -383,6 +389,7 @@
     assert_eq!(cluster.handovers, vec![]);
 }
 
+/// A badly connected follower that won an election would hand over again.
 #[test]
 fn campaign_is_delayed_only_for_a_much_better_connected_controller() {
     let mut cluster = connected_cluster();
@@ -402,7 +409,7 @@
 }
 
 #[test]
-fn much_better_means_a_usable_store_with_workers_or_more_than_twice_the_workers() {
+fn connectivity_is_much_better_with_the_only_usable_store_or_more_than_twice_the_workers() {
     let connected = |store, workers| Connectivity {
         store,
         store_proven: store,
--- a/crates/links/src/health.rs
+++ b/crates/links/src/health.rs
@@ -1,21 +1,21 @@
-//! Health of a worker from the viewpoint of one controller, with the lost direction and the time of the
+//! Health of an agent from the viewpoint of one controller, with the lost direction and the time of the
 //! evidence. It is informational only: no machine is declared failed because of it.
 
 use std::time::{Duration, Instant};
 
 use serde::Serialize;
 
-/// Number of commands without a response since the newest heartbeat at which the direction to the worker
+/// Number of commands without a response since the newest heartbeat at which the direction to the agent
 /// counts as lost.
 const UNANSWERED_COMMANDS_LOST: u32 = 2;
 
-/// Health of a worker.
+/// Health of an agent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HealthState {
-    /// Heartbeats arrive and confirm that responses reach the worker.
+    /// Heartbeats arrive and confirm that responses reach the agent.
     Healthy,
-    /// A heartbeat is overdue, the term or a token is not acknowledged, or a command was not answered.
+    /// A heartbeat is overdue, the term or a token is not acknowledged, or a command has no response.
     Suspect,
     /// At least one direction is lost.
     Unreachable,
@@ -23,24 +23,24 @@
     Unknown,
 }
 
-/// The lost direction of an unreachable worker.
+/// The lost direction of an unreachable agent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LostDirection {
     /// Heartbeats do not arrive; nothing shows that responses and commands are lost.
     FromWorker,
-    /// Heartbeats arrive, responses or commands do not reach the worker.
+    /// Heartbeats arrive, responses or commands do not reach the agent.
     ToWorker,
     /// Neither direction works.
     Both,
 }
 
-/// Evidence about one worker.
+/// Evidence about one agent.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct WorkerEvidence {
     /// When the newest heartbeat arrived; `None` before the first one.
     pub last_heartbeat_at: Option<Instant>,
-    /// Whether the worker has acknowledged this controller's term and no acknowledgement is pending.
+    /// Whether the agent has acknowledged this controller's term and no acknowledgement is pending.
     pub is_confirmed: bool,
     /// When the pending acknowledgement was first required; `None` if none is pending.
     pub unacknowledged_since: Option<Instant>,
@@ -51,38 +51,38 @@
 /// Thresholds of the health states.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HealthLimits {
-    /// Time without a heartbeat after which a worker is suspect.
+    /// Time without a heartbeat after which an agent is suspect.
     pub suspect_after: Duration,
     /// Time without a heartbeat, or without a required acknowledgement, after which that direction counts as
     /// lost.
     pub lost_after: Duration,
 }
 
-/// Health of a worker at one moment.
+/// Health of an agent at one moment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WorkerHealth {
     /// State at the moment of the evaluation.
     pub state: HealthState,
-    /// The lost direction if the worker is unreachable, `None` otherwise.
+    /// The lost direction if the agent is unreachable, `None` otherwise.
     pub lost_direction: Option<LostDirection>,
     /// When the newest heartbeat arrived, also if the state is `Unknown`.
     pub evidence_at: Option<Instant>,
 }
 
-/// Evaluates the health of workers at one moment.
+/// Evaluates the health of agents at one moment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HealthEvaluator {
-    /// Thresholds that apply to all workers.
+    /// Thresholds that apply to all agents.
     pub limits: HealthLimits,
-    /// Whether heartbeats of enough workers arrive. A controller without them cannot distinguish failed
-    /// workers from a failed connection of its own, and reports `Unknown` instead of a stale state.
+    /// Whether heartbeats of enough agents arrive. A controller without them cannot distinguish failed agents
+    /// from a failed connection of its own, and evaluates them as `Unknown` instead of by outdated evidence.
     pub receives_heartbeats: bool,
     /// The moment of the evaluation.
     pub now: Instant,
 }
 
 impl HealthEvaluator {
-    /// Evaluates one worker. Without any heartbeat of the worker its health is `Unknown`.
+    /// Evaluates one agent. Without any heartbeat of the agent its health is `Unknown`.
     pub fn evaluate(&self, evidence: &WorkerEvidence) -> WorkerHealth {
         let (state, lost_direction) = match evidence.last_heartbeat_at {
             Some(last_heartbeat_at) if self.receives_heartbeats => {
--- a/crates/links/src/health/tests.rs
+++ b/crates/links/src/health/tests.rs
@@ -16,6 +16,7 @@
     evaluator.evaluate(&evidence)
 }
 
+/// If only the commands to an agent are lost, its heartbeats still arrive and must not hide the loss.
 #[test]
 fn each_direction_is_evaluated_by_its_own_evidence_only() {
     let start = Instant::now();
@@ -42,7 +43,6 @@
         ..evidence
     };
     let unreachable = HealthState::Unreachable;
-    // If commands are lost, heartbeats still arrive. They are no evidence that commands do.
     let cases = [
         (healthy, HealthState::Healthy, None),
         (overdue(6), HealthState::Suspect, None),
@@ -78,7 +78,7 @@
     }
 }
 
-/// A controller whose own connection failed must report its workers neither as healthy nor as lost.
+/// A controller whose own connection failed must evaluate its agents neither as healthy nor as unreachable.
 #[test]
 fn health_is_unknown_with_the_time_of_the_evidence_if_hardly_any_heartbeats_arrive() {
     let start = Instant::now();
--- a/crates/links/src/lib.rs
+++ b/crates/links/src/lib.rs
@@ -1,9 +1,9 @@
-//! Directed links between the controllers of a cluster, the key-value store and the workers. A worker is
-//! the agent on a rented machine.
+//! Directed links between the controllers of a cluster, the key-value store and the agents. An agent is the
+//! program on a rented machine that sends heartbeats and runs tasks; its identifiers contain `worker`.
 //!
 //! The crate performs no I/O: the caller passes observations and the current time, and the crate returns
 //! states and decisions. No decision here permits anything. Only a lease together with conditional
-//! transactions permits a task to start; this crate can refuse a placement, report a worker's health, or
+//! transactions permits a task to start; this crate can refuse a placement, evaluate an agent's health, or
 //! recommend a handover of leadership.
 //!
 //! - [`detector`] and [`damping`] evaluate one link; [`link`] combines both.
@@ -11,7 +11,7 @@
 //! - [`row`] is the message in which a controller publishes its links, [`matrix`] holds the rows of the
 //!   other controllers.
 //! - [`gate`], [`health`] and [`handover`] derive decisions from the links.
-//! - [`reachability`] separates workers that acknowledge responses from those that only send heartbeats.
+//! - [`reachability`] separates agents that acknowledge responses from those that only send heartbeats.
 //! - [`contact`] and [`misdirected`] detect that a controller is isolated. Together with [`reachability`]
 //!   they are in use with or without the rest of the crate.
 
--- a/crates/links/src/link.rs
+++ b/crates/links/src/link.rs
@@ -25,7 +25,7 @@
     Up,
     /// There is evidence against the link, but not enough to declare it down.
     Suspect,
-    /// Several requests in succession failed, or regular messages do not arrive.
+    /// At least two requests failed without a later success, or regular messages do not arrive.
     Down,
 }
 
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Records that a message sent at `sent_at` arrived, or that a request sent then was answered.
+    /// Records that a message sent at `sent_at` arrived, or that a request sent then received a response.
     pub fn record_success(&mut self, sent_at: Instant, now: Instant) -> Option<Transition> {
         self.last_success_sent_at = self.last_success_sent_at.max(Some(sent_at));
         if let Some(detector) = &mut self.detector {
@@ -97,8 +97,8 @@
         self.evaluate(now)
     }
 
-    /// Records that a request sent at `sent_at` was not answered. The failure is ignored if a request sent
-    /// later succeeded.
+    /// Records that a request sent at `sent_at` failed. The failure is ignored if a request sent later has
+    /// succeeded.
     pub fn record_failure(&mut self, sent_at: Instant, now: Instant) -> Option<Transition> {
         if self
             .last_success_sent_at
--- a/crates/links/src/link/tests.rs
+++ b/crates/links/src/link/tests.rs
@@ -39,6 +39,7 @@
     }
 }
 
+/// A response that arrives late does not show that the link still works after the failures.
 #[test]
 fn link_goes_down_after_two_failures_and_up_after_a_success_sent_later() {
     let mut observed = ObservedLink::new(None);
@@ -52,7 +53,8 @@
     assert!(observed.link.is_usable());
 }
 
-/// If some of several concurrent requests are lost, the answered ones show that the link works.
+/// If only some of several concurrent requests are lost, the responses to the others show that the link
+/// works.
 #[test]
 fn failure_is_ignored_if_a_request_sent_later_succeeded() {
     let mut observed = ObservedLink::new(None);
@@ -68,6 +70,7 @@
     assert!(!observed.link.is_suppressed());
 }
 
+/// Requests on demand may be hours apart, so their absence must not take a link down.
 #[test]
 fn absence_of_messages_takes_a_link_down_only_if_its_messages_are_regular() {
     let mut regular = ObservedLink::new(Some(Duration::from_secs(1)));
@@ -96,13 +99,13 @@
     assert_eq!(sequence, expected, "{states:?}");
 }
 
-/// The link alternates between 3 s up and 3 s down.
+/// The link alternates between 3 s up and 3 s down. Without damping it would be used again in each period.
 #[test]
 fn flapping_link_counts_as_down_until_it_has_been_stable() {
     let mut observed = ObservedLink::new(None);
     let mut up_and_suppressed = 0;
-    for round in 0..10 {
-        let base_ms = round * 6_000;
+    for period in 0..10 {
+        let base_ms = period * 6_000;
         assert_eq!(
             observed.record_success(base_ms, base_ms + 10),
             LinkState::Up
@@ -116,7 +119,7 @@
     }
     assert!(
         up_and_suppressed >= 6,
-        "suppressed in {up_and_suppressed} of 10 rounds"
+        "suppressed in {up_and_suppressed} of 10 periods"
     );
     assert_eq!(observed.record_success(60_000, 60_010), LinkState::Up);
     assert!(observed.link.counts_as_down() && !observed.link.is_usable());
@@ -135,8 +138,8 @@
         ..DETECTION_PARAMS
     };
     let mut link = Link::new(params, &timing(), None, start);
-    for round in 0..20 {
-        let at = |ms: u64| start + Duration::from_millis(round * 2_000 + ms);
+    for period in 0..20 {
+        let at = |ms: u64| start + Duration::from_millis(period * 2_000 + ms);
         link.record_success(at(0), at(1));
         assert!(link.is_usable());
         link.record_failure(at(1_000), at(1_100));
@@ -162,7 +165,8 @@
     }
 }
 
-/// A controller receives no messages while its process is paused.
+/// A controller receives no messages while its process is paused, so their absence says nothing about the
+/// link.
 #[test]
 fn pause_of_the_process_is_no_evidence_against_a_link() {
     let mut observed = ObservedLink::new(Some(Duration::from_secs(1)));
--- a/crates/links/src/matrix.rs
+++ b/crates/links/src/matrix.rs
@@ -122,7 +122,7 @@
         self.rows.keys().map(String::as_str)
     }
 
-    /// Workers whose heartbeats `member` would receive as the leader: those that send them to it, and those
+    /// Agents whose heartbeats `member` would receive as the leader: those that send them to it, and those
     /// that send them to a controller which reaches it, because followers forward heartbeats. `own_row` is
     /// the row of this controller, which the matrix does not contain.
     pub fn workers_served_by(&self, member: &str, own_row: &Row, now: Instant) -> WorkerSet {
--- a/crates/links/src/matrix/tests.rs
+++ b/crates/links/src/matrix/tests.rs
@@ -44,6 +44,7 @@
     }
 }
 
+/// The network may duplicate or reorder rows, and a former process may still have rows in flight.
 #[test]
 fn duplicate_reordered_or_unknown_rows_are_rejected_and_change_nothing() {
     let (mut matrix, now) = (matrix(), Instant::now());
@@ -106,6 +107,7 @@
     assert_eq!(duplicate, Err(RowRejection::NotNewer));
 }
 
+/// A sender whose rows are all rejected would otherwise cause a log line for each row.
 #[test]
 fn rejection_is_logged_once_per_reason_until_a_row_of_the_sender_is_accepted() {
     let (mut matrix, now) = (matrix(), Instant::now());
@@ -124,6 +126,8 @@
         .all(|n| !matrix.should_log_rejection(&format!("b{n}"), RowRejection::UnknownMember)));
 }
 
+/// Followers forward heartbeats, so the agents of a controller count for a leader only if the controller
+/// reaches it.
 #[test]
 fn leader_receives_the_heartbeats_of_every_controller_that_reaches_it() {
     let (mut matrix, now) = (matrix(), Instant::now());
--- a/crates/links/src/misdirected.rs
+++ b/crates/links/src/misdirected.rs
@@ -1,17 +1,17 @@
-//! Misdirected heartbeats: heartbeats that arrive at a controller which cannot answer them. They are
-//! evidence that workers do not reach the leader.
+//! Misdirected heartbeats: those to which a controller responds with a status other than 200. They are
+//! evidence that agents do not reach the leader.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
 /// Increase of a controller's count, between two state summaries or records, that is evidence. Smaller
-/// increases are normal, because a worker that has just started sends one heartbeat to any controller.
+/// increases are normal, because an agent that has just started sends one heartbeat to any controller.
 pub const SIGNIFICANT_MISDIRECTED_INCREASE: u64 = 5;
-/// How long an increase counts as evidence. Workers that receive no response of the leader send the next
+/// How long an increase counts as evidence. Agents that receive no response from the leader send the next
 /// misdirected heartbeat at most a second later.
 const MISDIRECTED_TTL: Duration = Duration::from_secs(6);
 
-/// Counts of misdirected heartbeats at the other controllers while this one is the leader. The workers that
+/// Counts of misdirected heartbeats at the other controllers while this one is the leader. The agents that
 /// sent them are running and do not reach this controller.
 #[derive(Debug, Default)]
 pub struct MisdirectedHeartbeats {
@@ -20,8 +20,8 @@
 }
 
 impl MisdirectedHeartbeats {
-    /// Records how many misdirected heartbeats a controller has counted since it started. The first count
-    /// of a controller is only the base of comparison.
+    /// Records how many misdirected heartbeats a controller has counted since it started. The first count of
+    /// a controller is only the base of comparison.
     pub fn record_count(&mut self, member: &str, count: u64, now: Instant) {
         let previous = self.counts.insert(member.to_owned(), count);
         // A lower count comes from a new incarnation of the controller.
--- a/crates/links/src/reachability.rs
+++ b/crates/links/src/reachability.rs
@@ -1,19 +1,19 @@
-//! Whether responses and commands of this controller reach a worker. Heartbeats do not show it, because
-//! responses may be lost while heartbeats arrive. A fencing token that the worker has to acknowledge does.
+//! Whether responses and commands of this controller reach an agent. Heartbeats do not show it, because
+//! responses may be lost while heartbeats arrive. A fencing token that the agent has to acknowledge does.
 
 use std::time::{Duration, Instant};
 
-/// Fraction of the known workers. If fewer send heartbeats, this controller suspects its own connection.
+/// Fraction of the known agents. If fewer send heartbeats, this controller suspects its own connection.
 const REPORTING_FRACTION_MIN: f64 = 0.25;
 
-/// A token that the worker has to acknowledge.
+/// A token that the agent has to acknowledge.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct PendingAcknowledgement {
     token: u64,
     required_at: Instant,
 }
 
-/// The pending acknowledgement of one worker, if any.
+/// The pending acknowledgement of one agent, if any.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Reachability {
     pending: Option<PendingAcknowledgement>,
@@ -25,8 +25,8 @@
         self.pending.is_none()
     }
 
-    /// Requires the worker to acknowledge `token`, because no heartbeat of it shows the effect of a response
-    /// or command. If an acknowledgement is already pending, it stays unchanged.
+    /// Requires the agent to acknowledge `token`, because none of its heartbeats shows the effect of a
+    /// response or command. If an acknowledgement is already pending, it stays unchanged.
     pub fn require_acknowledgement(&mut self, token: u64, now: Instant) {
         self.pending.get_or_insert(PendingAcknowledgement {
             token,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Excludes a period in which no acknowledgement could arrive from the time of a pending acknowledgement.
+    /// Excludes a period in which no acknowledgement could arrive from the duration of a pending one.
     pub fn extend_wait(&mut self, missed: Duration) {
         if let Some(pending) = &mut self.pending {
             pending.required_at += missed;
@@ -61,8 +61,8 @@
     }
 }
 
-/// Whether so few of the known workers send heartbeats that a loss of this controller's own connection is
-/// the more likely cause. A simultaneous loss of nearly all workers is rarer.
+/// Whether so few of the known agents send heartbeats that a loss of this controller's own connection is the
+/// more likely cause. A simultaneous loss of nearly all agents is rarer.
 pub fn few_workers_reporting(known: usize, reporting: usize) -> bool {
     known > 0 && (reporting as f64) < known as f64 * REPORTING_FRACTION_MIN
 }
--- a/crates/links/src/reachability/tests.rs
+++ b/crates/links/src/reachability/tests.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn fewer_reporting_workers_than_a_quarter_of_the_known_ones_are_few() {
+fn few_workers_report_if_less_than_a_quarter_of_the_known_ones_send_heartbeats() {
     assert!(!few_workers_reporting(0, 0), "no worker is known");
     assert!(few_workers_reporting(4, 0) && !few_workers_reporting(4, 1));
     assert!(few_workers_reporting(4_000, 999) && !few_workers_reporting(4_000, 1_000));
--- a/crates/links/src/row.rs
+++ b/crates/links/src/row.rs
@@ -11,8 +11,8 @@
 
 /// Version of [`RowMessage`]. Rows of any other version are rejected.
 pub const ROW_VERSION: u16 = 1;
-/// Maximum size of an accepted row in bytes. It is enough for two sets of 100,000 workers with gaps, and for
-/// a hundred controllers.
+/// Maximum size of an accepted row in bytes. It is enough for two sets of 100,000 agents with gaps, and for a
+/// hundred controllers.
 pub const ROW_BYTES_MAX: usize = 64 * 1024;
 
 /// A link from the viewpoint of the controller that observes it.
@@ -22,7 +22,8 @@
     pub state: LinkState,
     /// Whether the link is suppressed because of flapping.
     pub suppressed: bool,
-    /// Time since the newest success was sent, when the row is created; `None` without a success.
+    /// Age of the newest success when the row is created, from the sending of its message or request; `None`
+    /// without a success.
     pub evidence_age_ms: Option<u64>,
 }
 
@@ -77,9 +78,9 @@
     pub store_write: LinkStatus,
     /// Links to all other controllers.
     pub peers: Vec<PeerLinks>,
-    /// Workers whose heartbeats arrive at the sender itself, encoded by [`WorkerSet::to_bytes`].
+    /// Agents whose heartbeats arrive at the sender itself, encoded by [`WorkerSet::to_bytes`].
     pub reporting_workers: Vec<u8>,
-    /// The subset of these workers that confirm that responses of the sender arrive.
+    /// The subset of these agents that confirm that responses of the sender arrive.
     pub reachable_workers: Vec<u8>,
 }
 
@@ -97,7 +98,7 @@
     /// The body is larger than [`ROW_BYTES_MAX`], or truncated.
     #[error("the row is too large or truncated")]
     InvalidBody,
-    /// The body or one of its sets of workers cannot be decoded.
+    /// The body or one of its sets of agents cannot be decoded.
     #[error("the row is malformed")]
     Malformed,
     /// The version differs from [`ROW_VERSION`].
@@ -120,16 +121,16 @@
 /// A validated row.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Row {
-    /// The message. Its encoded sets of workers are empty, because the decoded ones are in this struct.
+    /// The message. Its encoded sets of agents are empty, because the decoded ones are in this struct.
     pub message: RowMessage,
-    /// Workers whose heartbeats arrive at the sender itself.
+    /// Agents whose heartbeats arrive at the sender itself.
     pub reporting_workers: WorkerSet,
-    /// The subset of these workers that confirm that responses of the sender arrive.
+    /// The subset of these agents that confirm that responses of the sender arrive.
     pub reachable_workers: WorkerSet,
 }
 
 impl Row {
-    /// Checks the version and decodes the sets of workers. Whether the row is new enough is left to
+    /// Checks the version and decodes the sets of agents. Whether the row is new enough is left to
     /// [`ConnectivityMatrix::accept_row`](crate::matrix::ConnectivityMatrix::accept_row).
     pub fn from_message(mut message: RowMessage) -> Result<Self, RowRejection> {
         if message.version != ROW_VERSION {
--- a/crates/links/src/table.rs
+++ b/crates/links/src/table.rs
@@ -49,7 +49,7 @@
 
 impl LinkTable {
     /// Creates the links of `member` to the key-value store and to the controllers `others`, without
-    /// evidence. Links to workers are added when their heartbeats arrive.
+    /// evidence. Links to agents are added when their heartbeats arrive.
     pub fn new(
         member: &str,
         others: impl Iterator<Item = String>,
@@ -98,8 +98,8 @@
         link_change(name, transition)
     }
 
-    /// Records whether a request to another controller that was sent at `sent_at` was answered. Requests to
-    /// unknown controllers are ignored.
+    /// Records whether a request that was sent to another controller at `sent_at` received a response.
+    /// Requests to unknown controllers are ignored.
     pub fn record_peer_request(
         &mut self,
         member: &str,
@@ -123,19 +123,19 @@
         link_change(LinkName::PeerInbound(member.to_owned()), transition)
     }
 
-    /// Records the arrival of a worker's heartbeat with this epoch and sequence number. Copies and older
+    /// Records the arrival of an agent's heartbeat with this epoch and sequence number. Copies and older
     /// heartbeats are ignored.
     pub fn record_worker_heartbeat(&mut self, worker: u32, heartbeat: (u64, u64), now: Instant) {
         self.workers.record_heartbeat(worker, heartbeat, now);
     }
 
-    /// Records that the newest heartbeat of the worker was answered with status 200.
+    /// Records that this controller responded with status 200 to the newest heartbeat of the agent.
     pub fn record_worker_response(&mut self, worker: u32) {
         self.workers.record_response(worker);
     }
 
     /// Re-evaluates all links and the gate, because their states also change without new evidence. Removes
-    /// workers that have sent no heartbeat for a long time.
+    /// agents that have sent no heartbeat for a long time.
     pub fn evaluate(&mut self, now: Instant) -> Vec<LinkChange> {
         let mut changes = Vec::new();
         let store = [
@@ -163,7 +163,7 @@
         changes
     }
 
-    /// Discards the evidence against peers and workers after a pause of this process, during which no message
+    /// Discards the evidence against peers and agents after a pause of this process, during which no message
     /// could be received.
     pub fn resume_after_pause(&mut self, now: Instant) {
         for pair in self.peers.values_mut() {
@@ -195,7 +195,7 @@
         suppressed.map(|(name, _)| name).collect()
     }
 
-    /// All links with their names, except those of workers.
+    /// All links with their names, except those of agents.
     pub fn named_links(&self) -> impl Iterator<Item = (LinkName, &Link)> {
         let store = [
             (LinkName::StoreRead, &self.store_read),
@@ -242,7 +242,7 @@
 }
 
 impl Row {
-    /// The message for sending, with the encoded sets of workers.
+    /// The message for sending, with the encoded sets of agents.
     pub fn to_message(&self) -> RowMessage {
         RowMessage {
             reporting_workers: self.reporting_workers.to_bytes(),
--- a/crates/links/src/table/tests.rs
+++ b/crates/links/src/table/tests.rs
@@ -40,6 +40,7 @@
     assert_eq!(table.gate().refusal, None);
 }
 
+/// If requests fail in one direction only, the row must show which direction works.
 #[test]
 fn failed_requests_to_a_peer_do_not_affect_its_inbound_link() {
     let start = Instant::now();
@@ -58,20 +59,22 @@
     assert!(table.record_peer_row("knot-9", start).is_none());
 }
 
+/// An agent that receives no response sends its next heartbeat to another controller, which leaves a gap in
+/// the sequence numbers here.
 #[test]
 fn worker_is_reporting_if_heartbeats_arrive_and_reachable_if_answered_ones_are_consecutive() {
     let start = Instant::now();
     let mut table = table(start);
     let at = |s: u64| start + Duration::from_secs(s);
-    // Worker 1 sends all heartbeats here; worker 2 sends two to other controllers after each one here; worker
-    // 3 is never answered; worker 4 sends copies of one heartbeat.
-    for (round, second) in (0..5).map(|n| (n, 3 * n)) {
+    // Agent 1 sends all heartbeats here; agent 2 sends two to other controllers after each one here; agent 3
+    // never receives a response; agent 4 sends copies of one heartbeat.
+    for (index, second) in (0..5).map(|n| (n, 3 * n)) {
         let now = at(second);
-        table.record_worker_heartbeat(1, (1, 10 + round), now);
+        table.record_worker_heartbeat(1, (1, 10 + index), now);
         table.record_worker_response(1);
-        table.record_worker_heartbeat(2, (1, 10 + 3 * round), now);
+        table.record_worker_heartbeat(2, (1, 10 + 3 * index), now);
         table.record_worker_response(2);
-        table.record_worker_heartbeat(3, (1, 10 + round), now);
+        table.record_worker_heartbeat(3, (1, 10 + index), now);
         table.record_worker_heartbeat(4, (1, 10), now);
         table.record_worker_response(4);
     }
@@ -84,12 +87,14 @@
         .filter(|n| row_now.reachable_workers.contains(*n))
         .collect();
     assert_eq!((reporting, reachable), (vec![1, 2, 3], vec![1]));
-    // Without further heartbeats the workers are left out of the row, and later removed.
+    // Without further heartbeats the agents are left out of the row, and later removed.
     assert!(row(&table, at(40)).reporting_workers.is_empty());
     table.evaluate(at(120));
     assert!(table.workers.is_empty());
 }
 
+/// A controller receives no messages while its process is paused. It must not publish a row that shows all
+/// links as down afterwards.
 #[test]
 fn pause_of_the_process_is_no_evidence_against_peers_and_workers() {
     let start = Instant::now();
--- a/crates/links/src/table/workers.rs
+++ b/crates/links/src/table/workers.rs
@@ -1,5 +1,4 @@
-//! Links between the workers and this controller: whose heartbeats arrive, and which workers confirm
-//! responses.
+//! Links between the agents and this controller: whose heartbeats arrive, and which agents confirm responses.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -7,23 +6,23 @@
 use crate::detector::PhiAccrualDetector;
 use crate::workers::WorkerSet;
 
-/// Heartbeat intervals without a heartbeat after which a worker is removed, because it sends its heartbeats
+/// Heartbeat intervals without a heartbeat after which an agent is removed, because it sends its heartbeats
 /// to another controller.
 const REMOVAL_INTERVALS: u32 = 20;
 
-/// The links of one worker.
+/// The links of one agent.
 #[derive(Debug)]
 struct WorkerLink {
     detector: PhiAccrualDetector,
     /// Epoch and sequence number of the newest heartbeat.
     newest_heartbeat: (u64, u64),
-    /// Whether the newest heartbeat was answered with status 200.
+    /// Whether this controller responded with status 200 to the newest heartbeat.
     newest_answered: bool,
     /// Whether the newest heartbeat confirms that the response to the one before it arrived.
     response_confirmed: bool,
 }
 
-/// The workers that send heartbeats to this controller.
+/// The agents that send heartbeats to this controller.
 #[derive(Debug)]
 pub(super) struct WorkerLinks {
     heartbeat_interval: Duration,
@@ -51,9 +50,9 @@
         if heartbeat <= link.newest_heartbeat {
             return;
         }
-        // A worker without a response sends the next heartbeat to another controller, unless it has the
-        // address of this one only. So only the direct successor of an answered heartbeat confirms that the
-        // response arrived.
+        // An agent without a response sends the next heartbeat to another controller, unless it has the
+        // address of this one only. So only the direct successor of a heartbeat confirms that its response
+        // arrived.
         let is_successor =
             heartbeat.0 == link.newest_heartbeat.0 && heartbeat.1 == link.newest_heartbeat.1 + 1;
         link.response_confirmed = is_successor && link.newest_answered;
@@ -62,14 +61,14 @@
         link.detector.record_arrival(now);
     }
 
-    /// Records that the newest heartbeat of the worker was answered with status 200.
+    /// Records that this controller responded with status 200 to the newest heartbeat of the agent.
     pub(super) fn record_response(&mut self, worker: u32) {
         if let Some(link) = self.links.get_mut(&worker) {
             link.newest_answered = true;
         }
     }
 
-    /// Removes the workers without a heartbeat for [`REMOVAL_INTERVALS`].
+    /// Removes the agents without a heartbeat for [`REMOVAL_INTERVALS`].
     pub(super) fn remove_expired(&mut self, now: Instant) {
         let expiry = self.heartbeat_interval * REMOVAL_INTERVALS;
         self.links.retain(|_, link| {
@@ -78,7 +77,7 @@
         });
     }
 
-    /// Makes the next heartbeat of each worker due one interval after a pause of this process, during which
+    /// Makes the next heartbeat of each agent due one interval after a pause of this process, during which
     /// none could be received.
     pub(super) fn resume_after_pause(&mut self, now: Instant) {
         for link in self.links.values_mut() {
@@ -86,7 +85,7 @@
         }
     }
 
-    /// The sets of workers for a row. Workers whose phi is at least `phi_down_threshold` are left out.
+    /// The sets of agents for a row. Agents whose phi is at least `phi_down_threshold` are left out.
     pub(super) fn row_workers(&self, phi_down_threshold: f64, now: Instant) -> RowWorkers {
         let mut workers = RowWorkers::default();
         for (number, link) in &self.links {
@@ -106,11 +105,11 @@
     }
 }
 
-/// The sets of workers in a row of the connectivity matrix.
+/// The sets of agents in a row of the connectivity matrix.
 #[derive(Debug, Default)]
 pub(super) struct RowWorkers {
-    /// Workers whose heartbeats arrive.
+    /// Agents whose heartbeats arrive.
     pub(super) reporting: WorkerSet,
-    /// The subset of these workers that confirm responses.
+    /// The subset of these agents that confirm responses.
     pub(super) reachable: WorkerSet,
 }
--- a/crates/links/src/timing.rs
+++ b/crates/links/src/timing.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-/// Half-life of a damping penalty, in leases of the leader. Isolated outages are further apart than this,
-/// the losses of a link that flaps every few seconds are not.
+/// Half-life of a damping penalty, in leases of the leader. Isolated outages are further apart than this, the
+/// losses of a link that flaps every few seconds are not.
 const HALF_LIFE_LEASES: u32 = 4;
 /// Upper bound of the half-life, which applies to long leases.
 const HALF_LIFE_MAX: Duration = Duration::from_secs(15);
@@ -23,9 +23,9 @@
     pub row_interval: Duration,
     /// Duration of the leader's lease.
     pub leader_lease: Duration,
-    /// Time between two heartbeats of a worker.
+    /// Time between two heartbeats of an agent.
     pub heartbeat_interval: Duration,
-    /// Upper bound of the clock skew between two hosts.
+    /// Upper bound of the clock skew between two controllers.
     pub clock_skew_max: Duration,
 }
 
--- a/crates/links/src/workers.rs
+++ b/crates/links/src/workers.rs
@@ -1,28 +1,27 @@
-//! Sets of workers as compressed bitmaps of worker numbers.
+//! Sets of agents as compressed bitmaps of the numbers that [`worker_number`] derives from their names.
 
 use roaring::RoaringBitmap;
 use thiserror::Error;
 
-/// Bit set in the number of a worker that is derived from a hash of its name, because the name does not end
-/// in a number below this bit.
+/// Bit that is set in the number of an agent if the number is a hash of the name, because the name does not
+/// end in a number below this bit.
 const HASHED_NAME_BIT: u32 = 1 << 31;
 /// Offset basis and prime of the 32-bit FNV-1a hash.
 const FNV_OFFSET: u32 = 0x811c_9dc5;
 const FNV_PRIME: u32 = 0x0100_0193;
 
-/// A set of workers. Machines are numbered in the order of their creation, such as `m-000231`, so their
+/// A set of agents. Machines are numbered in the order of their creation, such as `m-000231`, so their
 /// numbers are dense and a set of thousands takes a few hundred bytes.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct WorkerSet(RoaringBitmap);
 
-/// The bytes do not encode a set of workers.
+/// The bytes do not encode a set of agents.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("malformed encoding of a worker set")]
 pub struct MalformedWorkerSet;
 
-/// The number of a worker: the number at the end of its name, or a hash of the name if there is none or it
-/// is too large. Two workers share a number only if their names end in the same number or their hashes
-/// collide.
+/// The number of an agent: the number at the end of its name, or a hash of the name if there is none or it is
+/// too large. Two agents share a number only if their names end in the same number or their hashes collide.
 pub fn worker_number(name: &str) -> u32 {
     let digits = name.len() - name.trim_end_matches(|c: char| c.is_ascii_digit()).len();
     let number = name[name.len() - digits..].parse::<u32>().ok();
@@ -38,32 +37,32 @@
 }
 
 impl WorkerSet {
-    /// The set of the workers with these names; see [`worker_number`] for names that share a number.
+    /// The set of the agents with these names; see [`worker_number`] for names that share a number.
     pub fn from_names<'a>(names: impl Iterator<Item = &'a str>) -> Self {
         Self(names.map(worker_number).collect())
     }
 
-    /// Adds the worker with this number.
+    /// Adds the agent with this number.
     pub fn insert(&mut self, number: u32) {
         self.0.insert(number);
     }
 
-    /// Whether the set contains the worker with this number.
+    /// Whether the set contains the agent with this number.
     pub fn contains(&self, number: u32) -> bool {
         self.0.contains(number)
     }
 
-    /// Number of distinct worker numbers.
+    /// Number of distinct agent numbers.
     pub fn len(&self) -> u64 {
         self.0.len()
     }
 
-    /// Whether the set contains no worker.
+    /// Whether the set contains no agent.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Adds all workers of `other`.
+    /// Adds all agents of `other`.
     pub fn union_with(&mut self, other: &WorkerSet) {
         self.0 |= &other.0;
     }
--- a/crates/links/src/workers/tests.rs
+++ b/crates/links/src/workers/tests.rs
@@ -22,7 +22,7 @@
     let bytes = set.to_bytes();
     assert!(bytes.len() < 100, "one run takes {} bytes", bytes.len());
     assert_eq!(WorkerSet::from_bytes(&bytes).unwrap(), set);
-    // Every other worker is missing, which prevents runs.
+    // Every other agent is missing, which prevents runs.
     let set = WorkerSet::from_names(names.iter().step_by(2).map(String::as_str));
     let bytes = set.to_bytes();
     assert!(bytes.len() < 9_000, "{} bytes", bytes.len());
--- a/crates/testbed/src/checker.rs
+++ b/crates/testbed/src/checker.rs
@@ -1,5 +1,6 @@
-//! Checks the invariants of a history: no task runs on two machines, no task starts without a valid leader
-//! lease, while the leader cannot write or after a confirmed cancellation, and no job is without a status response.
+//! Checks the invariants of a history. No task runs on two machines. No task starts without a valid leader
+//! lease, while the store refuses writes, or past the deadline of a confirmed cancellation. Each accepted job
+//! has consistent status responses in time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -12,7 +13,8 @@
 /// Time limits of the invariants.
 #[derive(Debug, Clone, Copy)]
 pub struct InvariantLimits {
-    /// Age above which a worker discards a heartbeat response. Until then a start by a former leader may arrive.
+    /// Age above which an agent discards a heartbeat response. Until then a start by a former leader may
+    /// arrive.
     pub response_timeout: Duration,
     /// Time after a confirmed cancellation by which the job's tasks have ended, and after which none starts.
     pub cancellation_deadline: Duration,
@@ -37,8 +39,8 @@
     /// Starts between a confirmed cancellation and its deadline. They are counted but are no violation, since
     /// the command may have been in flight.
     pub starts_before_cancellation_deadline: Vec<String>,
-    /// Accepted jobs that were unknown, left a final status, were cancelled without a confirmed cancellation, or
-    /// had no status response in time.
+    /// Accepted jobs that were unknown, left a final status, were cancelled without a confirmed cancellation,
+    /// or had no status response in time.
     pub inconsistent_statuses: Vec<String>,
 }
 
--- a/crates/testbed/src/checker/tests.rs
+++ b/crates/testbed/src/checker/tests.rs
@@ -1,4 +1,4 @@
-//! Correct histories have no violations, and each faulty one has a violation of the expected kind.
+//! Tests of [`super`].
 
 use super::*;
 
@@ -100,6 +100,8 @@
     assert!(!found.is_empty());
 }
 
+/// A start within the response timeout after the end of the leadership is allowed, because its command may
+/// have been in flight.
 #[test]
 fn start_without_a_valid_lease_is_a_violation() {
     let found = violations(vec![
@@ -114,6 +116,7 @@
     assert!(!found.is_empty());
 }
 
+/// A start before the deadline is counted, but is no violation, because its command may have been in flight.
 #[test]
 fn task_running_or_starting_past_the_cancellation_deadline_is_a_violation() {
     let common_events = [
@@ -170,6 +173,8 @@
     assert!(unknown.is_empty(), "the job was never accepted");
 }
 
+/// A start within the detection time is allowed, because the leader may have sent its command before it
+/// detected that the store refuses writes.
 #[test]
 fn start_while_writes_are_refused_is_a_violation_after_the_detection_time() {
     let found = violations(vec![
--- a/crates/testbed/src/cloud.rs
+++ b/crates/testbed/src/cloud.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the cloud API, whose machines run [`crate::worker`]s.
+//! A stand-in for the cloud API, each of whose machines runs a [`Worker`].
 
 use std::collections::BTreeMap;
 use std::net::TcpListener;
@@ -12,21 +12,21 @@
 use crate::message::{decode, field, number, respond, text};
 use crate::worker::{self, Worker};
 
-/// Number of machines, counted from the first one rented, that listen for direct commands. Further ones receive
-/// commands in heartbeat responses only.
+/// Number of machines, counted from the first one rented, that listen for direct commands. Further ones
+/// receive commands in heartbeat responses only.
 const LISTENING_MACHINES: usize = 64;
 
-/// Timing of the workers that a [`Cloud`] starts.
+/// Timing of the agents that a [`Cloud`] starts.
 #[derive(Debug, Clone, Copy)]
 pub struct WorkerTimes {
     /// Pause between a heartbeat's response and the next heartbeat.
     pub heartbeat_interval: Duration,
-    /// Duration of the worker lease: a worker kills all its tasks if its last acknowledged heartbeat was sent
-    /// longer ago.
+    /// Duration of the worker lease: an agent terminates all its tasks if its last acknowledged heartbeat was
+    /// sent longer ago.
     pub lease_duration: Duration,
     /// Time from the start of a task to its successful end.
     pub task_duration: Duration,
-    /// Additional pause after a failed heartbeat, before the worker tries the next controller.
+    /// Additional pause after a failed heartbeat, before the agent tries the next controller.
     pub failover_delay: Duration,
 }
 
@@ -58,7 +58,7 @@
 }
 
 impl Cloud {
-    /// Creates a cloud of at most `capacity` machines whose workers record a history.
+    /// Creates a cloud of at most `capacity` machines whose agents record a history.
     pub fn with_history(history: History, times: WorkerTimes, capacity: usize) -> Self {
         Self {
             history,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Starts the server on the running actix system and returns its address. Workers of both zones send
+    /// Starts the server on the running actix system and returns its address. Agents of both zones send
     /// heartbeats to the addresses in `controllers`.
     pub fn start(&self, controllers: Vec<String>) -> String {
         let routes = ["north", "south"].map(|zone| (zone.to_owned(), controllers.clone()));
--- a/crates/testbed/src/deployment.rs
+++ b/crates/testbed/src/deployment.rs
@@ -1,4 +1,5 @@
-//! A deployment of several controller processes, with a proxy on every link, stand-ins and a client for users.
+//! A deployment of several controller processes, with a proxy on every link, stand-ins and a client for
+//! users.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -24,10 +25,10 @@
 /// Interval at which [`Deployment::inject`] checks whether the next fault is due.
 const SCHEDULE_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Timing of the controllers and workers of a deployment.
+/// Timing of the controllers and agents of a deployment.
 #[derive(Debug, Clone, Copy)]
 pub struct DeploymentTimes {
-    /// Timing of the workers. The controllers' settings contain its heartbeat interval and lease duration.
+    /// Timing of the agents. Its heartbeat interval and lease duration are also in the controllers' settings.
     pub workers: WorkerTimes,
     /// Setting `params.workers.cancel_s`: time in which all tasks of a cancelled job end.
     pub cancellation_deadline: Duration,
@@ -57,7 +58,7 @@
     pub name: &'a str,
     /// Features file of each controller, `None` for one without. The length is the number of controllers.
     pub features: Vec<Option<PathBuf>>,
-    /// Timing of the controllers and workers.
+    /// Timing of the controllers and agents.
     pub times: DeploymentTimes,
     /// Maximum number of rented machines at a time.
     pub machines: usize,
@@ -146,46 +147,42 @@
             times: plan.times,
             http: awc::Client::builder().timeout(CLIENT_TIMEOUT).finish(),
         };
-        for (number, features_file) in plan.features.into_iter().enumerate() {
-            let settings = deployment.settings_text(
-                number,
-                &public_addresses,
-                &peer_addresses,
-                &cloud_address,
-            );
-            let settings_file = plan.folder.join(format!("{}-{number}.toml", plan.name));
+        for (index, features_file) in plan.features.into_iter().enumerate() {
+            let settings =
+                deployment.settings_text(index, &public_addresses, &peer_addresses, &cloud_address);
+            let settings_file = plan.folder.join(format!("{}-{index}.toml", plan.name));
             std::fs::write(&settings_file, settings).unwrap();
             deployment.controllers.push(Controller {
                 settings_file,
                 features_file,
-                public_address: public_addresses[number].clone(),
-                peer_address: peer_addresses[number].clone(),
+                public_address: public_addresses[index].clone(),
+                peer_address: peer_addresses[index].clone(),
                 process: None,
             });
-            deployment.start_controller(number);
+            deployment.start_controller(index);
         }
         deployment
     }
 
     fn settings_text(
         &self,
-        number: usize,
+        index: usize,
         public_addresses: &[String],
         peer_addresses: &[String],
         cloud_address: &str,
     ) -> String {
-        let store_address = &self.proxies[&proxy_key(LinkId::Store(number))].address;
+        let store_address = &self.proxies[&proxy_key(LinkId::Store(index))].address;
         let peers: String = (0..public_addresses.len())
-            .filter(|other| *other != number)
+            .filter(|other| *other != index)
             .map(|other| {
-                let address = &self.proxies[&proxy_key(LinkId::Peer(number, other))].address;
+                let address = &self.proxies[&proxy_key(LinkId::Peer(index, other))].address;
                 format!("[[known]]\nmember = \"knot-{other}\"\npeer_addr = \"{address}\"\n\n")
             })
             .collect();
         let workers = &self.times.workers;
         format!(
             r#"
-member = "knot-{number}"
+member = "knot-{index}"
 area = "north"
 public_addr = "{public_addr}"
 peer_bind = "{peer_bind}"
@@ -227,8 +224,8 @@
 mem_mb = 136.0
 max_sockets = 1000
 "#,
-            public_addr = public_addresses[number],
-            peer_bind = peer_addresses[number],
+            public_addr = public_addresses[index],
+            peer_bind = peer_addresses[index],
             count = public_addresses.len(),
             report = workers.heartbeat_interval.as_secs_f64(),
             lease = workers.lease_duration.as_secs_f64(),
@@ -246,10 +243,10 @@
         }
     }
 
-    /// Starts a controller's process, after killing it if it runs. The log is appended to a file in the folder
-    /// that the environment variable `TESTBED_LOGS` names, or discarded without it.
-    pub fn start_controller(&mut self, number: usize) {
-        let controller = &mut self.controllers[number];
+    /// Starts a controller's process, after killing it if it runs. The log is appended to a file in the
+    /// folder that the environment variable `TESTBED_LOGS` names, or discarded without it.
+    pub fn start_controller(&mut self, index: usize) {
+        let controller = &mut self.controllers[index];
         kill(&mut controller.process);
         let mut command = Command::new(&self.program);
         if let Some(features_file) = &controller.features_file {
@@ -279,8 +276,8 @@
     }
 
     /// Kills a controller's process without a graceful shutdown, if it runs.
-    pub fn kill_controller(&mut self, number: usize) {
-        kill(&mut self.controllers[number].process);
+    pub fn kill_controller(&mut self, index: usize) {
+        kill(&mut self.controllers[index].process);
     }
 
     /// Returns the proxy through which a link goes.
@@ -338,8 +335,8 @@
         .unwrap()
     }
 
-    /// Submits a job to a controller, without retries. Returns whether the response confirms it, and records it
-    /// if so.
+    /// Submits a job to a controller, without retries. Returns whether the response confirms it, and records
+    /// it if so.
     pub async fn submit(&self, controller: usize, id: &str, shape: &str, tasks: u64) -> bool {
         let url = format!(
             "http://{}/api/jobs",
@@ -355,8 +352,8 @@
         accepted
     }
 
-    /// Queries a job's status at a controller, without retries, and records it: `404` for an unknown job. Returns
-    /// `None` without a response of status 200 or 404.
+    /// Queries a job's status at a controller, without retries, and records it: `404` for an unknown job.
+    /// Returns `None` without a response of status 200 or 404.
     pub async fn poll(&self, controller: usize, id: &str) -> Option<String> {
         let address = &self.controllers[controller].public_address;
         let url = format!("http://{address}/api/jobs/{id}");
@@ -373,8 +370,8 @@
         Some(status)
     }
 
-    /// Cancels a job at a controller, without retries. Returns whether the response confirms it, and records it
-    /// if so.
+    /// Cancels a job at a controller, without retries. Returns whether the response confirms it, and records
+    /// it if so.
     pub async fn cancel(&self, controller: usize, id: &str) -> bool {
         let address = &self.controllers[controller].public_address;
         let url = format!("http://{address}/api/jobs/{id}/abort");
@@ -395,8 +392,8 @@
         cancelled
     }
 
-    /// Returns the body of a controller's response to a GET request below `/admin/`, whatever its status; `None`
-    /// without a response.
+    /// Returns the body of a controller's response to a GET request below `/admin/`, whatever its status;
+    /// `None` without a response.
     pub async fn admin_response(&self, controller: usize, path: &str) -> Option<String> {
         let url = format!(
             "http://{}/admin/{path}",
--- a/crates/testbed/src/history.rs
+++ b/crates/testbed/src/history.rs
@@ -1,4 +1,4 @@
-//! The history of a run: what workers, the key-value store and users observed, in order of time.
+//! The history of a run: what agents, the key-value store and users observed, in order of time.
 
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
@@ -6,13 +6,13 @@
 /// An observed event.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// A worker accepted a start command.
+    /// An agent accepted a start command.
     Started {
         /// Task ID: the job's ID, a slash and the index of the task.
         task: String,
         /// Attempt number in the command.
         attempt: u64,
-        /// Name of the worker's machine.
+        /// Name of the agent's machine.
         machine: String,
         /// The fencing token of the command.
         token: u64,
@@ -21,7 +21,7 @@
     Ended {
         /// Task ID as in [`Event::Started`].
         task: String,
-        /// Name of the worker's machine.
+        /// Name of the agent's machine.
         machine: String,
     },
     /// The store committed a leader's record.
--- a/crates/testbed/src/key_value_store.rs
+++ b/crates/testbed/src/key_value_store.rs
@@ -131,7 +131,8 @@
         store
     }
 
-    /// Sets whether transactions that contain changes get a 503. Reads and lease requests are served meanwhile.
+    /// Sets whether transactions that contain changes get a 503. Reads and lease requests are served
+    /// meanwhile.
     pub fn set_writes_refused(&self, refused: bool) {
         let mut inner = self.inner.lock().unwrap();
         if inner.writes_refused != refused {
@@ -148,8 +149,8 @@
         let server = HttpServer::new(move || {
             App::new()
                 .app_data(store.clone())
-                .route("/keys", web::get().to(list_rows))
-                .route("/keys/{key:.*}", web::get().to(get_row))
+                .route("/keys", web::get().to(list_keys))
+                .route("/keys/{key:.*}", web::get().to(get_key))
                 .route("/multi", web::post().to(transact))
                 .route("/leases", web::post().to(grant_lease))
                 .route("/leases/{id}/renew", web::post().to(renew_lease))
@@ -190,8 +191,8 @@
         self.changed.notify_waiters();
     }
 
-    /// Writes a key and discards all changes, so that open watches get a 410. The revision advances by two, so
-    /// that a watch from the revision before the call gets one as well.
+    /// Writes a key and discards all changes, so that open watches get a 410. The revision advances by two,
+    /// so that a watch from the revision before the call gets one as well.
     pub fn put_and_compact(&self, key: &str, value: Value) {
         let mut inner = self.inner.lock().unwrap();
         inner.revision += 2;
@@ -211,7 +212,8 @@
         inner.keys.get(key).map(|stored| stored.value.clone())
     }
 
-    /// Counts a request and removes expired leases. During an outage it returns a 503 instead of the locked state.
+    /// Counts a request and removes expired leases. During an outage it returns a 503 instead of the locked
+    /// state.
     fn admit(&self) -> Result<std::sync::MutexGuard<'_, Inner>, Box<HttpResponse>> {
         let mut inner = self.inner.lock().unwrap();
         inner.request_count += 1;
@@ -227,29 +229,29 @@
 
 type Query = web::Query<BTreeMap<String, String>>;
 
-/// Rows per page, few enough that clients have to read further pages.
-const ROWS_PER_PAGE: usize = 7;
+/// Maximum number of keys in a page, so small that clients have to read further pages.
+const KEYS_PER_PAGE: usize = 7;
 
 /// Encodes a key with its value and version as reads deliver them.
-fn row_message(key: &str, stored: &StoredValue) -> Value {
+fn key_message(key: &str, stored: &StoredValue) -> Value {
     cbor!({"path" => key, "v" => stored.value, "stamp" => stored.version}).unwrap()
 }
 
-async fn get_row(store: web::Data<KeyValueStore>, key: web::Path<String>) -> HttpResponse {
+async fn get_key(store: web::Data<KeyValueStore>, key: web::Path<String>) -> HttpResponse {
     let inner = match store.admit() {
         Ok(inner) => inner,
         Err(response) => return *response,
     };
     match inner.keys.get(key.as_str()) {
         Some(stored) => {
-            let row = row_message(key.as_str(), stored);
-            respond(200, &row)
+            let message = key_message(key.as_str(), stored);
+            respond(200, &message)
         }
         None => respond(404, &cbor!({"epoch" => inner.revision}).unwrap()),
     }
 }
 
-async fn list_rows(store: web::Data<KeyValueStore>, query: Query) -> HttpResponse {
+async fn list_keys(store: web::Data<KeyValueStore>, query: Query) -> HttpResponse {
     let inner = match store.admit() {
         Ok(inner) => inner,
         Err(response) => return *response,
@@ -261,13 +263,13 @@
         .iter()
         .filter(|(key, _)| key.starts_with(&prefix) && **key > after)
         .collect();
-    let more = matching.len() > ROWS_PER_PAGE;
-    let rows: Vec<Value> = matching
+    let more = matching.len() > KEYS_PER_PAGE;
+    let messages: Vec<Value> = matching
         .into_iter()
-        .take(ROWS_PER_PAGE)
-        .map(|(key, stored)| row_message(key, stored))
+        .take(KEYS_PER_PAGE)
+        .map(|(key, stored)| key_message(key, stored))
         .collect();
-    let page = cbor!({"rows" => rows, "more" => more, "epoch" => inner.revision}).unwrap();
+    let page = cbor!({"rows" => messages, "more" => more, "epoch" => inner.revision}).unwrap();
     respond(200, &page)
 }
 
@@ -394,8 +396,8 @@
                 }
             }
         }
-        // Expired leases, and changes between the check above and this wait, give no notification; the timeout
-        // bounds the delay.
+        // Expired leases, and changes between the check above and this wait, give no notification; the
+        // timeout bounds the delay.
         let change = store.changed.notified();
         let _ = tokio::time::timeout(Duration::from_millis(100), change).await;
     }
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,5 +1,5 @@
-//! Testbed for development: real controller processes with stand-ins for the key-value store, the cloud
-//! and the worker agents, loopback proxies with fault injection, and a history checker.
+//! Testbed for development: real controller processes with stand-ins for the key-value store, the cloud and
+//! the agents, loopback proxies with fault injection, and a history checker.
 //!
 //! The stand-ins implement the published protocol on loopback addresses. Nothing here is part of the service.
 
--- a/crates/testbed/src/proxy.rs
+++ b/crates/testbed/src/proxy.rs
@@ -20,8 +20,8 @@
     Pass,
     /// Holds them, and delivers them in order once the direction is [`Flow::Pass`] again.
     Hold,
-    /// Drops them. The connection transfers nothing in this direction from then on, and is closed once the link
-    /// is healthy.
+    /// Drops them. The connection transfers nothing in this direction from then on, and is closed once the
+    /// link is healthy.
     Drop,
 }
 
--- a/crates/testbed/src/schedule.rs
+++ b/crates/testbed/src/schedule.rs
@@ -14,7 +14,7 @@
     Store(usize),
     /// From the first controller to the second one.
     Peer(usize, usize),
-    /// From the workers of a zone (0 or 1) to a controller.
+    /// From the agents of a zone (0 or 1) to a controller.
     Workers(usize, usize),
 }
 
@@ -118,8 +118,8 @@
     }
 }
 
-/// Generates `count` faults from a seed, in order of their starts. All end within `schedule_duration`. A flapping
-/// link counts as one fault, with an entry for each of its periods.
+/// Generates `count` faults from a seed, in order of their starts. All end within `schedule_duration`. A
+/// flapping link counts as one fault, with an entry for each of its periods.
 pub fn generate_faults(
     seed: u64,
     controller_count: usize,
--- a/crates/testbed/src/worker.rs
+++ b/crates/testbed/src/worker.rs
@@ -1,5 +1,5 @@
-//! A stand-in for a worker agent: heartbeats, leases, epochs, fencing tokens and commands as the published
-//! protocol defines them.
+//! A stand-in for the agent of a machine: heartbeats, leases, epochs, fencing tokens and commands as the
+//! published protocol defines them.
 
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -10,7 +10,7 @@
 use crate::history::{Event, History};
 use crate::message::{decode, encode, field, number, text};
 
-/// Time after sending a heartbeat after which a worker discards the response.
+/// Time after the sending of a heartbeat from which an agent discards the response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -18,7 +18,7 @@
     /// Contains the time at which the task started.
     Running(Instant),
     Done,
-    Stopped,
+    Terminated,
 }
 
 #[derive(Debug)]
@@ -30,7 +30,7 @@
 
 #[derive(Debug)]
 struct WorkerState {
-    /// `false` once the machine is terminated.
+    /// `false` once the machine is released.
     is_running: bool,
     /// Advanced when the worker lease expires.
     epoch: u64,
@@ -58,8 +58,8 @@
 }
 
 impl Worker {
-    /// Creates a worker without tasks, in epoch 1. `controllers` are the addresses at which it reaches them, in
-    /// the order of their names.
+    /// Creates an agent without tasks, in epoch 1. `controllers` are the addresses at which it reaches them,
+    /// in the order of their names.
     pub fn new(
         name: &str,
         zone: &str,
@@ -86,14 +86,14 @@
         }
     }
 
-    /// Terminates the machine and with it all its tasks.
+    /// Terminates all tasks and ends the heartbeats. Called when the machine is released.
     pub fn terminate(&self) {
         let mut state = self.state.lock().unwrap();
         state.is_running = false;
-        self.kill_all_tasks(&mut state);
+        self.terminate_all_tasks(&mut state);
     }
 
-    fn kill_all_tasks(&self, state: &mut WorkerState) {
+    fn terminate_all_tasks(&self, state: &mut WorkerState) {
         for task in std::mem::take(&mut state.tasks) {
             if matches!(task.state, TaskState::Running(_)) {
                 self.record_end(&task.id);
@@ -112,7 +112,7 @@
     fn apply_elapsed_time(&self, state: &mut WorkerState) {
         let now = Instant::now();
         if now.duration_since(state.lease_renewed_at) > self.times.lease_duration {
-            self.kill_all_tasks(state);
+            self.terminate_all_tasks(state);
             state.epoch += 1;
             state.lease_renewed_at = now;
         }
@@ -200,7 +200,7 @@
                 ("kill", Some(index)) => {
                     let task = &mut state.tasks[index];
                     if matches!(task.state, TaskState::Running(_)) {
-                        task.state = TaskState::Stopped;
+                        task.state = TaskState::Terminated;
                         self.record_end(&id);
                     }
                 }
@@ -227,15 +227,15 @@
         TaskState::Done => {
             cbor!({"strand" => id, "try" => attempt, "status" => "exited", "cause" => "done"})
         }
-        TaskState::Stopped => {
+        TaskState::Terminated => {
             cbor!({"strand" => id, "try" => attempt, "status" => "exited", "cause" => "stopped"})
         }
     };
     status.unwrap()
 }
 
-/// Sends heartbeats until the machine is terminated, one at a time. A worker stays with one controller until
-/// a heartbeat fails or a 421 response names another one.
+/// Sends heartbeats, one at a time, until the machine is released. An agent stays with one controller until a
+/// heartbeat fails or a 421 response names another one.
 pub async fn send_heartbeats(worker: Arc<Worker>) {
     let http = awc::Client::builder().timeout(RESPONSE_TIMEOUT).finish();
     let mut index = 0;
--- a/examples/link_delays.rs
+++ b/examples/link_delays.rs
@@ -1,5 +1,5 @@
-//! Measures how soon controller processes detect failed links and use restored ones, with proxies on all links:
-//! `cargo run --release --example link_delays -- target/release/knotlanding [FEATURES] [MACHINES]`.
+//! Measures how soon controller processes detect failed links and use restored ones, with proxies on all
+//! links: `cargo run --release --example link_delays -- target/release/knotlanding [FEATURES] [MACHINES]`.
 //!
 //! FEATURES is a features file, or `-` for none. MACHINES is the maximum number of machines, 50 by default.
 
--- a/examples/row_cost.rs
+++ b/examples/row_cost.rs
@@ -1,5 +1,5 @@
-//! Measures the time that the rows of the connectivity matrix take a controller on this machine, without network:
-//! `cargo run --release --example row_cost -- 4000 7` for 4,000 workers and seven controllers.
+//! Measures the time that the rows of the connectivity matrix take a controller on this machine, without a
+//! network: `cargo run --release --example row_cost -- 4000 7` for 4,000 agents and seven controllers.
 
 // An unexpected state ends the measurement with a panic.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
@@ -15,11 +15,11 @@
 /// Number of rows, and of handover decisions, over which a measurement is averaged.
 const ROWS: u32 = 200;
 
-fn controller(index: usize, count: usize) -> std::sync::Arc<Shared> {
+fn controller(index: usize, controller_count: usize) -> std::sync::Arc<Shared> {
     let example = include_str!("../deploy/example.toml");
     let mut settings = Settings::parse(example, "example").unwrap();
     settings.member = format!("knot-{index}");
-    let peers = (0..count).filter(|other| *other != index);
+    let peers = (0..controller_count).filter(|other| *other != index);
     settings.peers = peers
         .map(|other| Peer {
             member: format!("knot-{other}"),
@@ -51,14 +51,16 @@
         .skip(1)
         .map(|argument| argument.parse::<usize>().unwrap());
     let workers = arguments.next().unwrap_or(4_000);
-    let count = arguments.next().unwrap_or(7);
-    let controllers: Vec<_> = (0..count).map(|index| controller(index, count)).collect();
+    let controller_count = arguments.next().unwrap_or(7);
+    let controllers: Vec<_> = (0..controller_count)
+        .map(|index| controller(index, controller_count))
+        .collect();
     let simulated_start = Instant::now();
     let recording_started_at = Instant::now();
     for sequence in 1..=2 {
         let received_at = simulated_start + Duration::from_secs(3 * sequence);
         for number in 0..workers {
-            let links = &controllers[number % count].links;
+            let links = &controllers[number % controller_count].links;
             links.record_worker_heartbeat(&heartbeat(number, sequence), received_at);
             links.record_worker_response(&format!("m-{number:06}"));
         }
@@ -94,13 +96,14 @@
         controllers[0].links.active().unwrap().decide_handover(now);
     }
     let decision_time = decisions_started_at.elapsed();
-    println!("{workers} workers, {count} controllers");
+    println!("{workers} workers, {controller_count} controllers");
     println!("size of a row: {row_bytes} bytes");
     println!("recording a heartbeat and its response: {per_heartbeat:?}");
     println!("evaluating and encoding a row: {:?}", encode_time / ROWS);
     println!("decoding and accepting a row: {:?}", accept_time / ROWS);
     println!("handover decision: {:?}", decision_time / ROWS);
-    let per_second =
-        encode_time / ROWS + (accept_time / ROWS) * (count as u32 - 1) + decision_time / ROWS;
+    let per_second = encode_time / ROWS
+        + (accept_time / ROWS) * (controller_count as u32 - 1)
+        + decision_time / ROWS;
     println!("total of a leader per second: {per_second:?}");
 }
