--- a/tests/common/scenario.rs
+++ b/tests/common/scenario.rs
@@ -9,8 +9,8 @@
 use knotlanding::model::{JobSpec, Priority};
 
 use crate::common;
-use crate::scene::{array_job, gang_job};
 use crate::simulation::{Simulation, TimedFault};
+use crate::test_leader::{array_job, gang_job};
 
 /// Time after the last fault within which every job must end.
 pub const SETTLE_TIME_S: f64 = 260.0;
@@ -72,7 +72,7 @@
             Vec::<String>::new(),
             "seed {seed}: {faults:?}"
         );
-        let unfinished = simulation.unfinished();
+        let unfinished = simulation.unfinished_jobs();
         let details: Vec<String> = unfinished
             .iter()
             .map(|id| simulation.describe_job(id))
